--- a/cli/src/daemon.rs
+++ b/cli/src/daemon.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use comfreymux_lib::backend_client::HttpExchange;
 use comfreymux_lib::daemon::Daemon;
 use comfreymux_lib::daemon::Sockets;
 use comfreymux_lib::daemon::incarnation_now;
-use comfreymux_lib::engine::HttpEngine;
-use comfreymux_lib::exchange::HttpExchange;
+use comfreymux_lib::engine_control::HttpEngine;
 use comfreymux_lib::host_list::HttpHostList;
 use comfreymux_lib::log_service::HttpLog;
 use comfreymux_lib::logging;
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -6,10 +6,10 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use comfreymux_lib::client::Applied;
-use comfreymux_lib::client::AskError;
-use comfreymux_lib::client::Client;
-use comfreymux_lib::client::new_edit_id;
+use comfreymux_lib::admin_client::Applied;
+use comfreymux_lib::admin_client::AskError;
+use comfreymux_lib::admin_client::Client;
+use comfreymux_lib::admin_client::new_edit_id;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table_file::read_csv;
 use comfreymux_lib::table_file::write_csv;
--- a/lib/src/admin.rs
+++ b/lib/src/admin.rs
@@ -8,8 +8,8 @@
 use tiny_http::Method;
 use tiny_http::Request;
 
+use crate::caller_request::read_body;
 use crate::event::EditAnswer;
-use crate::job::read_body;
 use crate::node::Input;
 use crate::node::Node;
 use crate::reply;
--- a/lib/src/chat.rs
+++ b/lib/src/chat.rs
@@ -6,17 +6,16 @@
 use tiny_http::Request;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::backend_client::Call;
+use crate::backend_client::Failure;
+use crate::backend_client::Fault;
+use crate::backend_client::Reply;
+use crate::caller_request::Job;
+use crate::caller_request::Wishes;
 use crate::dispatch::Ended;
 use crate::dispatch::Stop;
 use crate::dispatch::dispatch;
-use crate::exchange::Call;
-use crate::exchange::Failure;
-use crate::exchange::Fault;
-use crate::exchange::Reply;
-use crate::job::Job;
-use crate::job::Wishes;
 use crate::node::Node;
-use crate::once;
 use crate::record::Answer;
 use crate::reply;
 use crate::reply::REQUEST_HEADER;
@@ -25,6 +24,7 @@
 use crate::sse::StreamEvent;
 use crate::sse::StreamReader;
 use crate::sse::StreamWriter;
+use crate::unary;
 use crate::verdict::Verdict;
 
 /// Path of completions, here and at the engines.
@@ -88,7 +88,7 @@
             Streaming { node, job: &self.job, request: Some(request), writer: None, sent: 0 }
                 .serve();
         } else {
-            once::serve(node, &self.job, request);
+            unary::serve(node, &self.job, request);
         }
     }
 }
@@ -164,7 +164,7 @@
         node.metrics.answered(job.model(), Verdict::Ran);
         match (whole, self.request.take(), self.writer.take()) {
             (Whole::Answered(answer), Some(request), _) => {
-                once::send_answer(request, job, &answer, false);
+                unary::send_answer(request, job, &answer, false);
             }
             // A stream may be whole without a chunk.
             (Whole::Streamed, Some(request), None) => {
--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -6,10 +6,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::append::Appender;
-use crate::claims::ClaimDesk;
+use crate::appender::Appender;
 use crate::demand::Demand;
-use crate::edits::EditDesk;
 use crate::event::Choice;
 use crate::event::Decision;
 use crate::event::Effect;
@@ -30,17 +28,19 @@
 use crate::ids::Offset;
 use crate::ids::ServerId;
 use crate::ids::SlotId;
-use crate::keepwarm::KeepWarm;
-use crate::keepwarm::Policy;
+use crate::keep_warm::KeepWarm;
+use crate::keep_warm::Policy;
 use crate::lease::Authority;
-use crate::rates::Rates;
+use crate::load_rates::Rates;
+use crate::pending_claims::ClaimDesk;
+use crate::pending_edits::EditDesk;
 use crate::record::Entry;
 use crate::record::Phase;
 use crate::record::Record;
-use crate::state::State;
+use crate::replicated_state::State;
+use crate::slot_tracker::Watch;
+use crate::slot_tracker::Watches;
 use crate::table::Edit;
-use crate::watch::Watch;
-use crate::watch::Watches;
 
 /// The log counts as down after this time without an answer to a read.
 const LOG_SILENCE: Duration = Duration::from_secs(4);
@@ -177,7 +177,7 @@
     /// Returns whether the log answers reads and appends.
     pub fn is_log_up(&self, now: Duration) -> bool {
         let read = self.heard.is_some_and(|at| now < at + LOG_SILENCE);
-        let bound = crate::claims::CLAIM_BOUND;
+        let bound = crate::pending_claims::CLAIM_BOUND;
         let append = self.appender.waiting(now).is_none_or(|waited| waited < bound);
         read && append
     }
--- a/lib/src/claim_duty.rs
+++ b/lib/src/control_claims.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use crate::claims::ClaimStep;
-use crate::claims::Decided;
 use crate::control::Controller;
 use crate::event::ClaimAnswer;
 use crate::event::Effect;
 use crate::fold::Outcome;
 use crate::fold::Rejection;
 use crate::ids::ClaimKey;
+use crate::pending_claims::ClaimStep;
+use crate::pending_claims::Decided;
 use crate::record::Record;
 
 impl Controller {
--- a/lib/src/slot_duty.rs
+++ b/lib/src/control_slots.rs
@@ -11,17 +11,17 @@
 use crate::ids::ServerId;
 use crate::ids::SlotId;
 use crate::ids::order_fence;
+use crate::load_planner::Plan;
+use crate::load_planner::Scene;
 use crate::record::Freed;
 use crate::record::Intent;
 use crate::record::Phase;
 use crate::record::PhaseChange;
 use crate::record::Record;
 use crate::record::Source;
-use crate::slot_placement::Plan;
-use crate::slot_placement::Scene;
+use crate::slot_reconciler::Step;
+use crate::slot_reconciler::Upkeep;
 use crate::slots::Slot;
-use crate::upkeep::Step;
-use crate::upkeep::Upkeep;
 
 impl Controller {
     /// Takes the next step of each slot; between two full rounds only of those that are not at rest.
--- a/lib/src/shell.rs
+++ b/lib/src/control_thread.rs
@@ -26,9 +26,9 @@
 use crate::peer_message::MAX_DATAGRAM;
 use crate::peer_message::MAX_LINES;
 use crate::record::Entry;
-use crate::state::State;
+use crate::replicated_state::State;
+use crate::routing_view::View;
 use crate::trace::TraceWriter;
-use crate::view::View;
 use crate::wire;
 
 /// Entries kept for peers that are cut off from the log.
--- a/lib/src/duty.rs
+++ b/lib/src/control_tick.rs
@@ -19,10 +19,10 @@
 use crate::record::Phase;
 use crate::record::Record;
 use crate::record::ServerFacts;
+use crate::replicated_state::TICK_PERIOD_S;
+use crate::slot_tracker::Watches;
 use crate::slots::Slot;
 use crate::snapshot;
-use crate::state::TICK_PERIOD_S;
-use crate::watch::Watches;
 
 /// Time between reports of a server on which something loads: a finished load is seen soon.
 const LOADING_POLL: Duration = Duration::from_millis(100);
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::exchange::Call;
-use crate::exchange::Failure;
-use crate::exchange::Fault;
+use crate::backend_client::Call;
+use crate::backend_client::Failure;
+use crate::backend_client::Fault;
+use crate::caller_request::Job;
 use crate::ids::ServerId;
-use crate::job::Job;
 use crate::node::Node;
 use crate::queue::Refusal;
 use crate::queue::Waiter;
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use crate::failure_backoff::Suspicion;
 use crate::host::Host;
 use crate::host::Report;
 use crate::host::Role;
 use crate::ids::Incarnation;
 use crate::ids::ServerId;
-use crate::suspicion::Suspicion;
 
 /// What is known of one host.
 #[derive(Clone, Debug)]
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -19,14 +19,14 @@
 use tiny_http::Server;
 
 use crate::admin;
+use crate::caller_request;
+use crate::caller_request::Wishes;
 use crate::chat;
 use crate::chat::Chat;
-use crate::job;
-use crate::job::Wishes;
-use crate::limits::Limit;
 use crate::node::Node;
 use crate::reply;
 use crate::reply::Refused;
+use crate::request_limits::Limit;
 use crate::services;
 
 /// A caller that reads nothing for this long is gone.
@@ -120,7 +120,7 @@
 /// Runs `handler` within the limits; a request past them is refused at once.
 fn limited(node: &Node, request: Request, handler: Handler) {
     let id = node.next_request();
-    let caller = job::caller_of(&request);
+    let caller = caller_request::caller_of(&request);
     if node.is_stopping() {
         let message = "this daemon is stopping; another one will answer";
         let refused = Refused::later(503, "stopping", message, LIMIT_RETRY);
@@ -143,7 +143,7 @@
 
 fn serve_chat(node: &Node, id: &SmolStr, mut request: Request) {
     let read = Wishes::read(node, &request, node.now()).and_then(|wishes| {
-        let body = job::read_body(node, &mut request)?;
+        let body = caller_request::read_body(node, &mut request)?;
         Chat::read(node, id.clone(), &request, wishes, body)
     });
     match read {
@@ -154,7 +154,7 @@
 
 fn serve_service(node: &Node, id: &SmolStr, mut request: Request) {
     let read = Wishes::read(node, &request, node.now()).and_then(|wishes| {
-        let body = job::read_body(node, &mut request)?;
+        let body = caller_request::read_body(node, &mut request)?;
         services::read(node, id.clone(), &request, wishes, body)
     });
     match read {
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -10,7 +10,7 @@
 
 use crate::ids::CentreId;
 use crate::ids::Position;
-use crate::state::Lease;
+use crate::replicated_state::Lease;
 
 /// Time for which a renewal gives authority.
 pub const LEASE: Duration = Duration::from_secs(9);
--- a/lib/src/slot_placement.rs
+++ b/lib/src/load_planner.rs
@@ -18,14 +18,14 @@
 use crate::ids::ModelName;
 use crate::ids::ServerId;
 use crate::ids::SlotId;
-use crate::rates::Rates;
+use crate::load_rates::Rates;
 use crate::record::Phase;
 use crate::record::Source;
+use crate::replicated_state::State;
+use crate::slot_tracker::Watches;
 use crate::slots::Slot;
-use crate::state::State;
 use crate::table::Kind;
 use crate::table::Row;
-use crate::watch::Watches;
 
 /// Reason of a load without callers.
 const FETCH: &str = "nothing else to do, checkpoint only in the weight store";
--- a/lib/src/log_reader.rs
+++ b/lib/src/log_reader.rs
@@ -12,11 +12,11 @@
 use crate::log_service::ReadError;
 use crate::node::Input;
 use crate::node::Node;
-use crate::peer_call;
+use crate::peer_client;
 use crate::record::Entry;
 use crate::record::Record;
+use crate::replicated_state::State;
 use crate::snapshot::Collector;
-use crate::state::State;
 use crate::wire;
 
 /// How long a read waits for the next entry.
@@ -119,7 +119,7 @@
     /// edits, and a daemon that starts during an outage takes over a peer's state.
     fn ask_peers(&mut self) {
         for addr in self.peers_ahead() {
-            if let Some(entries) = peer_call::entries(self.node, addr, self.next)
+            if let Some(entries) = peer_client::entries(self.node, addr, self.next)
                 && entries.first().is_some_and(|(offset, _)| *offset == self.next)
             {
                 for (offset, entry) in entries {
@@ -128,7 +128,7 @@
                 }
                 return;
             }
-            if let Some(state) = peer_call::state(self.node, addr)
+            if let Some(state) = peer_client::state(self.node, addr)
                 && state.offset > self.next
             {
                 self.next = state.offset;
--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -15,31 +15,31 @@
 use slog::Logger;
 use smol_str::SmolStr;
 
+use crate::backend_client::Exchange;
+use crate::claim_outcomes::Outcomes;
+use crate::decision_log::Journal;
+use crate::decision_log::Line;
 use crate::event::Choice;
 use crate::event::ClaimAnswer;
 use crate::event::Decision;
 use crate::event::EditAnswer;
 use crate::event::Event;
-use crate::exchange::Exchange;
 use crate::ids::ClaimKey;
 use crate::ids::Incarnation;
 use crate::ids::Offset;
-use crate::journal::Journal;
-use crate::journal::Line;
-use crate::limits::Limits;
+use crate::load_rates::Rates;
 use crate::metrics::Metrics;
-use crate::outcomes::Outcomes;
-use crate::pace::Pace;
-use crate::rates::Rates;
 use crate::record::Entry;
-use crate::retry::RetryBudget;
+use crate::replicated_state::State;
+use crate::request_limits::Limits;
+use crate::retry_budget::RetryBudget;
 use crate::router::Router;
+use crate::routing_view::View;
 use crate::settings::Settings;
-use crate::state::State;
 use crate::table::Edit;
 use crate::timer::Clock;
-use crate::view::View;
-use crate::waiting::WaitingRoom;
+use crate::wait_estimator::Pace;
+use crate::wait_queue::WaitingRoom;
 
 /// What the control thread takes in.
 pub enum Input {
--- a/lib/src/peer_call.rs
+++ b/lib/src/peer_client.rs
@@ -5,16 +5,16 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
+use crate::claim_outcomes::End;
 use crate::ids::ClaimKey;
 use crate::ids::Offset;
 use crate::node::Node;
-use crate::outcomes::End;
 use crate::peer_message::Ask;
 use crate::peer_message::Tell;
 use crate::peer_message::read_message;
 use crate::peer_message::write_message;
 use crate::record::Entry;
-use crate::state::State;
+use crate::replicated_state::State;
 use crate::wire::MAX_MESSAGE;
 
 /// Longest wait for a connection.
--- a/lib/src/peer_message.rs
+++ b/lib/src/peer_message.rs
@@ -9,14 +9,14 @@
 use serde::de::DeserializeOwned;
 use smol_str::SmolStr;
 
+use crate::claim_outcomes::End;
 use crate::demand::Waiting;
 use crate::event::Hint;
 use crate::ids::ClaimKey;
 use crate::ids::Offset;
-use crate::outcomes::End;
 use crate::record::Answer;
 use crate::record::Entry;
-use crate::state::State;
+use crate::replicated_state::State;
 use crate::verdict::Verdict;
 use crate::wire;
 
--- a/lib/src/claims.rs
+++ b/lib/src/pending_claims.rs
@@ -13,8 +13,8 @@
 use crate::ids::Incarnation;
 use crate::record::Record;
 use crate::record::Settlement;
-use crate::state::Claim;
-use crate::state::State;
+use crate::replicated_state::Claim;
+use crate::replicated_state::State;
 use crate::verdict::Verdict;
 
 /// A claim that the log has not decided after this time is refused.
--- a/lib/src/edits.rs
+++ b/lib/src/pending_edits.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::event::EditAnswer;
-use crate::state::State;
+use crate::replicated_state::State;
 use crate::table::Edit;
 
 /// Edits that this daemon has asked the log for.
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -9,12 +9,12 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+use crate::failure_backoff::Suspicion;
 use crate::ids::CentreId;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
-use crate::suspicion::Suspicion;
-use crate::view::Replica;
-use crate::view::View;
+use crate::routing_view::Replica;
+use crate::routing_view::View;
 
 /// What an engine said of other daemons' requests fades over this time.
 const LOAD_FRESH: Duration = Duration::from_millis(500);
--- a/lib/src/services.rs
+++ b/lib/src/services.rs
@@ -3,12 +3,12 @@
 use smol_str::SmolStr;
 use tiny_http::Request;
 
-use crate::job::Job;
-use crate::job::Wishes;
+use crate::caller_request::Job;
+use crate::caller_request::Wishes;
 use crate::node::Node;
-use crate::once;
 use crate::reply::Refused;
 use crate::table::Kind;
+use crate::unary;
 
 /// Beginning of the paths of plain services.
 pub const PREFIX: &str = "/services/";
@@ -39,5 +39,5 @@
 
 /// Serves a call of a plain service.
 pub fn serve(node: &Node, job: &Job, request: Request) {
-    once::serve(node, job, request);
+    unary::serve(node, job, request);
 }
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -10,7 +10,7 @@
 
 use crate::ids::CentreId;
 use crate::ids::DaemonId;
-use crate::keepwarm::Policy;
+use crate::keep_warm::Policy;
 
 /// Prefix of the environment variables: `--append-gap` is `COMFREYMUX_APPEND_GAP`.
 pub const ENV_PREFIX: &str = "COMFREYMUX_";
--- a/lib/src/upkeep.rs
+++ b/lib/src/slot_reconciler.rs
@@ -13,14 +13,14 @@
 use crate::ids::DaemonId;
 use crate::ids::Incarnation;
 use crate::ids::SlotId;
-use crate::keepwarm::KeepWarm;
+use crate::keep_warm::KeepWarm;
+use crate::load_planner::Scene;
 use crate::record::Phase;
 use crate::record::Source;
-use crate::slot_placement::Scene;
+use crate::slot_tracker::OrderState;
+use crate::slot_tracker::Watch;
 use crate::slots::Slot;
 use crate::table::Row;
-use crate::watch::OrderState;
-use crate::watch::Watch;
 
 /// Time from the record that starts draining to the order to unload: routers learn of it meanwhile.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(2);
--- a/lib/src/snapshot.rs
+++ b/lib/src/snapshot.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::Offset;
 use crate::record::SnapshotPart;
-use crate::state::State;
+use crate::replicated_state::State;
 use crate::wire;
 
 /// Bytes of one part.
--- a/lib/src/sse.rs
+++ b/lib/src/sse.rs
@@ -6,8 +6,8 @@
 use std::io::Read;
 use std::io::Write;
 
-use crate::exchange::Failure;
-use crate::exchange::Fault;
+use crate::backend_client::Failure;
+use crate::backend_client::Fault;
 
 /// Data of the event that ends a whole stream.
 const DONE: &str = "[DONE]";
--- a/lib/src/trace.rs
+++ b/lib/src/trace.rs
@@ -23,7 +23,7 @@
 use crate::event::Timed;
 use crate::host::Action;
 use crate::ids::ModelName;
-use crate::keepwarm::Policy;
+use crate::keep_warm::Policy;
 
 /// One line of a trace file, as JSON.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
--- a/lib/src/once.rs
+++ b/lib/src/unary.rs
@@ -4,20 +4,20 @@
 
 use tiny_http::Request;
 
+use crate::caller_request::Job;
 use crate::chat::note_refused;
 use crate::chat::note_reply;
 use crate::chat::read_answer;
+use crate::claim_outcomes::End;
 use crate::dispatch::Ended;
 use crate::dispatch::dispatch;
 use crate::event::ClaimAnswer;
 use crate::event::Event;
 use crate::ids::ClaimKey;
 use crate::ids::DaemonId;
-use crate::job::Job;
 use crate::node::Input;
 use crate::node::Node;
-use crate::outcomes::End;
-use crate::peer_call;
+use crate::peer_client;
 use crate::record::Answer;
 use crate::record::Settlement;
 use crate::reply;
@@ -130,7 +130,7 @@
         node.outcomes.wait(key, wait)
     } else {
         let addr = *node.view.load().daemons.get(daemon)?;
-        peer_call::outcome(node, addr, key, wait)
+        peer_client::outcome(node, addr, key, wait)
     };
     end.map(replay)
 }
--- a/lib/src/workers.rs
+++ b/lib/src/workers.rs
@@ -9,7 +9,9 @@
 
 use smol_str::SmolStr;
 
-use crate::engine::Engine;
+use crate::control_thread::Errand;
+use crate::control_thread::Outputs;
+use crate::engine_control::Engine;
 use crate::event::Event;
 use crate::host::OrderAnswer;
 use crate::host_list::HostBook;
@@ -18,8 +20,6 @@
 use crate::node::Input;
 use crate::node::Node;
 use crate::record::Entry;
-use crate::shell::Errand;
-use crate::shell::Outputs;
 use crate::wire;
 
 /// Threads that ask for reports: a silent backend server holds one for its timeout.
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::claims::CLAIM_BOUND;
-use comfreymux_lib::claims::ClaimDesk;
-use comfreymux_lib::claims::ClaimStep;
-use comfreymux_lib::claims::Decided;
 use comfreymux_lib::event::ClaimAnswer;
+use comfreymux_lib::pending_claims::CLAIM_BOUND;
+use comfreymux_lib::pending_claims::ClaimDesk;
+use comfreymux_lib::pending_claims::ClaimStep;
+use comfreymux_lib::pending_claims::Decided;
 use comfreymux_lib::record::Settlement;
-use comfreymux_lib::state::Claim;
-use comfreymux_lib::state::State;
+use comfreymux_lib::replicated_state::Claim;
+use comfreymux_lib::replicated_state::State;
 use comfreymux_lib::verdict::Verdict;
 
 const NOW: Duration = Duration::from_secs(1);
--- a/lib/tests/test_failures.rs
+++ b/lib/tests/test_failures.rs
@@ -3,8 +3,8 @@
 use comfreymux_lib::event::Choice;
 use comfreymux_lib::record::Phase;
 use comfreymux_lib::record::Source;
+use comfreymux_lib::routing_view::View;
 use comfreymux_lib::table::Row;
-use comfreymux_lib::view::View;
 use comfreymux_testutils::rows;
 use comfreymux_tools::fake_engine::FakeEngine;
 use comfreymux_tools::small::STEP;
--- a/lib/tests/test_gateway.rs
+++ b/lib/tests/test_gateway.rs
@@ -6,8 +6,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use comfreymux_lib::client::Applied;
-use comfreymux_lib::client::Client;
+use comfreymux_lib::admin_client::Applied;
+use comfreymux_lib::admin_client::Client;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table_file::read_csv;
 use comfreymux_lib::table_file::write_csv;
--- a/lib/tests/test_outages.rs
+++ b/lib/tests/test_outages.rs
@@ -3,7 +3,7 @@
 use comfreymux_lib::host_list::HostBook;
 use comfreymux_lib::host_list::HostChange;
 use comfreymux_lib::peer_message::Digest;
-use comfreymux_lib::peers::read_digest;
+use comfreymux_lib::peer_server::read_digest;
 use comfreymux_lib::wire;
 use comfreymux_testutils::engine_settings::EngineFaults;
 use comfreymux_testutils::engine_settings::EngineSettings;
--- a/lib/tests/test_overload.rs
+++ b/lib/tests/test_overload.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use comfreymux_lib::pace::Pace;
 use comfreymux_lib::queue::Entered;
 use comfreymux_lib::queue::Queue;
 use comfreymux_lib::queue::Refusal;
 use comfreymux_lib::queue::Waiter;
 use comfreymux_lib::queue::WaiterKey;
+use comfreymux_lib::wait_estimator::Pace;
 
 const LIMIT: usize = 8;
 const RUN: Duration = Duration::from_secs(1);
--- a/lib/tests/test_queue.rs
+++ b/lib/tests/test_queue.rs
@@ -9,7 +9,7 @@
 use comfreymux_lib::queue::Refusal;
 use comfreymux_lib::queue::Waiter;
 use comfreymux_lib::queue::WaiterKey;
-use comfreymux_lib::waiting::WaitingRoom;
+use comfreymux_lib::wait_queue::WaitingRoom;
 use proptest::prelude::*;
 
 fn seconds(n: u64) -> Duration {
--- a/lib/tests/test_router.rs
+++ b/lib/tests/test_router.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::limits::Limit;
-use comfreymux_lib::limits::Limits;
-use comfreymux_lib::retry::RetryBudget;
+use comfreymux_lib::failure_backoff::Suspicion;
+use comfreymux_lib::request_limits::Limit;
+use comfreymux_lib::request_limits::Limits;
+use comfreymux_lib::retry_budget::RetryBudget;
 use comfreymux_lib::router::Router;
 use comfreymux_lib::router::Wish;
-use comfreymux_lib::suspicion::Suspicion;
+use comfreymux_lib::routing_view::Replica;
+use comfreymux_lib::routing_view::View;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table::RowChange;
 use comfreymux_lib::table::Table;
 use comfreymux_lib::verdict::Verdict;
-use comfreymux_lib::view::Replica;
-use comfreymux_lib::view::View;
 use comfreymux_testutils::rig::ANY;
 use comfreymux_testutils::rows;
 use proptest::prelude::*;
--- a/lib/tests/test_settings.rs
+++ b/lib/tests/test_settings.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::keepwarm::KeepWarm;
-use comfreymux_lib::keepwarm::Policy;
+use comfreymux_lib::keep_warm::KeepWarm;
+use comfreymux_lib::keep_warm::Policy;
 use comfreymux_lib::lease::Authority;
 use comfreymux_lib::lease::BID_AFTER;
 use comfreymux_lib::lease::DRIFT_PERCENT;
--- a/lib/testutils/src/engine_standin.rs
+++ b/lib/testutils/src/engine_standin.rs
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use comfreymux_lib::exchange::ACTIVE_HEADER;
-use comfreymux_lib::exchange::ATTEMPT_HEADER;
-use comfreymux_lib::exchange::LEAVING;
-use comfreymux_lib::exchange::NOT_LOADED;
-use comfreymux_lib::exchange::REFUSED_HEADER;
-use comfreymux_lib::exchange::RESUME_HEADER;
+use comfreymux_lib::backend_client::ACTIVE_HEADER;
+use comfreymux_lib::backend_client::ATTEMPT_HEADER;
+use comfreymux_lib::backend_client::LEAVING;
+use comfreymux_lib::backend_client::NOT_LOADED;
+use comfreymux_lib::backend_client::REFUSED_HEADER;
+use comfreymux_lib::backend_client::RESUME_HEADER;
 use comfreymux_lib::host::Action;
 use comfreymux_lib::host::Cached;
 use comfreymux_lib::host::ModelReport;
--- a/lib/testutils/src/rig.rs
+++ b/lib/testutils/src/rig.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use comfreymux_lib::backend_client::HttpExchange;
 use comfreymux_lib::daemon::Daemon;
 use comfreymux_lib::daemon::Sockets;
-use comfreymux_lib::engine::HttpEngine;
-use comfreymux_lib::exchange::HttpExchange;
+use comfreymux_lib::engine_control::HttpEngine;
 use comfreymux_lib::host::Host;
 use comfreymux_lib::host::Role;
 use comfreymux_lib::host_list::HttpHostList;
@@ -225,7 +225,7 @@
         &self,
         daemon: &str,
         what: &str,
-        done: impl Fn(&comfreymux_lib::view::View) -> bool,
+        done: impl Fn(&comfreymux_lib::routing_view::View) -> bool,
     ) {
         let node = self.daemons[daemon].node();
         wait_for(what, || done(&node.view.load()));
--- a/lib/testutils/src/service_standin.rs
+++ b/lib/testutils/src/service_standin.rs
@@ -9,10 +9,10 @@
 use std::thread;
 use std::time::Duration;
 
-use comfreymux_lib::exchange::ACTIVE_HEADER;
-use comfreymux_lib::exchange::ATTEMPT_HEADER;
-use comfreymux_lib::exchange::LEAVING;
-use comfreymux_lib::exchange::REFUSED_HEADER;
+use comfreymux_lib::backend_client::ACTIVE_HEADER;
+use comfreymux_lib::backend_client::ATTEMPT_HEADER;
+use comfreymux_lib::backend_client::LEAVING;
+use comfreymux_lib::backend_client::REFUSED_HEADER;
 use serde::Deserialize;
 use serde::Serialize;
 use serde_json::json;
--- a/tools/src/experiment.rs
+++ b/tools/src/experiment.rs
@@ -7,15 +7,15 @@
 use comfreymux_lib::event::Event;
 use comfreymux_lib::ids::ModelName;
 use comfreymux_lib::ids::ServerId;
-use comfreymux_lib::keepwarm::Policy;
+use comfreymux_lib::keep_warm::Policy;
 use comfreymux_lib::queue::Entered;
 use comfreymux_lib::queue::Queue;
 use comfreymux_lib::queue::Waiter;
 use comfreymux_lib::queue::WaiterKey;
 use comfreymux_lib::router::Router;
 use comfreymux_lib::router::Wish;
+use comfreymux_lib::routing_view::View;
 use comfreymux_lib::table::Edit;
-use comfreymux_lib::view::View;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
--- a/tools/src/relay.rs
+++ b/tools/src/relay.rs
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::Duration;
 
+use comfreymux_lib::backend_client::Call;
+use comfreymux_lib::backend_client::Exchange;
+use comfreymux_lib::backend_client::HttpExchange;
 use comfreymux_lib::chat;
-use comfreymux_lib::exchange::Call;
-use comfreymux_lib::exchange::Exchange;
-use comfreymux_lib::exchange::HttpExchange;
 use comfreymux_lib::gateway;
 use comfreymux_lib::sse::StreamEvent;
 use comfreymux_lib::sse::StreamReader;
@@ -49,7 +49,7 @@
         resume: 0,
         priority: 0,
     };
-    let failed = |f: comfreymux_lib::exchange::Failure| io::Error::other(f.detail);
+    let failed = |f: comfreymux_lib::backend_client::Failure| io::Error::other(f.detail);
     let mut reader = StreamReader::new(exchange.call(to, &call).map_err(failed)?.body);
     let mut writer = StreamWriter::start(request.into_writer(), &[])?;
     while let StreamEvent::Chunk(data) = reader.next_event().map_err(failed)? {
--- a/tools/src/report.rs
+++ b/tools/src/report.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-use comfreymux_lib::keepwarm::Policy;
+use comfreymux_lib::keep_warm::Policy;
 use plotters::prelude::*;
 
 use crate::experiment;
--- a/tools/src/world.rs
+++ b/tools/src/world.rs
@@ -27,12 +27,12 @@
 use comfreymux_lib::ids::Incarnation;
 use comfreymux_lib::ids::ModelName;
 use comfreymux_lib::ids::ServerId;
-use comfreymux_lib::keepwarm::Policy;
-use comfreymux_lib::rates::Rates;
+use comfreymux_lib::keep_warm::Policy;
+use comfreymux_lib::load_planner::STORE_PARALLEL;
+use comfreymux_lib::load_rates::Rates;
 use comfreymux_lib::record::Entry;
 use comfreymux_lib::record::Source;
-use comfreymux_lib::slot_placement::STORE_PARALLEL;
-use comfreymux_lib::state::State;
+use comfreymux_lib::replicated_state::State;
 use comfreymux_lib::table::Edit;
 use comfreymux_testutils::faults::take;
 
