--- a/cli/src/daemon.rs
+++ b/cli/src/daemon.rs
@@ -10,7 +10,7 @@
 use comfreymux_lib::daemon::Daemon;
 use comfreymux_lib::daemon::Sockets;
 use comfreymux_lib::daemon::incarnation_now;
-use comfreymux_lib::engine_control::HttpEngine;
+use comfreymux_lib::engine_control::HttpEngineControl;
 use comfreymux_lib::host_list::HttpHostList;
 use comfreymux_lib::log_service::HttpLog;
 use comfreymux_lib::logging;
@@ -85,7 +85,7 @@
     let borders = Borders {
         log: Arc::new(HttpLog::new(settings.log.clone())),
         hosts: Arc::new(HttpHostList::new(settings.hosts.clone())),
-        engine: Arc::new(HttpEngine),
+        engine: Arc::new(HttpEngineControl),
     };
     let exchange = Arc::new(HttpExchange::new(settings.idle));
     let log = logging::to_stderr();
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -6,9 +6,9 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use comfreymux_lib::admin_client::Applied;
-use comfreymux_lib::admin_client::AskError;
-use comfreymux_lib::admin_client::Client;
+use comfreymux_lib::admin_client::AdminClient;
+use comfreymux_lib::admin_client::ApplyResult;
+use comfreymux_lib::admin_client::ClientError;
 use comfreymux_lib::admin_client::new_edit_id;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table_file::read_csv;
@@ -43,18 +43,20 @@
         Ok(code) => code,
         Err(report) => {
             eprintln!("{report:?}");
-            let unreachable =
-                matches!(report.downcast_ref::<AskError>(), Some(AskError::Unreachable { .. }));
+            let unreachable = matches!(
+                report.downcast_ref::<ClientError>(),
+                Some(ClientError::Unreachable { .. })
+            );
             ExitCode::from(if unreachable { EXIT_UNREACHABLE } else { EXIT_REFUSED })
         }
     }
 }
 
-fn client(flags: &Comfreymux) -> Client {
+fn client(flags: &Comfreymux) -> AdminClient {
     let named = flags.daemon.clone().or_else(|| std::env::var("COMFREYMUX_DAEMON").ok());
     let base = named.unwrap_or_else(|| DEFAULT_DAEMON.to_owned());
     let base = if base.starts_with("http://") { base } else { format!("http://{base}") };
-    Client::new(base.trim_end_matches('/'))
+    AdminClient::new(base.trim_end_matches('/'))
 }
 
 fn run(flags: &Comfreymux) -> miette::Result<ExitCode> {
@@ -95,7 +97,7 @@
     Ok(read_csv(&text)?)
 }
 
-fn run_table(client: &Client, json: bool, table: &Table) -> miette::Result<ExitCode> {
+fn run_table(client: &AdminClient, json: bool, table: &Table) -> miette::Result<ExitCode> {
     match &table.subcommand {
         TableCmd::Get(_) => {
             let table = client.table()?;
@@ -126,20 +128,20 @@
     }
 }
 
-fn show_applied(json: bool, applied: &Applied, id: &str) -> ExitCode {
+fn show_applied(json: bool, applied: &ApplyResult, id: &str) -> ExitCode {
     let (text, value) = match applied {
-        Applied::Unchanged => ("nothing to change".to_owned(), json!({"applied": "unchanged"})),
-        Applied::Accepted(position) => (
+        ApplyResult::Unchanged => ("nothing to change".to_owned(), json!({"applied": "unchanged"})),
+        ApplyResult::Accepted(position) => (
             format!("accepted: edit {id} is in force from log position {position} on"),
             json!({"applied": "accepted", "id": id, "position": position}),
         ),
-        Applied::Conflict(row) => (
+        ApplyResult::Conflict(row) => (
             format!("conflict: `{row}` changed meanwhile; get the table and apply again"),
             json!({"applied": "conflict", "id": id, "row": row}),
         ),
     };
     show::value(json, &value, |_| println!("{text}"));
-    let conflict = matches!(applied, Applied::Conflict(_));
+    let conflict = matches!(applied, ApplyResult::Conflict(_));
     if conflict { ExitCode::from(EXIT_REFUSED) } else { ExitCode::SUCCESS }
 }
 
--- a/lib/benches/slopes.rs
+++ b/lib/benches/slopes.rs
@@ -8,7 +8,7 @@
 
 use comfreymux_lib::control::ControlSettings;
 use comfreymux_lib::control::Controller;
-use comfreymux_lib::demand::Waiting;
+use comfreymux_lib::demand::WaitingRequests;
 use comfreymux_lib::event::Event;
 use comfreymux_lib::fold;
 use comfreymux_lib::host::Host;
@@ -123,9 +123,9 @@
         id: ME.into(),
         incarnation: 1,
         centre: centre(0),
-        gap: Duration::from_millis(20),
-        policy: Policy::Learned,
-        poll: Duration::from_secs(1),
+        append_gap: Duration::from_millis(20),
+        keep_warm: Policy::Learned,
+        poll_interval: Duration::from_secs(1),
     });
     let hosts = (0..servers).map(|i| Host {
         id: format!("server-{i:05}").into(),
@@ -155,8 +155,8 @@
         now += Duration::from_millis(50);
         black_box(control.handle(now, Event::Tick));
     });
-    let waiting: Vec<Waiting> =
-        (0..20).map(|i| Waiting { model: row(i).name, count: 3, weight: 9 }).collect();
+    let waiting: Vec<WaitingRequests> =
+        (0..20).map(|i| WaitingRequests { model: row(i).name, count: 3, weight: 9 }).collect();
     let busy = time(200, || {
         now += Duration::from_millis(50);
         control.handle(now, Event::Demand("daemon-0001".into(), waiting.clone()));
@@ -215,7 +215,9 @@
         daemon: ME.into(),
         offset: 1 << 40,
         hash: (1 << 40, u64::MAX),
-        demand: (0..lines).map(|i| Waiting { model: row(i).name, count: 3, weight: 9 }).collect(),
+        demand: (0..lines)
+            .map(|i| WaitingRequests { model: row(i).name, count: 3, weight: 9 })
+            .collect(),
         hints: Vec::new(),
     };
     println!(
--- a/lib/src/admin_client.rs
+++ b/lib/src/admin_client.rs
@@ -20,7 +20,7 @@
 
 /// Why an operator's request gave nothing.
 #[derive(Debug, Diagnostic, Error)]
-pub enum AskError {
+pub enum ClientError {
     /// The daemon did not answer.
     #[error("no answer from {url}: {message}")]
     #[diagnostic(help("is the daemon running there? --daemon or COMFREYMUX_DAEMON names another"))]
@@ -40,7 +40,7 @@
 
 /// What became of an edit.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Applied {
+pub enum ApplyResult {
     /// The table already was as asked.
     Unchanged,
     /// It is in force from this log position on.
@@ -56,24 +56,24 @@
 
 /// A client of one daemon's operator side.
 #[derive(Clone, Debug)]
-pub struct Client {
+pub struct AdminClient {
     base: String,
 }
 
-impl Client {
+impl AdminClient {
     /// Creates a client of the daemon at `base`, such as `http://127.0.0.1:8080`.
     pub fn new(base: impl Into<String>) -> Self {
         Self { base: base.into() }
     }
 
-    fn ask(&self, request: minreq::Request, path: &str) -> Result<(u16, Value), AskError> {
+    fn ask(&self, request: minreq::Request, path: &str) -> Result<(u16, Value), ClientError> {
         let sent = request.with_timeout(TIMEOUT.as_secs()).with_follow_redirects(false).send();
-        let response = sent.map_err(|e| AskError::Unreachable {
+        let response = sent.map_err(|e| ClientError::Unreachable {
             url: format!("{}{path}", self.base),
             message: e.to_string(),
         })?;
         let value = serde_json::from_slice(response.as_bytes())
-            .map_err(|e| AskError::Malformed(e.to_string()))?;
+            .map_err(|e| ClientError::Malformed(e.to_string()))?;
         Ok((response.status_code, value))
     }
 
@@ -82,10 +82,10 @@
     /// # Errors
     ///
     /// The daemon did not answer or refused.
-    pub fn get(&self, name: &str) -> Result<Value, AskError> {
+    pub fn get(&self, name: &str) -> Result<Value, ClientError> {
         let path = format!("/admin/{name}");
         let (status, value) = self.ask(minreq::get(format!("{}{path}", self.base)), &path)?;
-        if status == 200 { Ok(value) } else { Err(AskError::Refused(message_of(&value))) }
+        if status == 200 { Ok(value) } else { Err(ClientError::Refused(message_of(&value))) }
     }
 
     /// Returns the table in force.
@@ -93,10 +93,10 @@
     /// # Errors
     ///
     /// The daemon did not answer, or has not read a table yet.
-    pub fn table(&self) -> Result<Table, AskError> {
+    pub fn table(&self) -> Result<Table, ClientError> {
         let value = self.get("table")?;
         let answer: TableAnswer =
-            serde_json::from_value(value).map_err(|e| AskError::Malformed(e.to_string()))?;
+            serde_json::from_value(value).map_err(|e| ClientError::Malformed(e.to_string()))?;
         Ok(Table::from_rows(answer.rows))
     }
 
@@ -105,10 +105,10 @@
     /// # Errors
     ///
     /// The daemon did not answer, or the log has not decided.
-    pub fn apply(&self, rows: &[Row], author: &str, id: &str) -> Result<Applied, AskError> {
+    pub fn apply(&self, rows: &[Row], author: &str, id: &str) -> Result<ApplyResult, ClientError> {
         let changes = self.table()?.diff(rows);
         if changes.is_empty() {
-            return Ok(Applied::Unchanged);
+            return Ok(ApplyResult::Unchanged);
         }
         self.send_edit(&Edit { id: id.into(), author: author.into(), changes })
     }
@@ -118,15 +118,15 @@
     /// # Errors
     ///
     /// The daemon did not answer, or the log has not decided.
-    pub fn send_edit(&self, edit: &Edit) -> Result<Applied, AskError> {
+    pub fn send_edit(&self, edit: &Edit) -> Result<ApplyResult, ClientError> {
         let path = "/admin/edits";
-        let body = serde_json::to_vec(edit).map_err(|e| AskError::Malformed(e.to_string()))?;
+        let body = serde_json::to_vec(edit).map_err(|e| ClientError::Malformed(e.to_string()))?;
         let request = minreq::post(format!("{}{path}", self.base)).with_body(body);
         let (status, value) = self.ask(request, path)?;
         match status {
-            200 => Ok(Applied::Accepted(value["position"].as_u64().unwrap_or(0))),
-            409 => Ok(Applied::Conflict(value["conflict"].as_str().unwrap_or_default().into())),
-            _ => Err(AskError::Refused(message_of(&value))),
+            200 => Ok(ApplyResult::Accepted(value["position"].as_u64().unwrap_or(0))),
+            409 => Ok(ApplyResult::Conflict(value["conflict"].as_str().unwrap_or_default().into())),
+            _ => Err(ClientError::Refused(message_of(&value))),
         }
     }
 
@@ -135,7 +135,7 @@
     /// # Errors
     ///
     /// The daemon did not answer.
-    pub fn drain(&self) -> Result<Value, AskError> {
+    pub fn drain(&self) -> Result<Value, ClientError> {
         let path = "/admin/drain";
         Ok(self.ask(minreq::post(format!("{}{path}", self.base)), path)?.1)
     }
@@ -145,7 +145,7 @@
     /// # Errors
     ///
     /// The daemon did not answer, or has not read a table yet.
-    pub fn diff(&self, rows: &[Row]) -> Result<Vec<RowChange>, AskError> {
+    pub fn diff(&self, rows: &[Row]) -> Result<Vec<RowChange>, ClientError> {
         Ok(self.table()?.diff(rows))
     }
 }
--- a/lib/src/appender.rs
+++ b/lib/src/appender.rs
@@ -31,9 +31,9 @@
 
 /// An entry that was read back, with the time before its first append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ReadBack {
+pub struct ConfirmedAppend {
     /// Time before the first attempt to append it.
-    pub sent: Duration,
+    pub sent_at: Duration,
 }
 
 /// Queue of records and the one append under way.
@@ -77,7 +77,7 @@
     }
 
     /// Queues a record unless an equal one waits or is under way; returns whether it was queued.
-    pub fn push_once(&mut self, record: Record) -> bool {
+    pub fn push_unique(&mut self, record: Record) -> bool {
         !self.holds(&record) && self.push(record)
     }
 
@@ -88,18 +88,18 @@
     }
 
     /// Returns whether any record that `wanted` selects waits or is under way.
-    pub fn any(&self, wanted: impl Fn(&Record) -> bool) -> bool {
+    pub fn any_pending(&self, wanted: impl Fn(&Record) -> bool) -> bool {
         let flying = self.flight.as_ref().is_some_and(|f| f.entry.records.iter().any(&wanted));
         flying || self.queue.iter().any(wanted)
     }
 
     /// Removes queued records that `stale` selects; what is under way cannot be taken back.
-    pub fn discard(&mut self, stale: impl Fn(&Record) -> bool) {
+    pub fn discard_queued(&mut self, stale: impl Fn(&Record) -> bool) {
         self.queue.retain(|r| !stale(r));
     }
 
     /// Returns how long the append under way has been waiting.
-    pub fn waiting(&self, now: Duration) -> Option<Duration> {
+    pub fn pending_for(&self, now: Duration) -> Option<Duration> {
         self.flight.as_ref().map(|f| now.saturating_sub(f.first))
     }
 
@@ -138,7 +138,7 @@
     ///
     /// A failed or lost answer does not mean that the append had no effect; the same entry is
     /// sent again, and the fold ignores whichever copy comes second.
-    pub fn answered(&mut self, now: Duration, sequence: u64, appended: bool) {
+    pub fn on_append_result(&mut self, now: Duration, sequence: u64, appended: bool) {
         let Some(flight) = self.flight.as_mut().filter(|f| f.entry.sequence == sequence) else {
             return;
         };
@@ -154,18 +154,18 @@
     /// Notes that an entry of this daemon was read from the log.
     ///
     /// Returns the time before its first append where it is the one under way.
-    pub fn read_back(&mut self, entry: &Entry) -> Option<ReadBack> {
+    pub fn on_read(&mut self, entry: &Entry) -> Option<ConfirmedAppend> {
         if entry.writer != self.writer || entry.incarnation != self.incarnation {
             return None;
         }
         let flight = self.flight.take_if(|f| f.entry.sequence == entry.sequence)?;
-        Some(ReadBack { sent: flight.first })
+        Some(ConfirmedAppend { sent_at: flight.first })
     }
 
     /// Drops the append under way if `sequence`, the last one in a state taken over whole, covers it.
     ///
     /// Returns whether something was dropped; its records must then be looked up in that state.
-    pub fn skip_to(&mut self, sequence: u64) -> bool {
+    pub fn drop_through(&mut self, sequence: u64) -> bool {
         self.flight.take_if(|f| f.entry.sequence <= sequence).is_some()
     }
 }
--- a/lib/src/backend_client.rs
+++ b/lib/src/backend_client.rs
@@ -22,10 +22,10 @@
 /// Header with the request's priority.
 pub const PRIORITY_HEADER: &str = "x-priority";
 /// Word of [`REFUSED_HEADER`] from a backend server that leaves.
-pub const LEAVING: &str = "leaving";
+pub const REFUSED_LEAVING: &str = "leaving";
 
 /// Word of [`REFUSED_HEADER`] from an engine that does not hold the model.
-pub const NOT_LOADED: &str = "not-loaded";
+pub const REFUSED_NOT_LOADED: &str = "not-loaded";
 
 /// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -203,8 +203,8 @@
 fn read_head(response: ureq::Response, call: &Call) -> Result<Reply, Failure> {
     if let Some(word) = response.header(REFUSED_HEADER) {
         let fault = match word {
-            LEAVING => Fault::Leaving,
-            NOT_LOADED => Fault::NotLoaded,
+            REFUSED_LEAVING => Fault::Leaving,
+            REFUSED_NOT_LOADED => Fault::NotLoaded,
             _ => Fault::Refused,
         };
         let verdict = Verdict::DidNotRun;
--- a/lib/src/chat.rs
+++ b/lib/src/chat.rs
@@ -12,8 +12,8 @@
 use crate::backend_client::Reply;
 use crate::caller_request::Job;
 use crate::caller_request::Wishes;
-use crate::dispatch::Ended;
-use crate::dispatch::Stop;
+use crate::dispatch::AttemptError;
+use crate::dispatch::DispatchError;
 use crate::dispatch::dispatch;
 use crate::node::Node;
 use crate::record::Answer;
@@ -44,20 +44,20 @@
 
 /// A completion that is wanted.
 #[derive(Debug)]
-pub struct Chat {
+pub struct ChatRequest {
     /// The request.
     pub job: Job,
     /// Whether the answer is streamed.
     pub stream: bool,
 }
 
-impl Chat {
+impl ChatRequest {
     /// Reads a body.
     ///
     /// # Errors
     ///
     /// The body is not such a request, or names no model of the table.
-    pub fn read(
+    pub fn parse(
         node: &Node,
         id: SmolStr,
         request: &Request,
@@ -116,17 +116,17 @@
         node.metrics.relayed(self.sent);
         match result {
             Ok(whole) => self.finish(whole),
-            Err(Ended::Refused(refused)) => self.refuse(&refused),
-            Err(Ended::CallerGone) => {
+            Err(DispatchError::Refused(refused)) => self.refuse(&refused),
+            Err(DispatchError::CallerGone) => {
                 node.note_request(&job.id, job.model(), "cancel", "", "the caller is gone");
             }
         }
     }
 
-    fn attempt(&mut self, route: &Route, call: &Call) -> Result<Whole, Stop> {
+    fn attempt(&mut self, route: &Route, call: &Call) -> Result<Whole, AttemptError> {
         let call = Call { resume: self.sent, ..call.clone() };
         let reply = self.node.exchange.call(route.addr, &call)?;
-        note_reply(self.node, self.job, route, &reply);
+        record_response(self.node, self.job, route, &reply);
         if reply.status != 200 {
             return Ok(Whole::Answered(read_answer(reply)?));
         }
@@ -139,24 +139,25 @@
         }
     }
 
-    fn relay(&mut self, data: &str) -> Result<(), Stop> {
+    fn relay(&mut self, data: &str) -> Result<(), AttemptError> {
         let writer = if let Some(writer) = &mut self.writer {
             writer
         } else {
             let writer = self.start()?;
             self.writer.insert(writer)
         };
-        writer.event(data).map_err(|_gone| Stop::CallerGone)?;
+        writer.event(data).map_err(|_gone| AttemptError::CallerGone)?;
         self.sent += 1;
         Ok(())
     }
 
-    fn start(&mut self) -> Result<StreamWriter, Stop> {
-        let request = self.request.take().ok_or(Stop::CallerGone)?;
+    fn start(&mut self) -> Result<StreamWriter, AttemptError> {
+        let request = self.request.take().ok_or(AttemptError::CallerGone)?;
         let now = self.node.now();
         self.node.metrics.first_byte(now.saturating_sub(self.job.arrived));
         let headers = [format!("{REQUEST_HEADER}: {}", self.job.id)];
-        StreamWriter::start(request.into_writer(), &headers).map_err(|_gone| Stop::CallerGone)
+        StreamWriter::start(request.into_writer(), &headers)
+            .map_err(|_gone| AttemptError::CallerGone)
     }
 
     fn finish(mut self, whole: Whole) {
@@ -189,7 +190,7 @@
     /// marker, so that a broken stream is never taken for a whole one.
     fn refuse(mut self, refused: &Refused) {
         let (node, job) = (self.node, self.job);
-        note_refused(node, job, refused);
+        record_refusal(node, job, refused);
         match (self.request.take(), self.writer.take()) {
             (Some(request), _) => reply::send_refused(request, &job.id, refused),
             (None, Some(writer)) => {
@@ -208,7 +209,7 @@
 }
 
 /// Logs and counts a refusal.
-pub fn note_refused(node: &Node, job: &Job, refused: &Refused) {
+pub fn record_refusal(node: &Node, job: &Job, refused: &Refused) {
     node.metrics.refused(refused.code);
     node.metrics.answered(job.model(), refused.verdict);
     let reason = format!("{} {}: {}", refused.verdict, refused.code, refused.message);
@@ -216,7 +217,7 @@
 }
 
 /// Notes what the head of an answer says of its replica.
-pub fn note_reply(node: &Node, job: &Job, route: &Route, reply: &Reply) {
+pub fn record_response(node: &Node, job: &Job, route: &Route, reply: &Reply) {
     node.router().answered(node.now(), &route.server, job.model(), reply.active);
 }
 
@@ -225,7 +226,7 @@
 /// # Errors
 ///
 /// The body was cut short or silent, or the backend server failed while it ran the request.
-pub fn read_answer(mut reply: Reply) -> Result<Answer, Stop> {
+pub fn read_answer(mut reply: Reply) -> Result<Answer, AttemptError> {
     let mut body = Vec::new();
     std::io::Read::read_to_end(&mut reply.body, &mut body).map_err(|e| Failure::reading(&e))?;
     let (status, content_type) = (reply.status, reply.content_type);
--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -8,8 +8,8 @@
 
 use crate::appender::Appender;
 use crate::demand::Demand;
-use crate::event::Choice;
 use crate::event::Decision;
+use crate::event::DecisionKind;
 use crate::event::Effect;
 use crate::event::Event;
 use crate::event::Hint;
@@ -32,8 +32,8 @@
 use crate::keep_warm::Policy;
 use crate::lease::Authority;
 use crate::load_rates::Rates;
-use crate::pending_claims::ClaimDesk;
-use crate::pending_edits::EditDesk;
+use crate::pending_claims::PendingClaims;
+use crate::pending_edits::PendingEdits;
 use crate::record::Entry;
 use crate::record::Phase;
 use crate::record::Record;
@@ -57,11 +57,11 @@
     /// Its data centre.
     pub centre: CentreId,
     /// Least time between two entries.
-    pub gap: Duration,
+    pub append_gap: Duration,
     /// How keep-warm times are chosen.
-    pub policy: Policy,
+    pub keep_warm: Policy,
     /// Time between reports of one backend server.
-    pub poll: Duration,
+    pub poll_interval: Duration,
 }
 
 /// The control state machine.
@@ -74,32 +74,32 @@
     pub(crate) demand: Demand,
     pub(crate) fleet: Fleet,
     pub(crate) rates: Rates,
-    pub(crate) warm: KeepWarm,
+    pub(crate) keep_warm: KeepWarm,
     pub(crate) watches: Watches,
     pub(crate) effects: Vec<Effect>,
     /// When the log's current tick was read.
-    pub(crate) ticked: Duration,
+    pub(crate) last_tick: Duration,
     /// Offset of the last snapshot in the log.
-    pub(crate) snapshot: Offset,
+    pub(crate) snapshot_offset: Offset,
     /// Backend servers of this daemon's data centre, as the log names them.
-    pub(crate) local: Vec<ServerId>,
+    pub(crate) local_servers: Vec<ServerId>,
     /// When the log's backend servers were last compared with the host list; none when they must be.
-    pub(crate) stated: Option<Duration>,
+    pub(crate) servers_checked: Option<Duration>,
     /// When the last full round over everything was.
-    pub(crate) rounded: Duration,
+    pub(crate) last_pass: Duration,
     /// Whether the daemon is stopping and takes no lease.
     pub(crate) stopping: bool,
-    pub(crate) desk: ClaimDesk,
-    edits: EditDesk,
+    pub(crate) claims: PendingClaims,
+    edits: PendingEdits,
     hints: HintBook,
     /// Orders given since the start.
-    pub(crate) orders: u64,
+    pub(crate) orders_given: u64,
     heard: Option<Duration>,
     checkpoint: (Offset, u64),
     /// Why models wait for a load, as last logged.
-    pub(crate) held: BTreeMap<ModelName, &'static str>,
+    pub(crate) logged_holds: BTreeMap<ModelName, &'static str>,
     /// Fence of the lease as last logged.
-    pub(crate) led: Option<Fence>,
+    pub(crate) logged_fence: Option<Fence>,
 }
 
 impl Controller {
@@ -109,28 +109,28 @@
         let incarnation = settings.incarnation;
         Self {
             state: State::default(),
-            appender: Appender::new(id.clone(), incarnation, settings.gap),
+            appender: Appender::new(id.clone(), incarnation, settings.append_gap),
             authority: Authority::default(),
             demand: Demand::default(),
             fleet: Fleet::default(),
             rates: Rates::default(),
-            warm: KeepWarm::new(settings.policy),
+            keep_warm: KeepWarm::new(settings.keep_warm),
             watches: Watches::default(),
             effects: Vec::new(),
-            ticked: Duration::ZERO,
-            snapshot: 0,
-            local: Vec::new(),
-            stated: None,
-            rounded: Duration::ZERO,
+            last_tick: Duration::ZERO,
+            snapshot_offset: 0,
+            local_servers: Vec::new(),
+            servers_checked: None,
+            last_pass: Duration::ZERO,
             stopping: false,
-            desk: ClaimDesk::new(id, incarnation),
-            edits: EditDesk::default(),
+            claims: PendingClaims::new(id, incarnation),
+            edits: PendingEdits::default(),
             hints: HintBook::default(),
-            orders: 0,
+            orders_given: 0,
             heard: None,
             checkpoint: (0, 0),
-            held: BTreeMap::new(),
-            led: None,
+            logged_holds: BTreeMap::new(),
+            logged_fence: None,
             settings,
         }
     }
@@ -162,7 +162,7 @@
 
     /// Returns replicas of this daemon's data centre that serve though the log does not show it.
     pub fn own_hints(&self) -> Vec<Hint> {
-        if self.fence().is_none() {
+        if self.held_fence().is_none() {
             return Vec::new();
         }
         self.local_slots()
@@ -177,13 +177,13 @@
     /// Returns whether the log answers reads and appends.
     pub fn is_log_up(&self, now: Duration) -> bool {
         let read = self.heard.is_some_and(|at| now < at + LOG_SILENCE);
-        let bound = crate::pending_claims::CLAIM_BOUND;
-        let append = self.appender.waiting(now).is_none_or(|waited| waited < bound);
+        let bound = crate::pending_claims::CLAIM_TIMEOUT;
+        let append = self.appender.pending_for(now).is_none_or(|waited| waited < bound);
         read && append
     }
 
     /// Returns the fencing number of the lease that the log says this daemon holds.
-    pub fn fence(&self) -> Option<Fence> {
+    pub fn held_fence(&self) -> Option<Fence> {
         let lease = self.state.leases.get(&self.settings.centre)?;
         let own =
             lease.daemon == self.settings.id && lease.incarnation == self.settings.incarnation;
@@ -197,15 +197,17 @@
             Event::Entry(offset, entry) => self.take_entry(now, offset, &entry),
             Event::LogRead => self.log_read(now),
             Event::LogFailed => {}
-            Event::Appended { sequence, done } => self.appender.answered(now, sequence, done),
-            Event::Hosts(hosts) => self.take_hosts(now, hosts),
+            Event::Appended { sequence, done } => {
+                self.appender.on_append_result(now, sequence, done)
+            }
+            Event::Hosts(hosts) => self.replace_hosts(now, hosts),
             Event::Report(server, report) => self.take_report(now, &server, report),
             Event::Ordered(order, answer) => self.take_answer(now, &order, answer),
-            Event::Demand(daemon, waiting) => self.demand.report(now, &daemon, &waiting),
+            Event::Demand(daemon, waiting) => self.demand.update(now, &daemon, &waiting),
             Event::Hints(daemon, hints) => self.take_hints(now, daemon, hints),
             Event::Edit(edit) => self.take_edit(edit),
-            Event::Claim(key) => self.take_claim(now, key),
-            Event::Unclaim(key) => self.withdraw(key),
+            Event::Claim(key) => self.request_claim(now, key),
+            Event::Unclaim(key) => self.cancel_claim(key),
             Event::Settle(settlement) => {
                 self.appender.push(Record::Settle(settlement));
             }
@@ -226,12 +228,12 @@
         let writer = self.state.writers.get(&self.settings.id);
         let own = writer.filter(|w| w.incarnation == self.settings.incarnation);
         if let Some(sequence) = own.map(|w| w.sequence) {
-            self.appender.skip_to(sequence);
+            self.appender.drop_through(sequence);
         }
         self.authority.restart_waits(now);
         self.find_local();
         self.observe(now);
-        let (answers, records) = self.desk.resync(&self.state);
+        let (answers, records) = self.claims.resync(&self.state);
         for (key, answer) in answers {
             self.effects.push(Effect::Claimed(key, answer));
         }
@@ -244,9 +246,9 @@
         std::mem::take(&mut self.effects)
     }
 
-    pub(crate) fn decide(
+    pub(crate) fn log_decision(
         &mut self,
-        action: Choice,
+        action: DecisionKind,
         model: &str,
         place: &str,
         reason: impl Into<String>,
@@ -263,9 +265,9 @@
     fn is_local(&self, record: &Record) -> bool {
         match record {
             Record::Server(facts) => {
-                facts.centre == self.settings.centre || self.local.contains(&facts.id)
+                facts.centre == self.settings.centre || self.local_servers.contains(&facts.id)
             }
-            Record::Gone(server, _) => self.local.contains(server),
+            Record::Gone(server, _) => self.local_servers.contains(server),
             _ => false,
         }
     }
@@ -273,11 +275,11 @@
     /// Looks up the backend servers of this data centre anew; there are many of other ones.
     fn find_local(&mut self) {
         let local = self.state.servers.values().filter(|s| s.centre == self.settings.centre);
-        self.local = local.map(|s| s.id.clone()).collect();
+        self.local_servers = local.map(|s| s.id.clone()).collect();
     }
 
     pub(crate) fn local_slots(&self) -> Vec<SlotId> {
-        let slots = self.local.iter().flat_map(|s| self.state.slots.on_server(s));
+        let slots = self.local_servers.iter().flat_map(|s| self.state.slots.on_server(s));
         slots.map(|(id, _)| id).collect()
     }
 
@@ -316,9 +318,9 @@
             self.checkpoint = (self.state.offset, self.state.hash());
         }
         if self.state.tick != tick {
-            self.ticked = now;
+            self.last_tick = now;
         }
-        let back = self.appender.read_back(entry);
+        let back = self.appender.on_read(entry);
         let own =
             entry.writer == self.settings.id && entry.incarnation == self.settings.incarnation;
         let (mut changed, mut moved) = (false, false);
@@ -327,7 +329,7 @@
             moved |= self.is_local(record);
             self.note(record, outcome);
             if own {
-                self.note_own(record, outcome, back.map(|b| b.sent));
+                self.note_own(record, outcome, back.map(|b| b.sent_at));
             }
         }
         if moved {
@@ -342,17 +344,17 @@
     fn observe(&mut self, now: Duration) {
         let centre = self.settings.centre.clone();
         self.authority.observe(now, &centre, self.state.leases.get(&centre));
-        self.note_lead();
+        self.on_lease_change();
     }
 
     fn note(&mut self, record: &Record, outcome: Outcome) {
         match record {
             Record::Snapshot(part) if part.part + 1 == part.parts => {
-                self.snapshot = self.snapshot.max(part.at);
+                self.snapshot_offset = self.snapshot_offset.max(part.at);
             }
             Record::Edit(edit) if outcome.is_ok() => {
                 let reason = format!("id={} rows={}", edit.id, edit.changes.len());
-                self.decide(Choice::Accept, "", "", reason);
+                self.log_decision(DecisionKind::Accept, "", "", reason);
             }
             _ => {}
         }
@@ -365,12 +367,12 @@
                     self.authority.renewed(sent);
                 }
             }
-            Record::Claim(key) => self.note_claim(*key, outcome),
+            Record::Claim(key) => self.on_claim_decided(*key, outcome),
             Record::Edit(_) => self.answer_edits(),
             Record::Intent(intent) => {
                 if let Err(rejection) = outcome {
                     let (model, server) = (intent.model.clone(), intent.server.clone());
-                    self.decide(Choice::Reject, &model, &server, rejection.to_string());
+                    self.log_decision(DecisionKind::Reject, &model, &server, rejection.to_string());
                 }
             }
             _ => {}
@@ -379,8 +381,8 @@
 
     fn take_edit(&mut self, edit: Edit) {
         let record = Record::Edit(edit.clone());
-        if self.edits.take(edit, &self.state) {
-            self.appender.push_once(record);
+        if self.edits.add(edit, &self.state) {
+            self.appender.push_unique(record);
         }
         self.answer_edits();
     }
@@ -432,7 +434,7 @@
             if begun || line.active > 0 {
                 watch.used = now;
                 if let Some(gap) = self.watches.used(now, &model) {
-                    self.warm.returned(&model, gap);
+                    self.keep_warm.returned(&model, gap);
                 }
             }
         }
@@ -444,8 +446,8 @@
         }
         self.watches.answered(now, order, answer);
         if answer == OrderAnswer::Stale {
-            self.decide(
-                Choice::Reject,
+            self.log_decision(
+                DecisionKind::Reject,
                 &order.model,
                 &order.server,
                 "the engine knows a newer fence",
--- a/lib/src/control_claims.rs
+++ b/lib/src/control_claims.rs
@@ -8,31 +8,31 @@
 use crate::fold::Outcome;
 use crate::fold::Rejection;
 use crate::ids::ClaimKey;
+use crate::pending_claims::ClaimDecision;
 use crate::pending_claims::ClaimStep;
-use crate::pending_claims::Decided;
 use crate::record::Record;
 
 impl Controller {
-    pub(crate) fn note_claim(&mut self, key: ClaimKey, outcome: Outcome) {
+    pub(crate) fn on_claim_decided(&mut self, key: ClaimKey, outcome: Outcome) {
         if outcome == Err(Rejection::Duplicate) {
             return;
         }
-        match self.desk.decided(key, outcome, &self.state) {
-            Decided::Answer(answer) => self.effects.push(Effect::Claimed(key, answer)),
-            Decided::Nothing => {}
-            Decided::Release(settlement) => {
+        match self.claims.on_decided(key, outcome, &self.state) {
+            ClaimDecision::Answer(answer) => self.effects.push(Effect::Claimed(key, answer)),
+            ClaimDecision::Nothing => {}
+            ClaimDecision::Release(settlement) => {
                 self.appender.push(Record::Settle(settlement));
             }
         }
     }
 
-    pub(crate) fn take_claim(&mut self, now: Duration, key: ClaimKey) {
+    pub(crate) fn request_claim(&mut self, now: Duration, key: ClaimKey) {
         let log_up = self.is_log_up(now);
-        match self.desk.want(now, key, &self.state, log_up) {
+        match self.claims.request(now, key, &self.state, log_up) {
             ClaimStep::Answer(answer) => self.effects.push(Effect::Claimed(key, answer)),
             ClaimStep::Append(key) => {
                 if !self.appender.push(Record::Claim(key)) {
-                    self.withdraw(key);
+                    self.cancel_claim(key);
                     self.effects.push(Effect::Claimed(key, ClaimAnswer::LogDown));
                 }
             }
@@ -40,14 +40,14 @@
         }
     }
 
-    pub(crate) fn withdraw(&mut self, key: ClaimKey) {
-        if let Some(settlement) = self.desk.unwant(key, &self.state) {
+    pub(crate) fn cancel_claim(&mut self, key: ClaimKey) {
+        if let Some(settlement) = self.claims.cancel(key, &self.state) {
             self.appender.push(Record::Settle(settlement));
         }
     }
 
-    pub(crate) fn refuse_overdue(&mut self, now: Duration) {
-        for key in self.desk.overdue(now) {
+    pub(crate) fn refuse_overdue_claims(&mut self, now: Duration) {
+        for key in self.claims.cancel_overdue(now) {
             self.effects.push(Effect::Claimed(key, ClaimAnswer::LogDown));
         }
     }
--- a/lib/src/control_slots.rs
+++ b/lib/src/control_slots.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::control::Controller;
-use crate::event::Choice;
+use crate::event::DecisionKind;
 use crate::event::Effect;
 use crate::host::Action;
 use crate::host::Order;
@@ -72,7 +72,7 @@
     fn upkeep(&self, now: Duration) -> Upkeep<'_> {
         Upkeep {
             scene: self.scene(now),
-            warm: &self.warm,
+            warm: &self.keep_warm,
             me: (&self.settings.id, self.settings.incarnation),
             valid: self.authority.is_valid(now),
         }
@@ -90,17 +90,17 @@
             Step::Ready => self.note_ready(now, id, slot),
             Step::Drain(reason) => {
                 if self.change_phase(id, Phase::Draining) {
-                    self.decide(Choice::Drain, model, server, reason);
+                    self.log_decision(DecisionKind::Drain, model, server, reason);
                 }
             }
             Step::Retain => {
                 if self.change_phase(id, Phase::Loaded) {
-                    self.decide(Choice::Retain, model, server, "it is wanted again");
+                    self.log_decision(DecisionKind::Retain, model, server, "it is wanted again");
                 }
             }
             Step::Unload(reason) => {
                 if self.order(now, id, Action::Unload) {
-                    self.decide(Choice::Unload, model, server, reason);
+                    self.log_decision(DecisionKind::Unload, model, server, reason);
                 }
             }
             Step::Sleep(_) => {
@@ -122,29 +122,29 @@
                 self.rates.learn(row.load_mib, source, took);
             }
             let reason = format!("loaded in {:.2}s", took.as_secs_f64());
-            self.decide(Choice::Ready, &slot.model, &slot.server, reason);
+            self.log_decision(DecisionKind::Ready, &slot.model, &slot.server, reason);
             self.effects.push(Effect::Publish);
         }
         self.change_phase(id, Phase::Loaded);
     }
 
     fn free(&mut self, now: Duration, id: SlotId, slot: &Slot, reason: String) {
-        let Some(fence) = self.fence() else {
+        let Some(fence) = self.held_fence() else {
             return;
         };
         let orderer_gone = self.upkeep(now).is_gone(slot);
         let record = Record::Freed(Freed { slot: id, fence, orderer_gone });
-        if self.appender.push_once(record) {
-            self.decide(Choice::Free, &slot.model, &slot.server, reason);
+        if self.appender.push_unique(record) {
+            self.log_decision(DecisionKind::Free, &slot.model, &slot.server, reason);
         }
     }
 
     /// Queues a change of phase; returns false where it is queued already.
     fn change_phase(&mut self, slot: SlotId, phase: Phase) -> bool {
-        let Some(fence) = self.fence() else {
+        let Some(fence) = self.held_fence() else {
             return false;
         };
-        self.appender.push_once(Record::Phase(PhaseChange { slot, fence, phase }))
+        self.appender.push_unique(Record::Phase(PhaseChange { slot, fence, phase }))
     }
 
     pub(crate) fn place_models(&mut self, now: Duration) {
@@ -159,14 +159,14 @@
                 Plan::Wake { slot, source, reason } => self.wake(now, slot, source, reason),
                 Plan::Evict { slot, reason } => self.evict(now, slot, reason),
                 Plan::Hold { model, reason } => {
-                    if self.held.insert(model.clone(), reason) != Some(reason) {
-                        self.decide(Choice::Hold, &model, "", reason);
+                    if self.logged_holds.insert(model.clone(), reason) != Some(reason) {
+                        self.log_decision(DecisionKind::Hold, &model, "", reason);
                     }
                 }
             }
         }
         let demand = &self.demand;
-        self.held.retain(|model, _| demand.total(model).is_some());
+        self.logged_holds.retain(|model, _| demand.total(model).is_some());
     }
 
     fn place(
@@ -177,15 +177,17 @@
         source: Source,
         reason: String,
     ) {
-        let (Some(fence), Some(facts)) = (self.fence(), self.state.servers.get(&server)) else {
+        let (Some(fence), Some(facts)) = (self.held_fence(), self.state.servers.get(&server))
+        else {
             return;
         };
-        let queued = self.appender.any(|r| matches!(r, Record::Intent(i) if i.model == model));
+        let queued =
+            self.appender.any_pending(|r| matches!(r, Record::Intent(i) if i.model == model));
         if queued || !self.is_log_up(now) {
             return;
         }
         let incarnation = facts.incarnation;
-        self.decide(Choice::Place, &model, &server, reason);
+        self.log_decision(DecisionKind::Place, &model, &server, reason);
         let intent = Intent { model, server, incarnation, fence, source };
         self.appender.push(Record::Intent(intent));
     }
@@ -201,7 +203,7 @@
         };
         if self.is_log_up(now) {
             if self.change_phase(id, Phase::Loading(source)) {
-                self.decide(Choice::Wake, &slot.model, &slot.server, reason);
+                self.log_decision(DecisionKind::Wake, &slot.model, &slot.server, reason);
             }
             return;
         }
@@ -209,7 +211,12 @@
         let ordered = self.watches.get(id).and_then(|w| w.order);
         let again = ordered.is_none_or(|o| o.action != Action::Load);
         if fencing && again && self.order(now, id, Action::Load) {
-            self.decide(Choice::Wake, &slot.model, &slot.server, "reserved; the log is down");
+            self.log_decision(
+                DecisionKind::Wake,
+                &slot.model,
+                &slot.server,
+                "reserved; the log is down",
+            );
         }
     }
 
@@ -220,7 +227,7 @@
         let watch = self.watches.entry(now, id);
         if !watch.giving {
             watch.giving = true;
-            self.decide(Choice::Drain, &slot.model, &slot.server, reason);
+            self.log_decision(DecisionKind::Drain, &slot.model, &slot.server, reason);
         }
     }
 
@@ -229,7 +236,7 @@
     /// From its append on the slot may be free in the log, though this daemon has not read that,
     /// and will not for long if it is cut off. A load ordered then would have no slot.
     pub(crate) fn is_freeing(&self, id: SlotId) -> bool {
-        self.appender.any(|r| matches!(r, Record::Freed(f) if f.slot == id))
+        self.appender.any_pending(|r| matches!(r, Record::Freed(f) if f.slot == id))
     }
 
     /// Gives an order, unless one to the same backend server is unanswered.
@@ -237,7 +244,7 @@
     /// Two orders under way at once could arrive in either order, and the engine would refuse the
     /// one with the lesser number.
     pub(crate) fn order(&mut self, now: Duration, id: SlotId, action: Action) -> bool {
-        let (Some(lease), Some(slot)) = (self.fence(), self.state.slots.get(id)) else {
+        let (Some(lease), Some(slot)) = (self.held_fence(), self.state.slots.get(id)) else {
             return false;
         };
         if self.watches.is_busy(now, &slot.server) || self.is_freeing(id) {
@@ -246,8 +253,8 @@
         let Some(server) = self.state.servers.get(&slot.server) else {
             return false;
         };
-        self.orders += 1;
-        let fence = order_fence(lease, self.orders);
+        self.orders_given += 1;
+        let fence = order_fence(lease, self.orders_given);
         let row = self.state.table.row(&slot.model);
         let order = Order {
             action,
--- a/lib/src/control_tick.rs
+++ b/lib/src/control_tick.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::control::Controller;
-use crate::event::Choice;
+use crate::event::DecisionKind;
 use crate::event::Effect;
 use crate::fleet::Member;
 use crate::host::Action;
@@ -43,16 +43,16 @@
 impl Controller {
     pub(crate) fn tick(&mut self, now: Duration) {
         self.demand.expire(now);
-        self.refuse_overdue(now);
+        self.refuse_overdue_claims(now);
         self.keep_lease(now);
-        if self.fence().is_none() {
+        if self.held_fence().is_none() {
             return;
         }
-        let full = now >= self.rounded + ROUND;
+        let full = now >= self.last_pass + ROUND;
         if full {
-            self.rounded = now;
-            if self.stated.is_none_or(|at| now >= at + RESTATE) {
-                self.stated = Some(now);
+            self.last_pass = now;
+            if self.servers_checked.is_none_or(|at| now >= at + RESTATE) {
+                self.servers_checked = Some(now);
                 self.state_hosts();
             }
             self.keep_log(now);
@@ -66,15 +66,15 @@
 
     pub(crate) fn stop(&mut self) {
         self.stopping = true;
-        self.appender.discard(|r| matches!(r, Record::Bid(_) | Record::Renew));
-        if let Some(fence) = self.fence() {
+        self.appender.discard_queued(|r| matches!(r, Record::Bid(_) | Record::Renew));
+        if let Some(fence) = self.held_fence() {
             self.appender.push(Record::Release(self.settings.centre.clone(), fence));
         }
     }
 
-    pub(crate) fn take_hosts(&mut self, now: Duration, hosts: Vec<Host>) {
+    pub(crate) fn replace_hosts(&mut self, now: Duration, hosts: Vec<Host>) {
         self.fleet.replace(hosts);
-        self.stated = None;
+        self.servers_checked = None;
         self.watches.retain(|id| self.state.slots.contains(id));
         self.observe_centres(now);
         self.effects.push(Effect::Publish);
@@ -95,9 +95,9 @@
         if self.stopping {
             return;
         }
-        if self.fence().is_some() {
+        if self.held_fence().is_some() {
             let due = self.authority.renewal_due(now, RENEW_EVERY);
-            if due && !self.appender.any(|r| *r == Record::Renew) {
+            if due && !self.appender.any_pending(|r| *r == Record::Renew) {
                 self.appender.push(Record::Renew);
             }
             return;
@@ -108,10 +108,10 @@
             return;
         };
         // A queued bid that names an old renewal can no longer win.
-        self.appender.discard(|r| matches!(r, Record::Bid(b) if b.seen != seen));
-        if !self.appender.any(|r| matches!(r, Record::Bid(_))) {
+        self.appender.discard_queued(|r| matches!(r, Record::Bid(b) if b.seen != seen));
+        if !self.appender.any_pending(|r| matches!(r, Record::Bid(_))) {
             self.appender.push(Record::Bid(Bid { centre: centre.clone(), seen }));
-            self.decide(Choice::Bid, "", &centre, format!("no renewal since {seen}"));
+            self.log_decision(DecisionKind::Bid, "", &centre, format!("no renewal since {seen}"));
         }
     }
 
@@ -119,18 +119,25 @@
     ///
     /// What was known of slots under an older fence is forgotten: another holder may have given
     /// orders meanwhile, so an old answer proves nothing.
-    pub(crate) fn note_lead(&mut self) {
-        let fence = self.fence();
-        if fence == self.led {
+    pub(crate) fn on_lease_change(&mut self) {
+        let fence = self.held_fence();
+        if fence == self.logged_fence {
             return;
         }
         let centre = self.settings.centre.clone();
         match fence {
-            Some(fence) => self.decide(Choice::Lead, "", &centre, format!("fence={fence}")),
-            None => self.decide(Choice::Yield, "", &centre, "the lease went to another daemon"),
-        }
-        self.led = fence;
-        self.stated = None;
+            Some(fence) => {
+                self.log_decision(DecisionKind::Lead, "", &centre, format!("fence={fence}"))
+            }
+            None => self.log_decision(
+                DecisionKind::Yield,
+                "",
+                &centre,
+                "the lease went to another daemon",
+            ),
+        }
+        self.logged_fence = fence;
+        self.servers_checked = None;
         self.watches = Watches::default();
     }
 
@@ -155,7 +162,7 @@
             }
         }
         for record in records {
-            self.appender.push_once(record);
+            self.appender.push_unique(record);
         }
     }
 
@@ -171,7 +178,7 @@
     }
 
     fn poll_servers(&mut self, now: Duration) {
-        let members = self.local.iter().filter_map(|id| self.fleet.member(id));
+        let members = self.local_servers.iter().filter_map(|id| self.fleet.member(id));
         let due: Vec<_> = members
             .filter(|m| m.polled.is_none_or(|at| now >= at + self.poll_period(m)))
             .map(|m| m.host.id.clone())
@@ -189,7 +196,7 @@
         }
         let empty = slots().all(|(_, s)| s.phase == Phase::Reserved);
         let factor = if empty && member.report.is_some() { EMPTY_POLL_FACTOR } else { 1 };
-        self.settings.poll * factor
+        self.settings.poll_interval * factor
     }
 
     fn is_loading(&self, id: SlotId, slot: &Slot) -> bool {
@@ -204,11 +211,13 @@
     /// Advances the log's clock and writes snapshots before older entries expire.
     fn keep_log(&mut self, now: Duration) {
         let period = Duration::from_secs(TICK_PERIOD_S);
-        if now >= self.ticked + period && !self.appender.any(|r| matches!(r, Record::Tick(_))) {
+        if now >= self.last_tick + period
+            && !self.appender.any_pending(|r| matches!(r, Record::Tick(_)))
+        {
             self.appender.push(Record::Tick(self.state.tick + 1));
         }
-        let due = self.snapshot + SNAPSHOT_EVERY + self.spread() % SNAPSHOT_SPREAD;
-        let writing = || self.appender.any(|r| matches!(r, Record::Snapshot(_)));
+        let due = self.snapshot_offset + SNAPSHOT_EVERY + self.spread() % SNAPSHOT_SPREAD;
+        let writing = || self.appender.any_pending(|r| matches!(r, Record::Snapshot(_)));
         if self.state.offset >= due && !writing() {
             for part in snapshot::split(&self.state) {
                 self.appender.push(Record::Snapshot(part));
@@ -218,7 +227,7 @@
 
     /// Returns the loaded models of this daemon's data centre that have no request, if it leads.
     pub fn idle_models(&self) -> Vec<ModelName> {
-        if self.fence().is_none() {
+        if self.held_fence().is_none() {
             return Vec::new();
         }
         self.local_slots()
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -99,7 +99,7 @@
     /// Where callers connect.
     pub addr: SocketAddr,
     /// Where other daemons connect.
-    pub peer: SocketAddr,
+    pub peer_addr: SocketAddr,
 }
 
 impl fmt::Debug for Sockets {
@@ -122,7 +122,7 @@
             .map_err(|e| refused(io::Error::other(e.to_string())))?;
         let peers = Peers::open(peer).map_err(|source| StartError::Peer { addr: peer, source })?;
         let peer = peers.addr().map_err(StartError::System)?;
-        Ok(Self { server, peers, addr, peer })
+        Ok(Self { server, peers, addr, peer_addr: peer })
     }
 }
 
@@ -144,9 +144,9 @@
             id: settings.id.clone(),
             incarnation,
             centre: settings.centre.clone(),
-            gap: settings.gap,
-            policy: settings.policy,
-            poll: settings.poll,
+            append_gap: settings.gap,
+            keep_warm: settings.policy,
+            poll_interval: settings.poll,
         };
         let trace = settings
             .trace
@@ -200,12 +200,12 @@
         node.tell(Input::Event(Event::Stop));
         thread::sleep(LAST_APPEND.min(node.settings.drain));
         slog::info!(node.log, "stop"; "cut" => left, "daemon" => node.settings.id.as_str());
-        self.end();
+        self.abort();
         left == 0
     }
 
     /// Ends the daemon's threads without waiting for anything, as a crash would.
-    pub fn end(self) {
+    pub fn abort(self) {
         self.node.tell(Input::End);
         self.server.unblock();
         // A thread that panicked has said so on standard error already.
--- a/lib/src/demand.rs
+++ b/lib/src/demand.rs
@@ -14,7 +14,7 @@
 
 /// What one daemon says of one model's waiting requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Waiting {
+pub struct WaitingRequests {
     /// The model.
     pub model: ModelName,
     /// Requests that wait for it.
@@ -32,7 +32,7 @@
 
 /// Waiting requests of one model, over all daemons.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Total {
+pub struct DemandTotal {
     /// Requests that wait.
     pub count: u32,
     /// Sum of their weights.
@@ -55,7 +55,7 @@
 
 impl Demand {
     /// Replaces what `daemon` said before.
-    pub fn report(&mut self, now: Duration, daemon: &DaemonId, waiting: &[Waiting]) {
+    pub fn update(&mut self, now: Duration, daemon: &DaemonId, waiting: &[WaitingRequests]) {
         for (model, demand) in &mut self.models {
             if !waiting.iter().any(|w| w.count > 0 && w.model == *model) {
                 demand.lines.remove(daemon);
@@ -86,19 +86,19 @@
     }
 
     /// Iterates over the models that requests wait for.
-    pub fn iter(&self) -> impl Iterator<Item = (&ModelName, Total)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&ModelName, DemandTotal)> {
         self.models.iter().map(|(model, d)| (model, d.total()))
     }
 
     /// Returns the requests that wait for `model`.
-    pub fn total(&self, model: &str) -> Option<Total> {
+    pub fn total(&self, model: &str) -> Option<DemandTotal> {
         self.models.get(model).map(ModelDemand::total)
     }
 }
 
 impl ModelDemand {
-    fn total(&self) -> Total {
-        Total {
+    fn total(&self) -> DemandTotal {
+        DemandTotal {
             count: self.lines.values().map(|l| l.count).sum(),
             weight: self.lines.values().map(|l| l.weight).sum(),
             since: self.since,
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -25,14 +25,14 @@
 
 /// Why an attempt gave no answer.
 #[derive(Debug)]
-pub enum Stop {
+pub enum AttemptError {
     /// It failed.
     Failed(Failure),
     /// The caller is gone; nobody wants the answer.
     CallerGone,
 }
 
-impl From<Failure> for Stop {
+impl From<Failure> for AttemptError {
     fn from(failure: Failure) -> Self {
         Self::Failed(failure)
     }
@@ -40,7 +40,7 @@
 
 /// How a request ended without an answer.
 #[derive(Debug)]
-pub enum Ended {
+pub enum DispatchError {
     /// The caller must be told.
     Refused(Refused),
     /// The caller is gone.
@@ -65,13 +65,13 @@
 pub fn dispatch<T>(
     node: &Node,
     job: &Job,
-    mut attempt: impl FnMut(&Route, &Call) -> Result<T, Stop>,
-) -> Result<T, Ended> {
+    mut attempt: impl FnMut(&Route, &Call) -> Result<T, AttemptError>,
+) -> Result<T, DispatchError> {
     let mut history =
         History { attempts: 0, failures: 0, verdict: Verdict::DidNotRun, tried: Vec::new() };
     node.budget().attempted();
     loop {
-        let route = find_route(node, job, &mut history).map_err(Ended::Refused)?;
+        let route = find_route(node, job, &mut history).map_err(DispatchError::Refused)?;
         let call = call_of(job, history.attempts);
         history.attempts += 1;
         node.note_request(&job.id, job.model(), "route", &route.server, route.reason);
@@ -80,14 +80,14 @@
         node.pump();
         let failure = match result {
             Ok(value) => return Ok(value),
-            Err(Stop::CallerGone) => return Err(Ended::CallerGone),
-            Err(Stop::Failed(failure)) => failure,
+            Err(AttemptError::CallerGone) => return Err(DispatchError::CallerGone),
+            Err(AttemptError::Failed(failure)) => failure,
         };
         note_failure(node, job, &route, &failure);
         history.verdict = history.verdict.and(failure.verdict);
         history.failures += u32::from(failure.verdict != Verdict::DidNotRun);
         history.tried.push(route.server);
-        may_retry(node, job, &history, &failure).map_err(Ended::Refused)?;
+        may_retry(node, job, &history, &failure).map_err(DispatchError::Refused)?;
         node.metrics.retried();
     }
 }
--- a/lib/src/engine_control.rs
+++ b/lib/src/engine_control.rs
@@ -19,7 +19,7 @@
 pub struct ReportError(pub String);
 
 /// A model engine's control side.
-pub trait Engine: fmt::Debug + Send + Sync {
+pub trait EngineControl: fmt::Debug + Send + Sync {
     /// Asks for the load report.
     ///
     /// # Errors
@@ -28,14 +28,14 @@
     fn report(&self, addr: SocketAddr) -> Result<Report, ReportError>;
 
     /// Gives an order. A load goes on after the answer and shows in the reports.
-    fn order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer;
+    fn send_order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer;
 }
 
 /// Model engines over HTTP.
 #[derive(Debug, Default)]
-pub struct HttpEngine;
+pub struct HttpEngineControl;
 
-impl Engine for HttpEngine {
+impl EngineControl for HttpEngineControl {
     fn report(&self, addr: SocketAddr) -> Result<Report, ReportError> {
         let response = minreq::get(format!("http://{addr}/report"))
             .with_timeout(TIMEOUT_S)
@@ -45,7 +45,7 @@
         serde_json::from_slice(response.as_bytes()).map_err(|e| ReportError(e.to_string()))
     }
 
-    fn order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer {
+    fn send_order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer {
         let Ok(body) = serde_json::to_vec(order) else {
             return OrderAnswer::Unsent;
         };
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::demand::Waiting;
+use crate::demand::WaitingRequests;
 use crate::host::Host;
 use crate::host::Order;
 use crate::host::OrderAnswer;
@@ -48,7 +48,7 @@
     /// An engine's answer to an order.
     Ordered(Order, OrderAnswer),
     /// A daemon's waiting requests.
-    Demand(DaemonId, Vec<Waiting>),
+    Demand(DaemonId, Vec<WaitingRequests>),
     /// What the holder of a data centre's lease says of replicas that the log does not show yet.
     Hints(DaemonId, Vec<Hint>),
     /// An operator's edit.
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Decision {
     /// What was decided.
-    pub action: Choice,
+    pub action: DecisionKind,
     /// The model, where it concerns one.
     pub model: ModelName,
     /// The backend server or data centre, where it concerns one.
@@ -129,7 +129,7 @@
 /// Kind of a control decision.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Choice {
+pub enum DecisionKind {
     /// Reserve a new slot and load.
     Place,
     /// Load into a slot that is reserved.
@@ -158,7 +158,7 @@
     Hold,
 }
 
-impl Choice {
+impl DecisionKind {
     /// Returns the word of the log line.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -181,7 +181,7 @@
 
 /// An event and when it happened, on the daemon's monotonic clock.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Timed {
+pub struct TimedEvent {
     /// Time since the daemon's start.
     pub at: Duration,
     /// The event.
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -22,7 +22,7 @@
 use crate::caller_request;
 use crate::caller_request::Wishes;
 use crate::chat;
-use crate::chat::Chat;
+use crate::chat::ChatRequest;
 use crate::node::Node;
 use crate::reply;
 use crate::reply::Refused;
@@ -144,7 +144,7 @@
 fn serve_chat(node: &Node, id: &SmolStr, mut request: Request) {
     let read = Wishes::read(node, &request, node.now()).and_then(|wishes| {
         let body = caller_request::read_body(node, &mut request)?;
-        Chat::read(node, id.clone(), &request, wishes, body)
+        ChatRequest::parse(node, id.clone(), &request, wishes, body)
     });
     match read {
         Ok(chat) => chat.serve(node, request),
--- a/lib/src/load_planner.rs
+++ b/lib/src/load_planner.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::demand::Demand;
-use crate::demand::Total;
+use crate::demand::DemandTotal;
 use crate::fleet::Fleet;
 use crate::fleet::Member;
 use crate::host::Role;
@@ -176,7 +176,7 @@
     }
 
     /// Returns the rows to load, with demand and urgency: waiting weight over load time.
-    fn wanted(&self) -> Vec<(&Row, Total, f64)> {
+    fn wanted(&self) -> Vec<(&Row, DemandTotal, f64)> {
         let mut seen = BTreeSet::new();
         let mut wanted = Vec::new();
         for (model, total) in self.demand.iter() {
@@ -194,7 +194,7 @@
         wanted
     }
 
-    fn urgency(&self, row: &Row, total: Total) -> f64 {
+    fn urgency(&self, row: &Row, total: DemandTotal) -> f64 {
         let source = self.best_source(row);
         let time = self.rates.expected(row.load_mib, source);
         f64::from(total.weight) * f64::from(row.weight) / time.as_secs_f64()
@@ -215,7 +215,7 @@
         self.state.slots.moving().filter(|(_, s)| s.phase == remote).count()
     }
 
-    fn plan_model(&self, row: &Row, total: Total, remote: usize) -> Option<Plan> {
+    fn plan_model(&self, row: &Row, total: DemandTotal, remote: usize) -> Option<Plan> {
         let slots: Vec<(SlotId, &Slot)> = self.state.slots_of(&row.name).collect();
         let warm = slots.iter().filter(|(id, s)| self.is_warm(*id, s)).count();
         let needed = (total.count as usize).div_ceil(row.limit as usize).max(1);
@@ -264,7 +264,7 @@
         self.watches.get(slot).is_some_and(|w| w.giving)
     }
 
-    fn plan_place(&self, row: &Row, total: Total, slots: &[(SlotId, &Slot)]) -> Option<Plan> {
+    fn plan_place(&self, row: &Row, total: DemandTotal, slots: &[(SlotId, &Slot)]) -> Option<Plan> {
         if slots.len() >= row.replicas as usize {
             return None;
         }
--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -19,9 +19,9 @@
 use crate::claim_outcomes::Outcomes;
 use crate::decision_log::Journal;
 use crate::decision_log::Line;
-use crate::event::Choice;
 use crate::event::ClaimAnswer;
 use crate::event::Decision;
+use crate::event::DecisionKind;
 use crate::event::EditAnswer;
 use crate::event::Event;
 use crate::ids::ClaimKey;
@@ -255,6 +255,9 @@
     }
 }
 
-fn is_placement(action: Choice) -> bool {
-    !matches!(action, Choice::Bid | Choice::Lead | Choice::Yield | Choice::Accept)
+fn is_placement(action: DecisionKind) -> bool {
+    !matches!(
+        action,
+        DecisionKind::Bid | DecisionKind::Lead | DecisionKind::Yield | DecisionKind::Accept
+    )
 }
--- a/lib/src/peer_message.rs
+++ b/lib/src/peer_message.rs
@@ -10,7 +10,7 @@
 use smol_str::SmolStr;
 
 use crate::claim_outcomes::End;
-use crate::demand::Waiting;
+use crate::demand::WaitingRequests;
 use crate::event::Hint;
 use crate::ids::ClaimKey;
 use crate::ids::Offset;
@@ -35,7 +35,7 @@
     /// Hash of its state at an earlier offset, by which a divergence is noticed.
     pub hash: (Offset, u64),
     /// Requests that wait at it.
-    pub demand: Vec<Waiting>,
+    pub demand: Vec<WaitingRequests>,
     /// Replicas that the log does not show yet.
     pub hints: Vec<Hint>,
 }
--- a/lib/src/pending_claims.rs
+++ b/lib/src/pending_claims.rs
@@ -18,7 +18,7 @@
 use crate::verdict::Verdict;
 
 /// A claim that the log has not decided after this time is refused.
-pub const CLAIM_BOUND: Duration = Duration::from_millis(1500);
+pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Debug)]
 struct Wanted {
@@ -29,7 +29,7 @@
 
 /// Claims that this daemon has asked the log for.
 #[derive(Debug)]
-pub struct ClaimDesk {
+pub struct PendingClaims {
     daemon: DaemonId,
     incarnation: Incarnation,
     wanted: BTreeMap<ClaimKey, Wanted>,
@@ -48,7 +48,7 @@
 
 /// What follows from the log's decision about a claim.
 #[derive(Debug, PartialEq)]
-pub enum Decided {
+pub enum ClaimDecision {
     /// Tell the request.
     Answer(ClaimAnswer),
     /// Nobody waits for the claim; release it.
@@ -57,14 +57,20 @@
     Nothing,
 }
 
-impl ClaimDesk {
-    /// Creates a desk for one start of a daemon.
+impl PendingClaims {
+    /// Creates the pending claims of one start of a daemon.
     pub fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
         Self { daemon, incarnation, wanted: BTreeMap::new() }
     }
 
     /// Takes a request's wish to run under `key`.
-    pub fn want(&mut self, now: Duration, key: ClaimKey, state: &State, log_up: bool) -> ClaimStep {
+    pub fn request(
+        &mut self,
+        now: Duration,
+        key: ClaimKey,
+        state: &State,
+        log_up: bool,
+    ) -> ClaimStep {
         if let Some(claim) = state.claim(key) {
             return ClaimStep::Answer(standing(claim));
         }
@@ -87,23 +93,27 @@
     /// Takes what the log decided about a claim of this daemon.
     ///
     /// A claim that was granted after its request had given up is released.
-    pub fn decided(&mut self, key: ClaimKey, outcome: Outcome, state: &State) -> Decided {
+    pub fn on_decided(&mut self, key: ClaimKey, outcome: Outcome, state: &State) -> ClaimDecision {
         let Some(wanted) = self.wanted.remove(&key) else {
-            return Decided::Nothing;
+            return ClaimDecision::Nothing;
         };
         if outcome.is_err() {
             let answer = state.claim(key).map_or(ClaimAnswer::LogDown, standing);
-            return if wanted.cancelled { Decided::Nothing } else { Decided::Answer(answer) };
+            return if wanted.cancelled {
+                ClaimDecision::Nothing
+            } else {
+                ClaimDecision::Answer(answer)
+            };
         }
         if wanted.cancelled {
-            Decided::Release(release(key))
+            ClaimDecision::Release(release(key))
         } else {
-            Decided::Answer(ClaimAnswer::Granted)
+            ClaimDecision::Answer(ClaimAnswer::Granted)
         }
     }
 
     /// Withdraws a request that sent nothing; returns the settlement where it was granted already.
-    pub fn unwant(&mut self, key: ClaimKey, state: &State) -> Option<Settlement> {
+    pub fn cancel(&mut self, key: ClaimKey, state: &State) -> Option<Settlement> {
         if let Some(wanted) = self.wanted.get_mut(&key) {
             wanted.cancelled = true;
             return None;
@@ -118,10 +128,10 @@
     ///
     /// Their requests are refused as not run, which is true: a claim that takes effect later is
     /// released and never leads to a dispatch.
-    pub fn overdue(&mut self, now: Duration) -> Vec<ClaimKey> {
+    pub fn cancel_overdue(&mut self, now: Duration) -> Vec<ClaimKey> {
         let mut keys = Vec::new();
         for (key, wanted) in &mut self.wanted {
-            if !wanted.cancelled && now >= wanted.since + CLAIM_BOUND {
+            if !wanted.cancelled && now >= wanted.since + CLAIM_TIMEOUT {
                 wanted.cancelled = true;
                 keys.push(*key);
             }
@@ -143,10 +153,10 @@
             };
             let own = claim.daemon == self.daemon && claim.incarnation == self.incarnation;
             let outcome = if own { Ok(0) } else { Err(crate::fold::Rejection::Claimed) };
-            match self.decided(key, outcome, state) {
-                Decided::Answer(answer) => answers.push((key, answer)),
-                Decided::Nothing => {}
-                Decided::Release(settlement) => records.push(Record::Settle(settlement)),
+            match self.on_decided(key, outcome, state) {
+                ClaimDecision::Answer(answer) => answers.push((key, answer)),
+                ClaimDecision::Nothing => {}
+                ClaimDecision::Release(settlement) => records.push(Record::Settle(settlement)),
             }
         }
         (answers, records)
--- a/lib/src/pending_edits.rs
+++ b/lib/src/pending_edits.rs
@@ -8,15 +8,15 @@
 
 /// Edits that this daemon has asked the log for.
 #[derive(Debug, Default)]
-pub struct EditDesk {
+pub struct PendingEdits {
     waiting: VecDeque<Edit>,
 }
 
-impl EditDesk {
+impl PendingEdits {
     /// Takes an edit; returns whether it must be appended.
     ///
     /// An edit that the log has decided already is a repeat whose first answer was lost.
-    pub fn take(&mut self, edit: Edit, state: &State) -> bool {
+    pub fn add(&mut self, edit: Edit, state: &State) -> bool {
         let is_new = state.edit(&edit.id).is_none();
         self.waiting.push_back(edit);
         is_new
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -7,7 +7,7 @@
 use slotmap::SlotMap;
 use slotmap::new_key_type;
 
-use crate::demand::Waiting;
+use crate::demand::WaitingRequests;
 use crate::ids::ModelName;
 
 new_key_type! {
@@ -154,11 +154,11 @@
     }
 
     /// Returns what to tell the lease holders.
-    pub fn demand(&self) -> Vec<Waiting> {
+    pub fn demand(&self) -> Vec<WaitingRequests> {
         self.models
             .iter()
             .filter(|(_, keys)| !keys.is_empty())
-            .map(|(model, keys)| Waiting {
+            .map(|(model, keys)| WaitingRequests {
                 model: model.clone(),
                 count: keys.len() as u32,
                 weight: keys.iter().map(|k| u32::from(self.waiters[*k].priority).max(1)).sum(),
--- a/lib/src/trace.rs
+++ b/lib/src/trace.rs
@@ -16,11 +16,11 @@
 
 use crate::control::ControlSettings;
 use crate::control::Controller;
-use crate::event::Choice;
 use crate::event::ClaimAnswer;
+use crate::event::DecisionKind;
 use crate::event::Effect;
 use crate::event::Event;
-use crate::event::Timed;
+use crate::event::TimedEvent;
 use crate::host::Action;
 use crate::ids::ModelName;
 use crate::keep_warm::Policy;
@@ -39,7 +39,7 @@
         centre: String,
     },
     /// An event.
-    Event(Timed),
+    Event(TimedEvent),
     /// What must be true of the effects up to here.
     Expect(Expect),
 }
@@ -112,7 +112,7 @@
 
     /// Writes an event. A full disk ends the trace, not the daemon.
     pub fn write(&mut self, at: Duration, event: &Event) {
-        let line = TraceLine::Event(Timed { at, event: event.clone() });
+        let line = TraceLine::Event(TimedEvent { at, event: event.clone() });
         let _full = self.line(&line);
     }
 
@@ -195,10 +195,10 @@
             Effect::Edited(..) => self.add(Counted::EditConflict, ""),
             Effect::Decide(d) => {
                 let what = match d.action {
-                    Choice::Lead => Counted::Lead,
-                    Choice::Yield => Counted::Yield,
-                    Choice::Free => Counted::Free,
-                    Choice::Drain => Counted::Drain,
+                    DecisionKind::Lead => Counted::Lead,
+                    DecisionKind::Yield => Counted::Yield,
+                    DecisionKind::Free => Counted::Free,
+                    DecisionKind::Drain => Counted::Drain,
                     _ => return,
                 };
                 self.add(what, &d.model);
@@ -238,7 +238,7 @@
             (TraceLine::Daemon { id, incarnation, centre }, None) => {
                 control = Some(Controller::new(settings_of(&id, incarnation, &centre)));
             }
-            (TraceLine::Event(Timed { at, event }), Some(control)) => {
+            (TraceLine::Event(TimedEvent { at, event }), Some(control)) => {
                 replayed.events += 1;
                 for effect in control.handle(at, event) {
                     counts.note(&effect);
@@ -262,9 +262,9 @@
         id: id.into(),
         incarnation,
         centre: centre.into(),
-        gap: Duration::from_millis(20),
-        policy: Policy::Learned,
-        poll: Duration::from_secs(1),
+        append_gap: Duration::from_millis(20),
+        keep_warm: Policy::Learned,
+        poll_interval: Duration::from_secs(1),
     }
 }
 
--- a/lib/src/unary.rs
+++ b/lib/src/unary.rs
@@ -5,11 +5,11 @@
 use tiny_http::Request;
 
 use crate::caller_request::Job;
-use crate::chat::note_refused;
-use crate::chat::note_reply;
 use crate::chat::read_answer;
+use crate::chat::record_refusal;
+use crate::chat::record_response;
 use crate::claim_outcomes::End;
-use crate::dispatch::Ended;
+use crate::dispatch::DispatchError;
 use crate::dispatch::dispatch;
 use crate::event::ClaimAnswer;
 use crate::event::Event;
@@ -57,11 +57,11 @@
             node.note_request(&job.id, job.model(), "done", "", reason);
             send_answer(request, job, &given.answer, given.replayed);
         }
-        Err(Ended::Refused(refused)) => {
-            note_refused(node, job, &refused);
+        Err(DispatchError::Refused(refused)) => {
+            record_refusal(node, job, &refused);
             reply::send_refused(request, &job.id, &refused);
         }
-        Err(Ended::CallerGone) => {}
+        Err(DispatchError::CallerGone) => {}
     }
 }
 
@@ -76,15 +76,15 @@
     reply::send(request, response);
 }
 
-fn run(node: &Node, job: &Job) -> Result<Answer, Ended> {
+fn run(node: &Node, job: &Job) -> Result<Answer, DispatchError> {
     dispatch(node, job, |route, call| {
         let reply = node.exchange.call(route.addr, call)?;
-        note_reply(node, job, route, &reply);
+        record_response(node, job, route, &reply);
         read_answer(reply)
     })
 }
 
-fn claim_and_run(node: &Node, job: &Job, key: ClaimKey) -> Result<Given, Ended> {
+fn claim_and_run(node: &Node, job: &Job, key: ClaimKey) -> Result<Given, DispatchError> {
     match ask_claim(node, key) {
         ClaimAnswer::Granted => run_claimed(node, job, key),
         ClaimAnswer::Ended(daemon, verdict, None) => {
@@ -109,12 +109,12 @@
     })
 }
 
-fn run_claimed(node: &Node, job: &Job, key: ClaimKey) -> Result<Given, Ended> {
+fn run_claimed(node: &Node, job: &Job, key: ClaimKey) -> Result<Given, DispatchError> {
     let result = run(node, job);
     let end = match &result {
         Ok(answer) => End { verdict: Verdict::Ran, answer: Some(answer.clone()) },
-        Err(Ended::Refused(refused)) => End { verdict: refused.verdict, answer: None },
-        Err(Ended::CallerGone) => End { verdict: Verdict::MayHaveRun, answer: None },
+        Err(DispatchError::Refused(refused)) => End { verdict: refused.verdict, answer: None },
+        Err(DispatchError::CallerGone) => End { verdict: Verdict::MayHaveRun, answer: None },
     };
     let kept = end.answer.clone().filter(|a| a.body.len() <= KEPT_BODY);
     let settlement = Settlement { key, verdict: end.verdict, answer: kept };
@@ -124,7 +124,12 @@
 }
 
 /// Asks the daemon that runs a request for its outcome; none where it cannot tell.
-fn fetch(node: &Node, job: &Job, key: ClaimKey, daemon: &DaemonId) -> Option<Result<Given, Ended>> {
+fn fetch(
+    node: &Node,
+    job: &Job,
+    key: ClaimKey,
+    daemon: &DaemonId,
+) -> Option<Result<Given, DispatchError>> {
     let wait = job.deadline.saturating_sub(node.now());
     let end = if *daemon == node.settings.id {
         node.outcomes.wait(key, wait)
@@ -135,7 +140,7 @@
     end.map(replay)
 }
 
-fn replay(end: End) -> Result<Given, Ended> {
+fn replay(end: End) -> Result<Given, DispatchError> {
     match end.answer {
         Some(answer) => Ok(Given { answer, replayed: true }),
         None => Err(lost(end.verdict)),
@@ -143,7 +148,7 @@
 }
 
 /// The refusal of a repeat whose first request ended without an answer that was kept.
-fn lost(verdict: Verdict) -> Ended {
+fn lost(verdict: Verdict) -> DispatchError {
     let (message, retry) = match verdict {
         Verdict::DidNotRun => ("the first request did not run; send it again", Some(TAKEN_RETRY)),
         Verdict::MayHaveRun => ("the first request may have run; its answer was lost", None),
@@ -151,11 +156,11 @@
     };
     let status = if verdict == Verdict::DidNotRun { 503 } else { 409 };
     let message = message.to_owned();
-    Ended::Refused(Refused { status, verdict, code: "answer-lost", message, retry })
+    DispatchError::Refused(Refused { status, verdict, code: "answer-lost", message, retry })
 }
 
-fn in_progress(daemon: &DaemonId) -> Ended {
-    Ended::Refused(Refused {
+fn in_progress(daemon: &DaemonId) -> DispatchError {
+    DispatchError::Refused(Refused {
         status: 409,
         verdict: Verdict::MayHaveRun,
         code: "claimed-elsewhere",
@@ -168,8 +173,8 @@
 ///
 /// Nothing was sent for it. An earlier request with the same key may have run through another daemon,
 /// though, so "did not run" might be untrue; sending it again with its key is safe.
-fn claim_unknown() -> Ended {
-    Ended::Refused(Refused {
+fn claim_unknown() -> DispatchError {
+    DispatchError::Refused(Refused {
         status: 503,
         verdict: Verdict::MayHaveRun,
         code: "claim-unknown",
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -6,7 +6,7 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use crate::demand::Waiting;
+use crate::demand::WaitingRequests;
 use crate::ids::ModelName;
 use crate::queue::Entered;
 use crate::queue::Queue;
@@ -123,7 +123,7 @@
     }
 
     /// Returns what to tell the lease holders.
-    pub fn demand(&self) -> Vec<Waiting> {
+    pub fn demand(&self) -> Vec<WaitingRequests> {
         self.inner().queue.demand()
     }
 
--- a/lib/src/workers.rs
+++ b/lib/src/workers.rs
@@ -11,7 +11,7 @@
 
 use crate::control_thread::Errand;
 use crate::control_thread::Outputs;
-use crate::engine_control::Engine;
+use crate::engine_control::EngineControl;
 use crate::event::Event;
 use crate::host::OrderAnswer;
 use crate::host_list::HostBook;
@@ -37,7 +37,7 @@
     /// The host list.
     pub hosts: Arc<dyn HostList>,
     /// The engines' control side.
-    pub engine: Arc<dyn Engine>,
+    pub engine: Arc<dyn EngineControl>,
 }
 
 /// Starts the filters; they end when the control thread drops its channels.
@@ -91,7 +91,7 @@
     }
 }
 
-fn poll(node: &Node, engine: &dyn Engine, asked: &flume::Receiver<(SmolStr, SocketAddr)>) {
+fn poll(node: &Node, engine: &dyn EngineControl, asked: &flume::Receiver<(SmolStr, SocketAddr)>) {
     for (server, addr) in asked {
         let report = engine.report(addr).ok();
         if !node.tell(Input::Event(Event::Report(server, report))) {
@@ -100,12 +100,12 @@
     }
 }
 
-fn order(node: &Node, engine: &dyn Engine, errands: &flume::Receiver<Errand>) {
+fn order(node: &Node, engine: &dyn EngineControl, errands: &flume::Receiver<Errand>) {
     for (addr, order, until) in errands {
         // The process may have been paused since the decision; the lease is looked at again just
         // before the write.
         let late = until.is_some_and(|until| node.now() >= until);
-        let answer = if late { OrderAnswer::Unsent } else { engine.order(addr, &order) };
+        let answer = if late { OrderAnswer::Unsent } else { engine.send_order(addr, &order) };
         if !node.tell(Input::Event(Event::Ordered(order, answer))) {
             return;
         }
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use comfreymux_lib::event::ClaimAnswer;
-use comfreymux_lib::pending_claims::CLAIM_BOUND;
-use comfreymux_lib::pending_claims::ClaimDesk;
+use comfreymux_lib::pending_claims::CLAIM_TIMEOUT;
+use comfreymux_lib::pending_claims::ClaimDecision;
 use comfreymux_lib::pending_claims::ClaimStep;
-use comfreymux_lib::pending_claims::Decided;
+use comfreymux_lib::pending_claims::PendingClaims;
 use comfreymux_lib::record::Settlement;
 use comfreymux_lib::replicated_state::Claim;
 use comfreymux_lib::replicated_state::State;
@@ -14,8 +14,8 @@
 
 const NOW: Duration = Duration::from_secs(1);
 
-fn desk() -> ClaimDesk {
-    ClaimDesk::new("d1".into(), 1)
+fn desk() -> PendingClaims {
+    PendingClaims::new("d1".into(), 1)
 }
 
 fn claimed_by(daemon: &str) -> State {
@@ -29,17 +29,17 @@
     // The log is slow; the request is refused as not sent. Then the claim takes effect after all:
     // it must be released, not run.
     let mut desk = desk();
-    assert_eq!(desk.want(NOW, 7, &State::default(), true), ClaimStep::Append(7));
-    assert_eq!(desk.overdue(NOW + CLAIM_BOUND), [7]);
-    let decided = desk.decided(7, Ok(1), &claimed_by("d1"));
+    assert_eq!(desk.request(NOW, 7, &State::default(), true), ClaimStep::Append(7));
+    assert_eq!(desk.cancel_overdue(NOW + CLAIM_TIMEOUT), [7]);
+    let decided = desk.on_decided(7, Ok(1), &claimed_by("d1"));
     let release = Settlement { key: 7, verdict: Verdict::DidNotRun, answer: None };
-    assert_eq!(decided, Decided::Release(release));
+    assert_eq!(decided, ClaimDecision::Release(release));
 }
 
 #[test]
 fn log_down() {
     let mut desk = desk();
-    let step = desk.want(NOW, 7, &State::default(), false);
+    let step = desk.request(NOW, 7, &State::default(), false);
     assert_eq!(step, ClaimStep::Answer(ClaimAnswer::LogDown));
 }
 
@@ -48,21 +48,24 @@
     // A caller sends a booking twice to one daemon before the log has decided the first.
     let mut desk = desk();
     let state = State::default();
-    assert_eq!(desk.want(NOW, 7, &state, true), ClaimStep::Append(7));
+    assert_eq!(desk.request(NOW, 7, &state, true), ClaimStep::Append(7));
     let taken = ClaimStep::Answer(ClaimAnswer::Taken("d1".into()));
-    assert_eq!(desk.want(NOW, 7, &state, true), taken);
-    assert_eq!(desk.decided(7, Ok(1), &claimed_by("d1")), Decided::Answer(ClaimAnswer::Granted));
-    assert_eq!(desk.decided(7, Ok(1), &claimed_by("d1")), Decided::Nothing);
+    assert_eq!(desk.request(NOW, 7, &state, true), taken);
+    assert_eq!(
+        desk.on_decided(7, Ok(1), &claimed_by("d1")),
+        ClaimDecision::Answer(ClaimAnswer::Granted)
+    );
+    assert_eq!(desk.on_decided(7, Ok(1), &claimed_by("d1")), ClaimDecision::Nothing);
 }
 
 #[test]
 fn old_start() {
     // A daemon restarts. A claim of its old start is not its own: what became of the request is
     // unknown, so it may neither be released nor run.
-    let mut desk = ClaimDesk::new("d1".into(), 2);
-    assert_eq!(desk.unwant(7, &claimed_by("d1")), None);
+    let mut desk = PendingClaims::new("d1".into(), 2);
+    assert_eq!(desk.cancel(7, &claimed_by("d1")), None);
     let taken = ClaimStep::Answer(ClaimAnswer::Taken("d1".into()));
-    assert_eq!(desk.want(NOW, 7, &claimed_by("d1"), true), taken);
+    assert_eq!(desk.request(NOW, 7, &claimed_by("d1"), true), taken);
 }
 
 #[test]
@@ -71,8 +74,8 @@
     // under way: one stands in it, the other does not.
     let mut desk = desk();
     let empty = State::default();
-    assert_eq!(desk.want(NOW, 7, &empty, true), ClaimStep::Append(7));
-    assert_eq!(desk.want(NOW, 8, &empty, true), ClaimStep::Append(8));
+    assert_eq!(desk.request(NOW, 7, &empty, true), ClaimStep::Append(7));
+    assert_eq!(desk.request(NOW, 8, &empty, true), ClaimStep::Append(8));
     let (answers, records) = desk.resync(&claimed_by("d1"));
     assert_eq!(answers, [(7, ClaimAnswer::Granted)]);
     assert_eq!(records, [comfreymux_lib::record::Record::Claim(8)]);
--- a/lib/tests/test_failures.rs
+++ b/lib/tests/test_failures.rs
@@ -1,6 +1,6 @@
 //! Replica counts, memory and leases under failure, in virtual time.
 
-use comfreymux_lib::event::Choice;
+use comfreymux_lib::event::DecisionKind;
 use comfreymux_lib::record::Phase;
 use comfreymux_lib::record::Source;
 use comfreymux_lib::routing_view::View;
@@ -214,7 +214,7 @@
     world.give("d1", event);
     world.run(seconds(30), STEP).unwrap();
     assert_eq!(phase_of(&world, "m5"), Some(Phase::Loaded));
-    assert!(world.decisions.iter().any(|(_, _, d)| d.action == Choice::Free));
+    assert!(world.decisions.iter().any(|(_, _, d)| d.action == DecisionKind::Free));
 }
 
 /// Three models want the engine in turn while the first order to load arrives late.
--- a/lib/tests/test_gateway.rs
+++ b/lib/tests/test_gateway.rs
@@ -6,8 +6,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use comfreymux_lib::admin_client::Applied;
-use comfreymux_lib::admin_client::Client;
+use comfreymux_lib::admin_client::AdminClient;
+use comfreymux_lib::admin_client::ApplyResult;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table_file::read_csv;
 use comfreymux_lib::table_file::write_csv;
@@ -124,16 +124,16 @@
     // Two operators hold the same table; the second to apply is told of the conflict, and what it
     // read stays applicable after a new look.
     let rig = rig(&[]);
-    let client = Client::new(format!("http://{}", rig.daemons["d1"].addr));
+    let client = AdminClient::new(format!("http://{}", rig.daemons["d1"].addr));
     let table = client.table().unwrap();
     let rows: Vec<Row> = table.iter().map(|v| v.row.clone()).collect();
-    assert_eq!(client.apply(&rows, "a", "same").unwrap(), Applied::Unchanged);
+    assert_eq!(client.apply(&rows, "a", "same").unwrap(), ApplyResult::Unchanged);
     let mut changed = rows.clone();
     changed[1].limit = 9;
     let stale = table.diff(&changed);
-    assert!(matches!(client.apply(&changed, "a", "one").unwrap(), Applied::Accepted(_)));
+    assert!(matches!(client.apply(&changed, "a", "one").unwrap(), ApplyResult::Accepted(_)));
     let edit = comfreymux_lib::table::Edit { id: "two".into(), author: "b".into(), changes: stale };
-    assert_eq!(client.send_edit(&edit).unwrap(), Applied::Conflict("hem".into()));
+    assert_eq!(client.send_edit(&edit).unwrap(), ApplyResult::Conflict("hem".into()));
     assert_eq!(client.get("history").unwrap()["edits"].as_array().unwrap().len(), 3);
     assert_eq!(client.get("status").unwrap()["log_up"], true);
 }
@@ -146,7 +146,7 @@
         .send()
         .unwrap();
     let id = told.header("x-request-id").unwrap();
-    let client = Client::new(format!("http://{}", rig.daemons["d1"].addr));
+    let client = AdminClient::new(format!("http://{}", rig.daemons["d1"].addr));
     let lines = client.get(&format!("explain?id={id}")).unwrap();
     let actions: Vec<&str> =
         lines["lines"].as_array().unwrap().iter().map(|l| l["action"].as_str().unwrap()).collect();
--- a/lib/tests/test_outages.rs
+++ b/lib/tests/test_outages.rs
@@ -115,7 +115,7 @@
     let state = rig.daemons["d1"].node().state().unwrap();
     let holder = state.leases["qc-c"].daemon.clone();
     let other = if holder == "d1" { "d2" } else { "d1" };
-    rig.daemons.remove(&holder).unwrap().end();
+    rig.daemons.remove(&holder).unwrap().abort();
     let (status, body) = complete(&rig.url(other, CHAT), "resize", false, 1).unwrap();
     assert_eq!(status, 200, "{body}");
     let state = rig.daemons[other].node().state().unwrap();
--- a/lib/tests/test_queue.rs
+++ b/lib/tests/test_queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreymux_lib::demand::Demand;
-use comfreymux_lib::demand::Waiting;
+use comfreymux_lib::demand::WaitingRequests;
 use comfreymux_lib::queue::Entered;
 use comfreymux_lib::queue::Queue;
 use comfreymux_lib::queue::Refusal;
@@ -89,13 +89,13 @@
     // Reports of waiting requests are lost now and then: one that was not repeated counts for a
     // while and is then forgotten; the first mention dates the demand.
     let mut demand = Demand::default();
-    let waiting = [Waiting { model: "m".into(), count: 2, weight: 10 }];
-    demand.report(seconds(1), &"d1".into(), &waiting);
-    demand.report(seconds(2), &"d1".into(), &waiting);
-    demand.report(seconds(2), &"d2".into(), &waiting);
+    let waiting = [WaitingRequests { model: "m".into(), count: 2, weight: 10 }];
+    demand.update(seconds(1), &"d1".into(), &waiting);
+    demand.update(seconds(2), &"d1".into(), &waiting);
+    demand.update(seconds(2), &"d2".into(), &waiting);
     let total = demand.total("m").unwrap();
     assert_eq!((total.count, total.weight, total.since), (4, 20, seconds(1)));
-    demand.report(seconds(3), &"d2".into(), &[]);
+    demand.update(seconds(3), &"d2".into(), &[]);
     assert_eq!(demand.total("m").unwrap().count, 2);
     demand.expire(seconds(6));
     assert!(demand.total("m").is_none());
--- a/lib/tests/test_verdicts.rs
+++ b/lib/tests/test_verdicts.rs
@@ -118,7 +118,7 @@
     wait_for("the settlement", || {
         node.state().is_some_and(|s| s.claims.values().any(|c| c.end.is_some()))
     });
-    rig.daemons.remove("d1").unwrap().end();
+    rig.daemons.remove("d1").unwrap().abort();
     let repeat = send(&rig, "d2", Some("k"), "fitting");
     assert_eq!((repeat.status, repeat.body), (200, first.body));
     assert_eq!(runs(&rig, "fitting"), 1);
@@ -139,7 +139,7 @@
             .send()
     });
     wait_for("the run", || runs(&rig, "fitting") == 1);
-    rig.daemons.remove("d1").unwrap().end();
+    rig.daemons.remove("d1").unwrap().abort();
     let repeat = send(&rig, "d2", Some("k"), "fitting");
     assert_ne!(repeat.verdict, "did-not-run");
     assert_eq!(runs(&rig, "fitting"), 1);
--- a/lib/testutils/src/engine_standin.rs
+++ b/lib/testutils/src/engine_standin.rs
@@ -14,9 +14,9 @@
 
 use comfreymux_lib::backend_client::ACTIVE_HEADER;
 use comfreymux_lib::backend_client::ATTEMPT_HEADER;
-use comfreymux_lib::backend_client::LEAVING;
-use comfreymux_lib::backend_client::NOT_LOADED;
 use comfreymux_lib::backend_client::REFUSED_HEADER;
+use comfreymux_lib::backend_client::REFUSED_LEAVING;
+use comfreymux_lib::backend_client::REFUSED_NOT_LOADED;
 use comfreymux_lib::backend_client::RESUME_HEADER;
 use comfreymux_lib::host::Action;
 use comfreymux_lib::host::Cached;
@@ -236,9 +236,9 @@
     fn enter(&self, model: &str) -> Result<u32, &'static str> {
         let mut inner = self.inner();
         if inner.faults.leaving {
-            return Err(LEAVING);
+            return Err(REFUSED_LEAVING);
         }
-        let place = inner.places.get_mut(model).filter(|p| p.loaded).ok_or(NOT_LOADED)?;
+        let place = inner.places.get_mut(model).filter(|p| p.loaded).ok_or(REFUSED_NOT_LOADED)?;
         if place.active >= self.settings.slots {
             return Err("busy");
         }
--- a/lib/testutils/src/rig.rs
+++ b/lib/testutils/src/rig.rs
@@ -12,7 +12,7 @@
 use comfreymux_lib::backend_client::HttpExchange;
 use comfreymux_lib::daemon::Daemon;
 use comfreymux_lib::daemon::Sockets;
-use comfreymux_lib::engine_control::HttpEngine;
+use comfreymux_lib::engine_control::HttpEngineControl;
 use comfreymux_lib::host::Host;
 use comfreymux_lib::host::Role;
 use comfreymux_lib::host_list::HttpHostList;
@@ -166,7 +166,7 @@
             ("id", id.to_owned()),
             ("centre", centre.to_owned()),
             ("listen", sockets.addr.to_string()),
-            ("peer", sockets.peer.to_string()),
+            ("peer", sockets.peer_addr.to_string()),
             ("log", format!("http://{log}")),
             ("hosts", format!("http://{hosts}")),
         ];
@@ -177,13 +177,13 @@
         let host = Host {
             incarnation: self.starts,
             id: id.into(),
-            ..host(Role::Entry, centre, sockets.peer)
+            ..host(Role::Entry, centre, sockets.peer_addr)
         };
         self.hosts.put(host);
         let borders = Borders {
             log: Arc::new(HttpLog::new(settings.log.clone())),
             hosts: Arc::new(HttpHostList::new(settings.hosts.clone())),
-            engine: Arc::new(HttpEngine),
+            engine: Arc::new(HttpEngineControl),
         };
         let exchange = Arc::new(HttpExchange::new(settings.idle));
         let logger = self.logger.clone();
--- a/lib/testutils/src/service_standin.rs
+++ b/lib/testutils/src/service_standin.rs
@@ -11,8 +11,8 @@
 
 use comfreymux_lib::backend_client::ACTIVE_HEADER;
 use comfreymux_lib::backend_client::ATTEMPT_HEADER;
-use comfreymux_lib::backend_client::LEAVING;
 use comfreymux_lib::backend_client::REFUSED_HEADER;
+use comfreymux_lib::backend_client::REFUSED_LEAVING;
 use serde::Deserialize;
 use serde::Serialize;
 use serde_json::json;
@@ -74,7 +74,7 @@
         let attempt = request.header(ATTEMPT_HEADER).to_owned();
         let mut inner = self.inner();
         if inner.faults.leaving || take(&mut inner.faults.refuse) {
-            let word = if inner.faults.leaving { LEAVING } else { "busy" };
+            let word = if inner.faults.leaving { REFUSED_LEAVING } else { "busy" };
             drop(inner);
             return respond(out, 503, &[(REFUSED_HEADER, word.into())], b"");
         }
--- a/tools/src/experiment.rs
+++ b/tools/src/experiment.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use comfreymux_lib::event::Choice;
+use comfreymux_lib::event::DecisionKind;
 use comfreymux_lib::event::Event;
 use comfreymux_lib::ids::ModelName;
 use comfreymux_lib::ids::ServerId;
@@ -312,7 +312,7 @@
 
     fn outcome(&self, name: &str, requests: u64) -> Outcome {
         let seconds = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1000.0;
-        let count = |c: Choice| {
+        let count = |c: DecisionKind| {
             self.world.decisions.iter().filter(|(_, _, d)| d.action == c).count() as u64
         };
         let loads = self.world.engines.values().map(|(_, e)| e.loads).sum();
@@ -328,7 +328,7 @@
             wait_hours: self.wait_sum / 3600.0,
             idle_hours: self.idle / 3600.0,
             loads,
-            wasted: loads.saturating_sub(count(Choice::Ready)),
+            wasted: loads.saturating_sub(count(DecisionKind::Ready)),
             refused: self.refused,
             expired: self.expired,
         }
--- a/tools/src/fake_daemon.rs
+++ b/tools/src/fake_daemon.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreymux_lib::control::Controller;
-use comfreymux_lib::demand::Waiting;
+use comfreymux_lib::demand::WaitingRequests;
 use comfreymux_lib::ids::CentreId;
 use comfreymux_lib::ids::Incarnation;
 
@@ -23,7 +23,7 @@
     /// Rate of its clock; 1 is true.
     pub rate: f64,
     /// Requests that wait at it.
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<WaitingRequests>,
     pub(crate) started: Duration,
     pub(crate) saw_hosts: u64,
 }
--- a/tools/src/small.rs
+++ b/tools/src/small.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::demand::Waiting;
+use comfreymux_lib::demand::WaitingRequests;
 use comfreymux_lib::event::Event;
 use comfreymux_lib::record::Phase;
 use comfreymux_lib::record::Source;
@@ -71,7 +71,7 @@
 ///
 /// Panics if there is no such daemon.
 pub fn want(world: &mut World, daemon: &str, models: &[&str]) {
-    let line = |m: &&str| Waiting { model: (*m).into(), count: 1, weight: 5 };
+    let line = |m: &&str| WaitingRequests { model: (*m).into(), count: 1, weight: 5 };
     world.daemons.get_mut(daemon).unwrap().waiting = models.iter().map(line).collect();
 }
 
--- a/tools/src/world.rs
+++ b/tools/src/world.rs
@@ -8,7 +8,7 @@
 
 use comfreymux_lib::control::ControlSettings;
 use comfreymux_lib::control::Controller;
-use comfreymux_lib::demand::Waiting;
+use comfreymux_lib::demand::WaitingRequests;
 use comfreymux_lib::event::ClaimAnswer;
 use comfreymux_lib::event::Decision;
 use comfreymux_lib::event::EditAnswer;
@@ -175,9 +175,9 @@
             id: id.into(),
             incarnation: daemon.incarnation,
             centre: daemon.centre.clone(),
-            gap: Duration::from_millis(20),
-            policy: self.policy,
-            poll: Duration::from_secs(1),
+            append_gap: Duration::from_millis(20),
+            keep_warm: self.policy,
+            poll_interval: Duration::from_secs(1),
         }));
     }
 
@@ -288,7 +288,7 @@
     }
 
     fn tell_demand(&mut self, id: &str) {
-        let reports: Vec<(DaemonId, Vec<Waiting>)> =
+        let reports: Vec<(DaemonId, Vec<WaitingRequests>)> =
             self.daemons.iter().map(|(from, d)| (from.clone(), d.waiting.clone())).collect();
         for (from, waiting) in reports {
             self.give(id, Event::Demand(from, waiting));
