--- a/cli/src/daemon.rs
+++ b/cli/src/daemon.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use comfreymux_lib::backend_client::HttpExchange;
+use comfreymux_lib::backend_client::HttpBackendClient;
 use comfreymux_lib::daemon::Daemon;
 use comfreymux_lib::daemon::Sockets;
 use comfreymux_lib::daemon::incarnation_now;
@@ -87,7 +87,7 @@
         hosts: Arc::new(HttpHostList::new(settings.hosts.clone())),
         engine: Arc::new(HttpEngineControl),
     };
-    let exchange = Arc::new(HttpExchange::new(settings.idle));
+    let exchange = Arc::new(HttpBackendClient::new(settings.idle));
     let log = logging::to_stderr();
     let daemon = Daemon::start(settings, incarnation_now(), sockets, &borders, exchange, log)?;
     while signals.pending().next().is_none() && !daemon.node().is_stopping() {
--- a/lib/benches/slopes.rs
+++ b/lib/benches/slopes.rs
@@ -12,8 +12,8 @@
 use comfreymux_lib::event::Event;
 use comfreymux_lib::fold;
 use comfreymux_lib::host::Host;
-use comfreymux_lib::host::Role;
-use comfreymux_lib::keep_warm::Policy;
+use comfreymux_lib::host::HostRole;
+use comfreymux_lib::keep_warm::KeepWarmPolicy;
 use comfreymux_lib::peer_message::Digest;
 use comfreymux_lib::record::Bid;
 use comfreymux_lib::record::Entry;
@@ -124,18 +124,18 @@
         incarnation: 1,
         centre: centre(0),
         append_gap: Duration::from_millis(20),
-        keep_warm: Policy::Learned,
+        keep_warm: KeepWarmPolicy::Learned,
         poll_interval: Duration::from_secs(1),
     });
     let hosts = (0..servers).map(|i| Host {
         id: format!("server-{i:05}").into(),
         memory_mib: 80_000,
         fencing: true,
-        ..host(Role::Engine, &centre(i), ANY)
+        ..host(HostRole::Engine, &centre(i), ANY)
     });
     let entries = (0..400).map(|i| Host {
         id: format!("daemon-{i:04}").into(),
-        ..host(Role::Entry, &centre(i), ANY)
+        ..host(HostRole::Entry, &centre(i), ANY)
     });
     control.handle(Duration::ZERO, Event::Hosts(hosts.chain(entries).collect()));
     control.handle(Duration::ZERO, Event::LogRead);
--- a/lib/src/admin.rs
+++ b/lib/src/admin.rs
@@ -102,7 +102,7 @@
              data centre",
         ));
     }
-    Ok((200, json!({"lines": node.journal.about(id)})))
+    Ok((200, json!({"lines": node.decision_log.find(id)})))
 }
 
 fn edit(node: &Node, request: &mut Request) -> Answer {
--- a/lib/src/backend_client.rs
+++ b/lib/src/backend_client.rs
@@ -32,7 +32,7 @@
 
 /// A request to a backend server.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ServerRequest {
     /// HTTP method.
     pub method: String,
     /// Path and query.
@@ -42,15 +42,15 @@
     /// The body.
     pub body: Vec<u8>,
     /// Identity of this attempt, unique in the whole system.
-    pub attempt: String,
+    pub attempt_id: String,
     /// Tokens to skip, of a stream that is taken up again.
-    pub resume: u64,
+    pub resume_from: u64,
     /// The request's priority.
     pub priority: u8,
 }
 
 /// The head of an answer and the body still to be read.
-pub struct Reply {
+pub struct ServerResponse {
     /// HTTP status code.
     pub status: u16,
     /// Content type.
@@ -62,7 +62,7 @@
     pub body: Box<dyn Read + Send>,
 }
 
-impl fmt::Debug for Reply {
+impl fmt::Debug for ServerResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Reply").field("status", &self.status).finish_non_exhaustive()
     }
@@ -70,7 +70,7 @@
 
 /// What went wrong with an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fault {
+pub enum FailureKind {
     /// No connection.
     Unreachable,
     /// The backend server refused the request before running it.
@@ -84,12 +84,12 @@
     /// The connection ended before the answer was whole.
     Truncated,
     /// The answer carries an error in place of a result.
-    Faulted,
+    ServerError,
     /// The answer belongs to another attempt.
-    Crossed,
+    WrongAttempt,
 }
 
-impl Fault {
+impl FailureKind {
     /// Returns the word for log lines and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -99,8 +99,8 @@
             Self::NotLoaded => "not-loaded",
             Self::Stalled => "stalled",
             Self::Truncated => "truncated",
-            Self::Faulted => "faulted",
-            Self::Crossed => "crossed",
+            Self::ServerError => "faulted",
+            Self::WrongAttempt => "crossed",
         }
     }
 }
@@ -111,42 +111,42 @@
     /// Whether the request may have run.
     pub verdict: Verdict,
     /// What went wrong.
-    pub fault: Fault,
+    pub kind: FailureKind,
     /// More about it.
     pub detail: String,
 }
 
 impl Failure {
     /// A failure after bytes may have been written.
-    pub fn doubtful(fault: Fault, detail: impl Into<String>) -> Self {
-        Self { verdict: Verdict::MayHaveRun, fault, detail: detail.into() }
+    pub fn may_have_run(fault: FailureKind, detail: impl Into<String>) -> Self {
+        Self { verdict: Verdict::MayHaveRun, kind: fault, detail: detail.into() }
     }
 
     /// A failure of reading an answer.
-    pub fn reading(error: &io::Error) -> Self {
+    pub fn from_read_error(error: &io::Error) -> Self {
         let silent = matches!(error.kind(), io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock);
-        let fault = if silent { Fault::Stalled } else { Fault::Truncated };
-        Self::doubtful(fault, error.to_string())
+        let fault = if silent { FailureKind::Stalled } else { FailureKind::Truncated };
+        Self::may_have_run(fault, error.to_string())
     }
 }
 
 /// Sends requests to backend servers.
-pub trait Exchange: fmt::Debug + Send + Sync {
+pub trait BackendClient: fmt::Debug + Send + Sync {
     /// Sends a request and returns the head of its answer. Never sends it twice.
     ///
     /// # Errors
     ///
     /// Says whether the request may have run.
-    fn call(&self, addr: SocketAddr, call: &Call) -> Result<Reply, Failure>;
+    fn send(&self, addr: SocketAddr, call: &ServerRequest) -> Result<ServerResponse, Failure>;
 }
 
 /// Requests over HTTP.
 #[derive(Debug)]
-pub struct HttpExchange {
+pub struct HttpBackendClient {
     agent: ureq::Agent,
 }
 
-impl HttpExchange {
+impl HttpBackendClient {
     /// Creates a client that gives up on a connection that is silent for `idle`.
     pub fn new(idle: Duration) -> Self {
         let agent = ureq::AgentBuilder::new()
@@ -161,17 +161,17 @@
     }
 }
 
-impl Exchange for HttpExchange {
-    fn call(&self, addr: SocketAddr, call: &Call) -> Result<Reply, Failure> {
+impl BackendClient for HttpBackendClient {
+    fn send(&self, addr: SocketAddr, call: &ServerRequest) -> Result<ServerResponse, Failure> {
         let url = format!("http://{addr}{}", call.path);
         let mut request = self
             .agent
             .request(&call.method, &url)
             .set("content-type", &call.content_type)
-            .set(ATTEMPT_HEADER, &call.attempt)
+            .set(ATTEMPT_HEADER, &call.attempt_id)
             .set(PRIORITY_HEADER, &call.priority.to_string());
-        if call.resume > 0 {
-            request = request.set(RESUME_HEADER, &call.resume.to_string());
+        if call.resume_from > 0 {
+            request = request.set(RESUME_HEADER, &call.resume_from.to_string());
         }
         match request.send_bytes(&call.body) {
             Ok(response) | Err(ureq::Error::Status(_, response)) => read_head(response, call),
@@ -190,33 +190,33 @@
     let detail = error.to_string();
     if unsent {
         let verdict = Verdict::DidNotRun;
-        return Failure { verdict, fault: Fault::Unreachable, detail };
+        return Failure { verdict, kind: FailureKind::Unreachable, detail };
     }
     let source = std::error::Error::source(error);
     let io = source.and_then(|s| s.downcast_ref::<io::Error>());
     match io {
-        Some(io) => Failure::reading(io),
-        None => Failure::doubtful(Fault::Truncated, detail),
+        Some(io) => Failure::from_read_error(io),
+        None => Failure::may_have_run(FailureKind::Truncated, detail),
     }
 }
 
-fn read_head(response: ureq::Response, call: &Call) -> Result<Reply, Failure> {
+fn read_head(response: ureq::Response, call: &ServerRequest) -> Result<ServerResponse, Failure> {
     if let Some(word) = response.header(REFUSED_HEADER) {
         let fault = match word {
-            REFUSED_LEAVING => Fault::Leaving,
-            REFUSED_NOT_LOADED => Fault::NotLoaded,
-            _ => Fault::Refused,
+            REFUSED_LEAVING => FailureKind::Leaving,
+            REFUSED_NOT_LOADED => FailureKind::NotLoaded,
+            _ => FailureKind::Refused,
         };
         let verdict = Verdict::DidNotRun;
-        return Err(Failure { verdict, fault, detail: word.to_owned() });
+        return Err(Failure { verdict, kind: fault, detail: word.to_owned() });
     }
     // An answer that came late or on a crossed connection belongs to another request.
     let echoed = response.header(ATTEMPT_HEADER);
-    if echoed != Some(call.attempt.as_str()) {
-        let detail = format!("expected {}, got {}", call.attempt, echoed.unwrap_or("none"));
-        return Err(Failure::doubtful(Fault::Crossed, detail));
+    if echoed != Some(call.attempt_id.as_str()) {
+        let detail = format!("expected {}, got {}", call.attempt_id, echoed.unwrap_or("none"));
+        return Err(Failure::may_have_run(FailureKind::WrongAttempt, detail));
     }
-    Ok(Reply {
+    Ok(ServerResponse {
         status: response.status(),
         content_type: response.header("content-type").unwrap_or("").to_owned(),
         active: response.header(ACTIVE_HEADER).and_then(|n| n.parse().ok()),
--- a/lib/src/caller_request.rs
+++ b/lib/src/caller_request.rs
@@ -30,7 +30,7 @@
 
 /// A request that is ready to be routed.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct CallerRequest {
     /// Its id.
     pub id: SmolStr,
     /// The caller.
@@ -54,16 +54,16 @@
     /// Hash of the prompt's beginning.
     pub prefix: Option<u64>,
     /// The caller's idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
-impl Job {
+impl CallerRequest {
     /// Creates a job for `row` from a request; the path is the request's own.
     pub fn new(
         node: &Node,
         id: SmolStr,
         request: &Request,
-        wishes: Wishes,
+        wishes: RequestOptions,
         row: Row,
         body: Vec<u8>,
     ) -> Self {
@@ -77,18 +77,18 @@
             arrived: node.now(),
             deadline: wishes.deadline,
             prefix: None,
-            key: wishes.key,
+            idempotency_key: wishes.idempotency_key,
             row,
             body,
         }
     }
 
     /// Returns the key under which the request is claimed; none where no claim is needed.
-    pub fn claim(&self) -> Option<ClaimKey> {
+    pub fn claim_key(&self) -> Option<ClaimKey> {
         if self.row.repeat {
             return None;
         }
-        let key = self.key.as_ref()?;
+        let key = self.idempotency_key.as_ref()?;
         Some(claim_key(&self.caller, &self.row.name, key))
     }
 
@@ -143,22 +143,22 @@
 
 /// Headers that shape how a request is handled.
 #[derive(Clone, Debug)]
-pub struct Wishes {
+pub struct RequestOptions {
     /// When its answer must begin.
     pub deadline: Duration,
     /// Its priority; none takes the row's.
     pub priority: Option<u8>,
     /// Its idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
-impl Wishes {
+impl RequestOptions {
     /// Reads the headers of a request that came at `arrived`.
     ///
     /// # Errors
     ///
     /// Names the header that cannot be read.
-    pub fn read(node: &Node, request: &Request, arrived: Duration) -> Result<Self, Refused> {
+    pub fn parse(node: &Node, request: &Request, arrived: Duration) -> Result<Self, Refused> {
         let wrong = |name: &str, allowed: &str| {
             Refused::wrong(400, "bad-header", format!("{name} must be {allowed}"))
         };
@@ -178,6 +178,6 @@
         if key.as_ref().is_some_and(|k| k.is_empty() || k.len() > MAX_KEY) {
             return Err(wrong(KEY_HEADER, "1 to 256 characters"));
         }
-        Ok(Self { deadline: arrived + time, priority, key })
+        Ok(Self { deadline: arrived + time, priority, idempotency_key: key })
     }
 }
--- a/lib/src/chat.rs
+++ b/lib/src/chat.rs
@@ -6,12 +6,12 @@
 use tiny_http::Request;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::backend_client::Call;
 use crate::backend_client::Failure;
-use crate::backend_client::Fault;
-use crate::backend_client::Reply;
-use crate::caller_request::Job;
-use crate::caller_request::Wishes;
+use crate::backend_client::FailureKind;
+use crate::backend_client::ServerRequest;
+use crate::backend_client::ServerResponse;
+use crate::caller_request::CallerRequest;
+use crate::caller_request::RequestOptions;
 use crate::dispatch::AttemptError;
 use crate::dispatch::DispatchError;
 use crate::dispatch::dispatch;
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct ChatRequest {
     /// The request.
-    pub job: Job,
+    pub job: CallerRequest,
     /// Whether the answer is streamed.
     pub stream: bool,
 }
@@ -61,7 +61,7 @@
         node: &Node,
         id: SmolStr,
         request: &Request,
-        wishes: Wishes,
+        wishes: RequestOptions,
         body: Vec<u8>,
     ) -> Result<Self, Refused> {
         let chat: ChatBody<'_> = serde_json::from_slice(&body)
@@ -75,16 +75,16 @@
         let messages = chat.messages.get().as_bytes();
         let prefix = xxh3_64(&messages[..messages.len().min(PREFIX)]);
         let stream = chat.stream;
-        let job = Job::new(node, id, request, wishes, row, body);
+        let job = CallerRequest::new(node, id, request, wishes, row, body);
         let content_type = "application/json".into();
-        let job = Job { path: PATH.into(), content_type, prefix: Some(prefix), ..job };
+        let job = CallerRequest { path: PATH.into(), content_type, prefix: Some(prefix), ..job };
         Ok(Self { job, stream })
     }
 
     /// Serves the completion.
     pub fn serve(&self, node: &Node, request: Request) {
         // A claimed answer is kept for repeats, so it is not streamed.
-        if self.stream && self.job.claim().is_none() {
+        if self.stream && self.job.claim_key().is_none() {
             Streaming { node, job: &self.job, request: Some(request), writer: None, sent: 0 }
                 .serve();
         } else {
@@ -96,7 +96,7 @@
 /// A stream on its way to the caller.
 struct Streaming<'a> {
     node: &'a Node,
-    job: &'a Job,
+    job: &'a CallerRequest,
     request: Option<Request>,
     writer: Option<StreamWriter>,
     /// Chunks that the caller has; another attempt goes on after them.
@@ -123,9 +123,9 @@
         }
     }
 
-    fn attempt(&mut self, route: &Route, call: &Call) -> Result<Whole, AttemptError> {
-        let call = Call { resume: self.sent, ..call.clone() };
-        let reply = self.node.exchange.call(route.addr, &call)?;
+    fn attempt(&mut self, route: &Route, call: &ServerRequest) -> Result<Whole, AttemptError> {
+        let call = ServerRequest { resume_from: self.sent, ..call.clone() };
+        let reply = self.node.exchange.send(route.addr, &call)?;
         record_response(self.node, self.job, route, &reply);
         if reply.status != 200 {
             return Ok(Whole::Answered(read_answer(reply)?));
@@ -165,7 +165,7 @@
         node.metrics.answered(job.model(), Verdict::Ran);
         match (whole, self.request.take(), self.writer.take()) {
             (Whole::Answered(answer), Some(request), _) => {
-                unary::send_answer(request, job, &answer, false);
+                unary::send_response(request, job, &answer, false);
             }
             // A stream may be whole without a chunk.
             (Whole::Streamed, Some(request), None) => {
@@ -203,13 +203,13 @@
     }
 }
 
-fn end_with(mut writer: StreamWriter, refused: &Refused, job: &Job) {
+fn end_with(mut writer: StreamWriter, refused: &Refused, job: &CallerRequest) {
     let data = refused.to_json(&job.id).to_string();
     let _gone = writer.event(&data).and_then(|()| writer.end());
 }
 
 /// Logs and counts a refusal.
-pub fn record_refusal(node: &Node, job: &Job, refused: &Refused) {
+pub fn record_refusal(node: &Node, job: &CallerRequest, refused: &Refused) {
     node.metrics.refused(refused.code);
     node.metrics.answered(job.model(), refused.verdict);
     let reason = format!("{} {}: {}", refused.verdict, refused.code, refused.message);
@@ -217,7 +217,7 @@
 }
 
 /// Notes what the head of an answer says of its replica.
-pub fn record_response(node: &Node, job: &Job, route: &Route, reply: &Reply) {
+pub fn record_response(node: &Node, job: &CallerRequest, route: &Route, reply: &ServerResponse) {
     node.router().answered(node.now(), &route.server, job.model(), reply.active);
 }
 
@@ -226,13 +226,14 @@
 /// # Errors
 ///
 /// The body was cut short or silent, or the backend server failed while it ran the request.
-pub fn read_answer(mut reply: Reply) -> Result<Answer, AttemptError> {
+pub fn read_answer(mut reply: ServerResponse) -> Result<Answer, AttemptError> {
     let mut body = Vec::new();
-    std::io::Read::read_to_end(&mut reply.body, &mut body).map_err(|e| Failure::reading(&e))?;
+    std::io::Read::read_to_end(&mut reply.body, &mut body)
+        .map_err(|e| Failure::from_read_error(&e))?;
     let (status, content_type) = (reply.status, reply.content_type);
     if status >= 500 {
         let detail = format!("status {status}: {}", String::from_utf8_lossy(&body));
-        return Err(Failure::doubtful(Fault::Faulted, detail).into());
+        return Err(Failure::may_have_run(FailureKind::ServerError, detail).into());
     }
     Ok(Answer { status, content_type, body })
 }
--- a/lib/src/claim_outcomes.rs
+++ b/lib/src/claim_outcomes.rs
@@ -15,7 +15,7 @@
 
 /// What is known of a claimed request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct End {
+pub struct ClaimOutcome {
     /// Whether it ran.
     pub verdict: Verdict,
     /// Its answer.
@@ -24,17 +24,17 @@
 
 #[derive(Debug, Default)]
 struct Line {
-    end: Option<(Duration, End)>,
-    waiters: Vec<flume::Sender<End>>,
+    end: Option<(Duration, ClaimOutcome)>,
+    waiters: Vec<flume::Sender<ClaimOutcome>>,
 }
 
 /// Claimed requests that this daemon runs or ran.
 #[derive(Debug, Default)]
-pub struct Outcomes {
+pub struct ClaimOutcomes {
     lines: Mutex<BTreeMap<ClaimKey, Line>>,
 }
 
-impl Outcomes {
+impl ClaimOutcomes {
     fn lines(&self) -> MutexGuard<'_, BTreeMap<ClaimKey, Line>> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -47,7 +47,7 @@
     }
 
     /// Notes how it ended, and tells everybody who waits for it.
-    pub fn end(&self, now: Duration, key: ClaimKey, end: &End) {
+    pub fn end(&self, now: Duration, key: ClaimKey, end: &ClaimOutcome) {
         let mut lines = self.lines();
         let line = lines.entry(key).or_default();
         line.end = Some((now, end.clone()));
@@ -58,7 +58,7 @@
     }
 
     /// Waits up to `wait` for the end of a request; none where it is unknown here or goes on.
-    pub fn wait(&self, key: ClaimKey, wait: Duration) -> Option<End> {
+    pub fn wait(&self, key: ClaimKey, wait: Duration) -> Option<ClaimOutcome> {
         let receiver = {
             let mut lines = self.lines();
             let line = lines.get_mut(&key)?;
--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -16,10 +16,10 @@
 use crate::fleet::Fleet;
 use crate::fold;
 use crate::fold::Outcome;
-use crate::hints::HintBook;
+use crate::hints::HintTable;
 use crate::host::Order;
 use crate::host::OrderAnswer;
-use crate::host::Report;
+use crate::host::ServerReport;
 use crate::ids::CentreId;
 use crate::ids::DaemonId;
 use crate::ids::Fence;
@@ -29,8 +29,8 @@
 use crate::ids::ServerId;
 use crate::ids::SlotId;
 use crate::keep_warm::KeepWarm;
-use crate::keep_warm::Policy;
-use crate::lease::Authority;
+use crate::keep_warm::KeepWarmPolicy;
+use crate::lease::LeaseAuthority;
 use crate::load_rates::Rates;
 use crate::pending_claims::PendingClaims;
 use crate::pending_edits::PendingEdits;
@@ -59,7 +59,7 @@
     /// Least time between two entries.
     pub append_gap: Duration,
     /// How keep-warm times are chosen.
-    pub keep_warm: Policy,
+    pub keep_warm: KeepWarmPolicy,
     /// Time between reports of one backend server.
     pub poll_interval: Duration,
 }
@@ -70,7 +70,7 @@
     pub(crate) settings: ControlSettings,
     pub(crate) state: State,
     pub(crate) appender: Appender,
-    pub(crate) authority: Authority,
+    pub(crate) authority: LeaseAuthority,
     pub(crate) demand: Demand,
     pub(crate) fleet: Fleet,
     pub(crate) rates: Rates,
@@ -91,7 +91,7 @@
     pub(crate) stopping: bool,
     pub(crate) claims: PendingClaims,
     edits: PendingEdits,
-    hints: HintBook,
+    hints: HintTable,
     /// Orders given since the start.
     pub(crate) orders_given: u64,
     heard: Option<Duration>,
@@ -110,7 +110,7 @@
         Self {
             state: State::default(),
             appender: Appender::new(id.clone(), incarnation, settings.append_gap),
-            authority: Authority::default(),
+            authority: LeaseAuthority::default(),
             demand: Demand::default(),
             fleet: Fleet::default(),
             rates: Rates::default(),
@@ -125,7 +125,7 @@
             stopping: false,
             claims: PendingClaims::new(id, incarnation),
             edits: PendingEdits::default(),
-            hints: HintBook::default(),
+            hints: HintTable::default(),
             orders_given: 0,
             heard: None,
             checkpoint: (0, 0),
@@ -230,7 +230,7 @@
         if let Some(sequence) = own.map(|w| w.sequence) {
             self.appender.drop_through(sequence);
         }
-        self.authority.restart_waits(now);
+        self.authority.restart_bid_timers(now);
         self.find_local();
         self.observe(now);
         let (answers, records) = self.claims.resync(&self.state);
@@ -292,7 +292,7 @@
     fn log_read(&mut self, now: Duration) {
         if self.heard.is_some_and(|at| now >= at + LOG_SILENCE) {
             // While the log was silent nobody's renewal could be read.
-            self.authority.restart_waits(now);
+            self.authority.restart_bid_timers(now);
         }
         let is_first = self.heard.replace(now).is_none();
         if is_first {
@@ -364,7 +364,7 @@
         match record {
             Record::Bid(_) | Record::Renew if outcome.is_ok() => {
                 if let Some(sent) = sent {
-                    self.authority.renewed(sent);
+                    self.authority.record_renewal(sent);
                 }
             }
             Record::Claim(key) => self.on_claim_decided(*key, outcome),
@@ -400,9 +400,9 @@
         }
     }
 
-    fn take_report(&mut self, now: Duration, server: &str, report: Option<Report>) {
+    fn take_report(&mut self, now: Duration, server: &str, report: Option<ServerReport>) {
         let Some(report) = report else {
-            self.fleet.failed(now, server);
+            self.fleet.record_failure(now, server);
             self.effects.push(Effect::Publish);
             return;
         };
@@ -411,16 +411,16 @@
             // The report is of another start than the one the log knows.
             return;
         }
-        let was = self.fleet.member(server).is_some_and(|m| m.leaving);
+        let was = self.fleet.get(server).is_some_and(|m| m.leaving);
         self.note_use(now, server, &report);
         let leaving = report.leaving;
-        self.fleet.reported(now, server, report);
+        self.fleet.record_report(now, server, report);
         if leaving && !was {
             self.effects.push(Effect::Publish);
         }
     }
 
-    fn note_use(&mut self, now: Duration, server: &str, report: &Report) {
+    fn note_use(&mut self, now: Duration, server: &str, report: &ServerReport) {
         let slots: Vec<(SlotId, ModelName)> =
             self.state.slots.on_server(server).map(|(id, s)| (id, s.model.clone())).collect();
         for (id, model) in slots {
@@ -434,7 +434,7 @@
             if begun || line.active > 0 {
                 watch.used = now;
                 if let Some(gap) = self.watches.used(now, &model) {
-                    self.keep_warm.returned(&model, gap);
+                    self.keep_warm.record_gap(&model, gap);
                 }
             }
         }
@@ -442,7 +442,7 @@
 
     fn take_answer(&mut self, now: Duration, order: &Order, answer: OrderAnswer) {
         if answer == OrderAnswer::Unknown {
-            self.fleet.failed(now, &order.server);
+            self.fleet.record_failure(now, &order.server);
         }
         self.watches.answered(now, order, answer);
         if answer == OrderAnswer::Stale {
--- a/lib/src/control_slots.rs
+++ b/lib/src/control_slots.rs
@@ -5,14 +5,14 @@
 use crate::control::Controller;
 use crate::event::DecisionKind;
 use crate::event::Effect;
-use crate::host::Action;
 use crate::host::Order;
+use crate::host::OrderAction;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
 use crate::ids::SlotId;
 use crate::ids::order_fence;
-use crate::load_planner::Plan;
-use crate::load_planner::Scene;
+use crate::load_planner::LoadPlanner;
+use crate::load_planner::PlanStep;
 use crate::record::Freed;
 use crate::record::Intent;
 use crate::record::Phase;
@@ -57,8 +57,8 @@
         ids
     }
 
-    fn scene(&self, now: Duration) -> Scene<'_> {
-        Scene {
+    fn scene(&self, now: Duration) -> LoadPlanner<'_> {
+        LoadPlanner {
             now,
             centre: &self.settings.centre,
             state: &self.state,
@@ -82,7 +82,7 @@
         let (model, server) = (slot.model.as_str(), slot.server.as_str());
         match step {
             Step::Load => {
-                self.order(now, id, Action::Load);
+                self.order(now, id, OrderAction::Load);
             }
             Step::Reload => {
                 self.change_phase(id, slot.phase);
@@ -99,7 +99,7 @@
                 }
             }
             Step::Unload(reason) => {
-                if self.order(now, id, Action::Unload) {
+                if self.order(now, id, OrderAction::Unload) {
                     self.log_decision(DecisionKind::Unload, model, server, reason);
                 }
             }
@@ -153,12 +153,12 @@
         }
         for plan in self.scene(now).plan_loads() {
             match plan {
-                Plan::Place { model, server, source, reason } => {
+                PlanStep::Place { model, server, source, reason } => {
                     self.place(now, model, server, source, reason);
                 }
-                Plan::Wake { slot, source, reason } => self.wake(now, slot, source, reason),
-                Plan::Evict { slot, reason } => self.evict(now, slot, reason),
-                Plan::Hold { model, reason } => {
+                PlanStep::Wake { slot, source, reason } => self.wake(now, slot, source, reason),
+                PlanStep::Evict { slot, reason } => self.evict(now, slot, reason),
+                PlanStep::Hold { model, reason } => {
                     if self.logged_holds.insert(model.clone(), reason) != Some(reason) {
                         self.log_decision(DecisionKind::Hold, &model, "", reason);
                     }
@@ -209,8 +209,8 @@
         }
         let fencing = self.state.servers.get(&slot.server).is_some_and(|s| s.fencing);
         let ordered = self.watches.get(id).and_then(|w| w.order);
-        let again = ordered.is_none_or(|o| o.action != Action::Load);
-        if fencing && again && self.order(now, id, Action::Load) {
+        let again = ordered.is_none_or(|o| o.action != OrderAction::Load);
+        if fencing && again && self.order(now, id, OrderAction::Load) {
             self.log_decision(
                 DecisionKind::Wake,
                 &slot.model,
@@ -243,7 +243,7 @@
     ///
     /// Two orders under way at once could arrive in either order, and the engine would refuse the
     /// one with the lesser number.
-    pub(crate) fn order(&mut self, now: Duration, id: SlotId, action: Action) -> bool {
+    pub(crate) fn order(&mut self, now: Duration, id: SlotId, action: OrderAction) -> bool {
         let (Some(lease), Some(slot)) = (self.held_fence(), self.state.slots.get(id)) else {
             return false;
         };
@@ -269,7 +269,7 @@
         };
         // An engine that ignores fencing numbers must get no order after the lease's end; one that
         // heeds them refuses it itself.
-        let until = if server.fencing { None } else { self.authority.until() };
+        let until = if server.fencing { None } else { self.authority.valid_until() };
         self.watches.ordered(now, &order);
         self.effects.push(Effect::Order(order, until));
         true
--- a/lib/src/control_thread.rs
+++ b/lib/src/control_thread.rs
@@ -230,13 +230,13 @@
     }
 
     fn poll(&self, server: SmolStr) {
-        if let Some(member) = self.control.fleet().member(&server) {
+        if let Some(member) = self.control.fleet().get(&server) {
             let _ending = self.outputs.polls.send((server, member.host.addr));
         }
     }
 
     fn order(&self, order: Order, until: Option<Duration>) {
-        if let Some(member) = self.control.fleet().member(&order.server) {
+        if let Some(member) = self.control.fleet().get(&order.server) {
             let _ending = self.outputs.orders.send((member.host.addr, order, until));
         }
     }
@@ -333,7 +333,7 @@
         let holders: Vec<_> = state.leases.values().map(|l| &l.daemon).collect();
         self.control
             .fleet()
-            .with_role(crate::host::Role::Entry)
+            .with_role(crate::host::HostRole::Entry)
             .filter(|m| m.host.id != self.node.settings.id)
             .filter(|m| {
                 (all && m.host.centre == *centre) || (busy && holders.contains(&&m.host.id))
--- a/lib/src/control_tick.rs
+++ b/lib/src/control_tick.rs
@@ -7,14 +7,14 @@
 use crate::control::Controller;
 use crate::event::DecisionKind;
 use crate::event::Effect;
-use crate::fleet::Member;
-use crate::host::Action;
+use crate::fleet::HostState;
 use crate::host::Host;
-use crate::host::Role;
+use crate::host::HostRole;
+use crate::host::OrderAction;
 use crate::ids::ModelName;
 use crate::ids::Offset;
 use crate::ids::SlotId;
-use crate::lease::RENEW_EVERY;
+use crate::lease::RENEW_INTERVAL;
 use crate::record::Bid;
 use crate::record::Phase;
 use crate::record::Record;
@@ -96,7 +96,7 @@
             return;
         }
         if self.held_fence().is_some() {
-            let due = self.authority.renewal_due(now, RENEW_EVERY);
+            let due = self.authority.renewal_due(now, RENEW_INTERVAL);
             if due && !self.appender.any_pending(|r| *r == Record::Renew) {
                 self.appender.push(Record::Renew);
             }
@@ -104,7 +104,7 @@
         }
         let patience = BID_SPREAD.mul_f64((self.spread() % 100) as f64 / 100.0);
         let centre = self.settings.centre.clone();
-        let Some(seen) = self.authority.bid(now, &centre, patience) else {
+        let Some(seen) = self.authority.due_bid(now, &centre, patience) else {
             return;
         };
         // A queued bid that names an old renewal can no longer win.
@@ -143,11 +143,11 @@
 
     /// Writes to the log which backend servers there are.
     fn state_hosts(&mut self) {
-        if !self.fleet.is_known() {
+        if !self.fleet.has_host_list() {
             return;
         }
         let mut records = Vec::new();
-        for member in self.fleet.with_role(Role::Engine) {
+        for member in self.fleet.with_role(HostRole::Engine) {
             if member.host.centre != self.settings.centre {
                 continue;
             }
@@ -157,7 +157,7 @@
             }
         }
         for (id, server) in &self.state.servers {
-            if self.fleet.member(id).is_none() && self.answers_for(&server.centre) {
+            if self.fleet.get(id).is_none() && self.answers_for(&server.centre) {
                 records.push(Record::Gone(id.clone(), server.incarnation));
             }
         }
@@ -173,14 +173,14 @@
     fn answers_for(&self, centre: &str) -> bool {
         centre == self.settings.centre
             || self.state.leases.get(centre).is_none_or(|lease| {
-                self.fleet.is_known() && self.fleet.member(&lease.daemon).is_none()
+                self.fleet.has_host_list() && self.fleet.get(&lease.daemon).is_none()
             })
     }
 
     fn poll_servers(&mut self, now: Duration) {
-        let members = self.local_servers.iter().filter_map(|id| self.fleet.member(id));
+        let members = self.local_servers.iter().filter_map(|id| self.fleet.get(id));
         let due: Vec<_> = members
-            .filter(|m| m.polled.is_none_or(|at| now >= at + self.poll_period(m)))
+            .filter(|m| m.polled_at.is_none_or(|at| now >= at + self.poll_period(m)))
             .map(|m| m.host.id.clone())
             .collect();
         for id in due {
@@ -189,7 +189,7 @@
         }
     }
 
-    fn poll_period(&self, member: &Member) -> Duration {
+    fn poll_period(&self, member: &HostState) -> Duration {
         let slots = || self.state.slots.on_server(&member.host.id);
         if slots().any(|(id, s)| self.is_loading(id, s)) {
             return LOADING_POLL;
@@ -201,9 +201,9 @@
 
     fn is_loading(&self, id: SlotId, slot: &Slot) -> bool {
         let woken = || {
-            self.watches
-                .get(id)
-                .is_some_and(|w| !w.loaded && w.order.is_some_and(|o| o.action == Action::Load))
+            self.watches.get(id).is_some_and(|w| {
+                !w.loaded && w.order.is_some_and(|o| o.action == OrderAction::Load)
+            })
         };
         slot.phase.is_loading() || (slot.phase == Phase::Reserved && woken())
     }
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -16,7 +16,7 @@
 use thiserror::Error;
 use tiny_http::Server;
 
-use crate::backend_client::Exchange;
+use crate::backend_client::BackendClient;
 use crate::control::ControlSettings;
 use crate::control::Controller;
 use crate::control_thread::Shell;
@@ -137,7 +137,7 @@
         incarnation: Incarnation,
         sockets: Sockets,
         borders: &Borders,
-        exchange: Arc<dyn Exchange>,
+        exchange: Arc<dyn BackendClient>,
         log: Logger,
     ) -> Result<Self, StartError> {
         let control = ControlSettings {
--- a/lib/src/decision_log.rs
+++ b/lib/src/decision_log.rs
@@ -13,7 +13,7 @@
 
 /// One decision.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct LoggedDecision {
     /// Seconds since the daemon's start.
     pub at: f64,
     /// The request's id; empty for decisions of control.
@@ -30,13 +30,13 @@
 
 /// A bounded list of decisions.
 #[derive(Debug, Default)]
-pub struct Journal {
-    lines: Mutex<VecDeque<Line>>,
+pub struct DecisionLog {
+    lines: Mutex<VecDeque<LoggedDecision>>,
 }
 
-impl Journal {
+impl DecisionLog {
     /// Adds a decision and forgets the oldest past the bound.
-    pub fn add(&self, now: Duration, mut line: Line) {
+    pub fn add(&self, now: Duration, mut line: LoggedDecision) {
         line.at = now.as_secs_f64();
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         if lines.len() >= KEPT {
@@ -46,7 +46,7 @@
     }
 
     /// Returns the decisions about a request, model, backend server or data centre, oldest first.
-    pub fn about(&self, id: &str) -> Vec<Line> {
+    pub fn find(&self, id: &str) -> Vec<LoggedDecision> {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines
             .iter()
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use crate::backend_client::Call;
 use crate::backend_client::Failure;
-use crate::backend_client::Fault;
-use crate::caller_request::Job;
+use crate::backend_client::FailureKind;
+use crate::backend_client::ServerRequest;
+use crate::caller_request::CallerRequest;
 use crate::ids::ServerId;
 use crate::node::Node;
 use crate::queue::Refusal;
@@ -64,8 +64,8 @@
 /// The request is refused, or its caller is gone.
 pub fn dispatch<T>(
     node: &Node,
-    job: &Job,
-    mut attempt: impl FnMut(&Route, &Call) -> Result<T, AttemptError>,
+    job: &CallerRequest,
+    mut attempt: impl FnMut(&Route, &ServerRequest) -> Result<T, AttemptError>,
 ) -> Result<T, DispatchError> {
     let mut history =
         History { attempts: 0, failures: 0, verdict: Verdict::DidNotRun, tried: Vec::new() };
@@ -92,28 +92,28 @@
     }
 }
 
-fn call_of(job: &Job, attempt: u32) -> Call {
-    Call {
+fn call_of(job: &CallerRequest, attempt: u32) -> ServerRequest {
+    ServerRequest {
         method: job.method.clone(),
         path: job.path.clone(),
         content_type: job.content_type.clone(),
         body: job.body.clone(),
-        attempt: format!("{}.{attempt}", job.id),
-        resume: 0,
+        attempt_id: format!("{}.{attempt}", job.id),
+        resume_from: 0,
         priority: job.priority,
     }
 }
 
-fn note_failure(node: &Node, job: &Job, route: &Route, failure: &Failure) {
+fn note_failure(node: &Node, job: &CallerRequest, route: &Route, failure: &Failure) {
     let now = node.now();
-    match failure.fault {
-        Fault::Leaving => node.router().left(now, &route.server),
-        Fault::NotLoaded => node.router().missed(now, &route.server, job.model()),
-        Fault::Unreachable | Fault::Stalled => node.router().failed(now, &route.server),
-        Fault::Refused => node.router().answered(now, &route.server, job.model(), None),
-        Fault::Truncated | Fault::Faulted | Fault::Crossed => {}
+    match failure.kind {
+        FailureKind::Leaving => node.router().left(now, &route.server),
+        FailureKind::NotLoaded => node.router().missed(now, &route.server, job.model()),
+        FailureKind::Unreachable | FailureKind::Stalled => node.router().failed(now, &route.server),
+        FailureKind::Refused => node.router().answered(now, &route.server, job.model(), None),
+        FailureKind::Truncated | FailureKind::ServerError | FailureKind::WrongAttempt => {}
     }
-    let reason = format!("{} {}: {}", failure.verdict, failure.fault.as_str(), failure.detail);
+    let reason = format!("{} {}: {}", failure.verdict, failure.kind.as_str(), failure.detail);
     node.note_request(&job.id, job.model(), "fail", &route.server, reason);
 }
 
@@ -121,7 +121,12 @@
 ///
 /// A request that may not be repeated gets one only if no earlier attempt may have run. A refusal
 /// before running costs the backend server nothing and needs no budget.
-fn may_retry(node: &Node, job: &Job, history: &History, failure: &Failure) -> Result<(), Refused> {
+fn may_retry(
+    node: &Node,
+    job: &CallerRequest,
+    history: &History,
+    failure: &Failure,
+) -> Result<(), Refused> {
     let refused = |code, message: String| Refused {
         status: if history.verdict == Verdict::DidNotRun { 503 } else { 502 },
         verdict: history.verdict,
@@ -134,7 +139,8 @@
         return Err(Refused { retry: None, ..refused("may-have-run", message) });
     }
     // What was refused before running cost nothing; the deadline bounds it.
-    if matches!(failure.fault, Fault::Refused | Fault::Leaving | Fault::NotLoaded) {
+    if matches!(failure.kind, FailureKind::Refused | FailureKind::Leaving | FailureKind::NotLoaded)
+    {
         return Ok(());
     }
     if history.failures >= MAX_FAILURES {
@@ -147,7 +153,7 @@
 }
 
 /// Returns a replica with room, after waiting for one if need be.
-fn find_route(node: &Node, job: &Job, history: &mut History) -> Result<Route, Refused> {
+fn find_route(node: &Node, job: &CallerRequest, history: &mut History) -> Result<Route, Refused> {
     let began = node.now();
     let mut woken = false;
     loop {
@@ -158,7 +164,7 @@
         let route = if overtakes { None } else { node.router().choose(now, &view, wish) };
         if let Some(route) = route {
             if woken {
-                node.pace().turned(now, job.model(), job.priority);
+                node.pace().record_dequeue(now, job.model(), job.priority);
                 node.metrics.waited(job.model(), now.saturating_sub(began));
             }
             return Ok(route);
@@ -192,19 +198,19 @@
 ///
 /// For a cold model it is the least that a load can take; for others it follows from the pace of the
 /// queue.
-fn expected_wait(node: &Node, now: Duration, job: &Job, waiter: &Waiter) -> Duration {
+fn expected_wait(node: &Node, now: Duration, job: &CallerRequest, waiter: &Waiter) -> Duration {
     let view = node.view.load();
     let cold = view.places(job.model()).is_empty() && !view.loading.contains(job.model());
     if cold && job.row.is_loaded() {
         return node.loading_rates().expected(job.row.load_mib, Source::Memory);
     }
     let ahead = node.waiting.ahead(waiter);
-    node.pace().expected(now, job.model(), job.priority, ahead)
+    node.pace().expected_wait(now, job.model(), job.priority, ahead)
 }
 
 fn refuse(
     node: &Node,
-    job: &Job,
+    job: &CallerRequest,
     history: &History,
     refusal: Refusal,
     expected: Duration,
@@ -215,7 +221,7 @@
         _ if cold => node.loading_rates().expected(job.row.load_mib, Source::Disk),
         _ => {
             let now = node.now();
-            let back = node.pace().come_back(now, job.model(), job.priority, expected);
+            let back = node.pace().retry_after(now, job.model(), job.priority, expected);
             back.max(COME_BACK)
         }
     };
--- a/lib/src/engine_control.rs
+++ b/lib/src/engine_control.rs
@@ -8,7 +8,7 @@
 
 use crate::host::Order;
 use crate::host::OrderAnswer;
-use crate::host::Report;
+use crate::host::ServerReport;
 
 /// Longest wait for a report or for the answer to an order, in whole seconds.
 const TIMEOUT_S: u64 = 2;
@@ -25,7 +25,7 @@
     /// # Errors
     ///
     /// The engine did not answer.
-    fn report(&self, addr: SocketAddr) -> Result<Report, ReportError>;
+    fn report(&self, addr: SocketAddr) -> Result<ServerReport, ReportError>;
 
     /// Gives an order. A load goes on after the answer and shows in the reports.
     fn send_order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer;
@@ -36,7 +36,7 @@
 pub struct HttpEngineControl;
 
 impl EngineControl for HttpEngineControl {
-    fn report(&self, addr: SocketAddr) -> Result<Report, ReportError> {
+    fn report(&self, addr: SocketAddr) -> Result<ServerReport, ReportError> {
         let response = minreq::get(format!("http://{addr}/report"))
             .with_timeout(TIMEOUT_S)
             .with_follow_redirects(false)
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -11,7 +11,7 @@
 use crate::host::Host;
 use crate::host::Order;
 use crate::host::OrderAnswer;
-use crate::host::Report;
+use crate::host::ServerReport;
 use crate::ids::ClaimKey;
 use crate::ids::DaemonId;
 use crate::ids::ModelName;
@@ -44,7 +44,7 @@
     /// A complete host list.
     Hosts(Vec<Host>),
     /// An engine's load report; none where it did not answer.
-    Report(ServerId, Option<Report>),
+    Report(ServerId, Option<ServerReport>),
     /// An engine's answer to an order.
     Ordered(Order, OrderAnswer),
     /// A daemon's waiting requests.
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -8,29 +8,29 @@
 
 use crate::failure_backoff::Suspicion;
 use crate::host::Host;
-use crate::host::Report;
-use crate::host::Role;
+use crate::host::HostRole;
+use crate::host::ServerReport;
 use crate::ids::Incarnation;
 use crate::ids::ServerId;
 
 /// What is known of one host.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct HostState {
     /// The host list's line.
     pub host: Host,
     /// Whether the host list or the host itself says that it leaves.
     pub leaving: bool,
     /// Last report and when it came.
-    pub report: Option<(Duration, Report)>,
+    pub report: Option<(Duration, ServerReport)>,
     /// When the last report was asked for.
-    pub polled: Option<Duration>,
+    pub polled_at: Option<Duration>,
     suspicion: Suspicion,
 }
 
-impl Member {
+impl HostState {
     fn new(host: Host) -> Self {
         let leaving = host.leaving;
-        Self { host, leaving, report: None, polled: None, suspicion: Suspicion::default() }
+        Self { host, leaving, report: None, polled_at: None, suspicion: Suspicion::default() }
     }
 
     /// Returns whether the host failed several times and is left alone for now.
@@ -47,7 +47,7 @@
 /// All hosts of the host list.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    members: BTreeMap<ServerId, Member>,
+    members: BTreeMap<ServerId, HostState>,
     known: bool,
 }
 
@@ -58,7 +58,7 @@
         let mut old = std::mem::take(&mut self.members);
         for host in hosts {
             let kept = old.remove(&host.id).filter(|m| m.host.incarnation == host.incarnation);
-            let mut member = kept.unwrap_or_else(|| Member::new(host.clone()));
+            let mut member = kept.unwrap_or_else(|| HostState::new(host.clone()));
             // A host that said itself that it leaves does not come back by a lagging list.
             member.leaving |= host.leaving;
             member.host = host;
@@ -68,29 +68,29 @@
     }
 
     /// Returns whether a host list was read at least once.
-    pub fn is_known(&self) -> bool {
+    pub fn has_host_list(&self) -> bool {
         self.known
     }
 
     /// Returns what is known of `id`.
-    pub fn member(&self, id: &str) -> Option<&Member> {
+    pub fn get(&self, id: &str) -> Option<&HostState> {
         self.members.get(id)
     }
 
     /// Iterates over the hosts with `role`.
-    pub fn with_role(&self, role: Role) -> impl Iterator<Item = &Member> {
+    pub fn with_role(&self, role: HostRole) -> impl Iterator<Item = &HostState> {
         self.members.values().filter(move |m| m.host.role == role)
     }
 
     /// Notes that a report of `id` is being asked for.
     pub fn polled(&mut self, now: Duration, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
-            member.polled = Some(now);
+            member.polled_at = Some(now);
         }
     }
 
     /// Notes a load report.
-    pub fn reported(&mut self, now: Duration, id: &str, report: Report) {
+    pub fn record_report(&mut self, now: Duration, id: &str, report: ServerReport) {
         if let Some(member) = self.members.get_mut(id) {
             member.leaving |= report.leaving;
             member.suspicion.answered();
@@ -99,7 +99,7 @@
     }
 
     /// Notes that a connection or report failed.
-    pub fn failed(&mut self, now: Duration, id: &str) {
+    pub fn record_failure(&mut self, now: Duration, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
             member.suspicion.failed(now);
         }
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -20,13 +20,13 @@
 
 use crate::admin;
 use crate::caller_request;
-use crate::caller_request::Wishes;
+use crate::caller_request::RequestOptions;
 use crate::chat;
 use crate::chat::ChatRequest;
 use crate::node::Node;
 use crate::reply;
 use crate::reply::Refused;
-use crate::request_limits::Limit;
+use crate::request_limits::RequestLimit;
 use crate::services;
 
 /// A caller that reads nothing for this long is gone.
@@ -128,9 +128,9 @@
         reply::send_refused(request, &id, &refused);
         return;
     }
-    let entered = node.limits().enter(&caller);
+    let entered = node.limits().acquire(&caller);
     if let Err(limit) = entered {
-        let status = if limit == Limit::Caller { 429 } else { 503 };
+        let status = if limit == RequestLimit::Caller { 429 } else { 503 };
         let message = "too many requests are in progress";
         let refused = Refused::later(status, limit.as_str(), message, LIMIT_RETRY);
         node.metrics.refused(refused.code);
@@ -138,11 +138,11 @@
         return;
     }
     handler(node, &id, request);
-    node.limits().leave(&caller);
+    node.limits().release(&caller);
 }
 
 fn serve_chat(node: &Node, id: &SmolStr, mut request: Request) {
-    let read = Wishes::read(node, &request, node.now()).and_then(|wishes| {
+    let read = RequestOptions::parse(node, &request, node.now()).and_then(|wishes| {
         let body = caller_request::read_body(node, &mut request)?;
         ChatRequest::parse(node, id.clone(), &request, wishes, body)
     });
@@ -153,7 +153,7 @@
 }
 
 fn serve_service(node: &Node, id: &SmolStr, mut request: Request) {
-    let read = Wishes::read(node, &request, node.now()).and_then(|wishes| {
+    let read = RequestOptions::parse(node, &request, node.now()).and_then(|wishes| {
         let body = caller_request::read_body(node, &mut request)?;
         services::read(node, id.clone(), &request, wishes, body)
     });
--- a/lib/src/hints.rs
+++ b/lib/src/hints.rs
@@ -11,11 +11,11 @@
 
 /// The last hints of each daemon.
 #[derive(Debug, Default)]
-pub struct HintBook {
+pub struct HintTable {
     daemons: BTreeMap<DaemonId, (Duration, Vec<Hint>)>,
 }
 
-impl HintBook {
+impl HintTable {
     /// Replaces a daemon's hints; returns whether they differ from before.
     pub fn take(&mut self, now: Duration, daemon: DaemonId, hints: Vec<Hint>) -> bool {
         let changed = self.daemons.get(&daemon).is_none_or(|(_, old)| *old != hints);
--- a/lib/src/host.rs
+++ b/lib/src/host.rs
@@ -19,7 +19,7 @@
 /// What runs on a host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Role {
+pub enum HostRole {
     /// A daemon.
     Entry,
     /// A model engine.
@@ -34,7 +34,7 @@
     /// Its name.
     pub id: SmolStr,
     /// What runs on it.
-    pub role: Role,
+    pub role: HostRole,
     /// Where it answers: HTTP for back ends, the peer exchange for daemons.
     pub addr: SocketAddr,
     /// Its data centre.
@@ -68,7 +68,7 @@
 
 /// A checkpoint that an engine need not fetch from the weight store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Cached {
+pub struct CachedCheckpoint {
     /// The model.
     pub model: ModelName,
     /// Where its checkpoint is.
@@ -77,7 +77,7 @@
 
 /// An engine's load report. It lags behind what the engine does.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Report {
+pub struct ServerReport {
     /// The engine's start count.
     pub incarnation: Incarnation,
     /// Largest fencing number seen.
@@ -87,10 +87,10 @@
     /// Models that are loaded or loading.
     pub models: Vec<ModelReport>,
     /// Checkpoints in memory or on disk.
-    pub cached: Vec<Cached>,
+    pub cached: Vec<CachedCheckpoint>,
 }
 
-impl Report {
+impl ServerReport {
     /// Returns what it says of `model`.
     pub fn model(&self, model: &str) -> Option<&ModelReport> {
         self.models.iter().find(|m| m.model == model)
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Order {
     /// What to do.
-    pub action: Action,
+    pub action: OrderAction,
     /// The backend server.
     pub server: ServerId,
     /// Incarnation that it is meant for.
@@ -133,7 +133,7 @@
 /// What an order asks for.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Action {
+pub enum OrderAction {
     /// Start to load a model.
     Load,
     /// Unload a model, unless requests are in progress.
--- a/lib/src/keep_warm.rs
+++ b/lib/src/keep_warm.rs
@@ -27,7 +27,7 @@
 
 /// How the keep-warm time is chosen.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Policy {
+pub enum KeepWarmPolicy {
     /// From return times and the idle price.
     Learned,
     /// The same for every model; the baselines.
@@ -71,13 +71,13 @@
 /// Return times of all models.
 #[derive(Debug)]
 pub struct KeepWarm {
-    policy: Policy,
+    policy: KeepWarmPolicy,
     models: BTreeMap<ModelName, Returns>,
 }
 
 impl KeepWarm {
     /// Creates an empty history.
-    pub fn new(policy: Policy) -> Self {
+    pub fn new(policy: KeepWarmPolicy) -> Self {
         Self { policy, models: BTreeMap::new() }
     }
 
@@ -85,7 +85,7 @@
     ///
     /// Gaps inside a burst are left out: every keep-warm time covers them, and they would crowd
     /// out the rare long ones.
-    pub fn returned(&mut self, model: &ModelName, gap: Duration) {
+    pub fn record_gap(&mut self, model: &ModelName, gap: Duration) {
         if gap.as_secs_f64() < EDGES[0] {
             return;
         }
@@ -96,8 +96,8 @@
     ///
     /// `cold` is the expected cold start and `idle_price` the cold-start seconds that one idle
     /// accelerator hour is worth.
-    pub fn keep(&self, model: &str, cold: Duration, idle_price: f64) -> Duration {
-        if let Policy::Fixed(time) = self.policy {
+    pub fn keep_time(&self, model: &str, cold: Duration, idle_price: f64) -> Duration {
+        if let KeepWarmPolicy::Fixed(time) = self.policy {
             return time;
         }
         let shares =
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -13,37 +13,37 @@
 use crate::replicated_state::Lease;
 
 /// Time for which a renewal gives authority.
-pub const LEASE: Duration = Duration::from_secs(9);
+pub const LEASE_TTL: Duration = Duration::from_secs(9);
 /// Largest difference of two daemons' clock rates that the margin covers, in percent.
 pub const DRIFT_PERCENT: u32 = 2;
 /// Time without a renewal after which another daemon may bid.
 pub const BID_AFTER: Duration = Duration::from_secs(12);
 /// Time between renewals.
-pub const RENEW_EVERY: Duration = Duration::from_secs(3);
+pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Authority over data centres, on this daemon's own monotonic clock.
 #[derive(Debug, Default)]
-pub struct Authority {
+pub struct LeaseAuthority {
     /// When the last renewal that was read back was sent.
     sent: Option<Duration>,
     /// Last renewal seen of each data centre, and when it was read.
     seen: BTreeMap<CentreId, (Position, Duration)>,
 }
 
-impl Authority {
+impl LeaseAuthority {
     /// Notes that a bid or renewal of this daemon was accepted; `sent` is before its append.
-    pub fn renewed(&mut self, sent: Duration) {
+    pub fn record_renewal(&mut self, sent: Duration) {
         self.sent = Some(self.sent.map_or(sent, |old| old.max(sent)));
     }
 
     /// Returns whether leases that the log still names as this daemon's give authority now.
     pub fn is_valid(&self, now: Duration) -> bool {
-        self.until().is_some_and(|until| now < until)
+        self.valid_until().is_some_and(|until| now < until)
     }
 
     /// Returns when the authority ends.
-    pub fn until(&self) -> Option<Duration> {
-        self.sent.map(|sent| sent + LEASE)
+    pub fn valid_until(&self) -> Option<Duration> {
+        self.sent.map(|sent| sent + LEASE_TTL)
     }
 
     /// Returns whether the last renewal that was read back is older than `period`.
@@ -67,7 +67,7 @@
     ///
     /// A lease without a holder is free at once. `patience` spreads the bids of the daemons of one
     /// data centre.
-    pub fn bid(&self, now: Duration, centre: &str, patience: Duration) -> Option<Position> {
+    pub fn due_bid(&self, now: Duration, centre: &str, patience: Duration) -> Option<Position> {
         let (position, since) = *self.seen.get(centre)?;
         let wait = if position == 0 { patience } else { BID_AFTER + patience };
         (now >= since + wait).then_some(position)
@@ -77,7 +77,7 @@
     ///
     /// Called when the log was silent: a renewal may stand unread, and only time in which this
     /// daemon could have read one counts against a holder.
-    pub fn restart_waits(&mut self, now: Duration) {
+    pub fn restart_bid_timers(&mut self, now: Duration) {
         for (_, since) in self.seen.values_mut() {
             *since = now;
         }
--- a/lib/src/load_planner.rs
+++ b/lib/src/load_planner.rs
@@ -13,8 +13,8 @@
 use crate::demand::Demand;
 use crate::demand::DemandTotal;
 use crate::fleet::Fleet;
-use crate::fleet::Member;
-use crate::host::Role;
+use crate::fleet::HostState;
+use crate::host::HostRole;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
 use crate::ids::SlotId;
@@ -34,13 +34,13 @@
 /// Longest such wait.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 /// Weight-store loads that run at full speed at once.
-pub const STORE_PARALLEL: usize = 4;
+pub const MAX_STORE_LOADS: usize = 4;
 /// Factor on the load time of an engine that ignores fencing numbers: fencing ones are preferred.
 const UNFENCED: f64 = 1.25;
 
 /// What placement looks at.
 #[derive(Debug)]
-pub struct Scene<'a> {
+pub struct LoadPlanner<'a> {
     /// Now.
     pub now: Duration,
     /// The data centre whose backend servers may be chosen.
@@ -59,7 +59,7 @@
 
 /// A planned step towards a loaded replica.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Plan {
+pub enum PlanStep {
     /// Reserve a slot and load.
     Place {
         /// The model.
@@ -97,14 +97,14 @@
 }
 
 struct Candidate<'a> {
-    member: &'a Member,
+    member: &'a HostState,
     source: Source,
     time: Duration,
 }
 
-impl Scene<'_> {
+impl LoadPlanner<'_> {
     /// Plans loads for the models that requests wait for, the most urgent first.
-    pub fn plan_loads(&self) -> Vec<Plan> {
+    pub fn plan_loads(&self) -> Vec<PlanStep> {
         let mut wanted = self.wanted();
         wanted.sort_by(|a, b| b.2.total_cmp(&a.2).then_with(|| a.0.name.cmp(&b.0.name)));
         let mut remote = self.remote_loads();
@@ -113,7 +113,7 @@
             let Some(plan) = self.plan_model(row, total, remote) else {
                 continue;
             };
-            if let Plan::Place { source, .. } | Plan::Wake { source, .. } = &plan {
+            if let PlanStep::Place { source, .. } | PlanStep::Wake { source, .. } = &plan {
                 remote += usize::from(*source == Source::Remote);
             }
             plans.push(plan);
@@ -128,7 +128,7 @@
     ///
     /// The load is unloaded again soon; what it leaves on the server's disk is there for the
     /// model's first callers, who would wait for the weight store otherwise.
-    fn plan_prime(&self) -> Option<Plan> {
+    fn plan_prime(&self) -> Option<PlanStep> {
         let rows = self.state.table.iter().map(|v| &v.row);
         let models = rows.filter(|r| matches!(r.kind, Kind::Model | Kind::Version));
         models.filter(|r| r.replicas > 0 && self.primes(r)).find_map(|row| {
@@ -146,28 +146,28 @@
         self.state.leases.keys().max_by_key(|c| score(c)).is_some_and(|c| *c == self.centre)
     }
 
-    fn prime_slot(&self, row: &Row, slot: SlotId, place: &Slot) -> Option<Plan> {
+    fn prime_slot(&self, row: &Row, slot: SlotId, place: &Slot) -> Option<PlanStep> {
         if place.phase != Phase::Reserved || place.memory_mib != row.memory_mib {
             return None;
         }
-        let member = self.fleet.member(&place.server)?;
+        let member = self.fleet.get(&place.server)?;
         let local = member.host.centre == self.centre && member.is_usable(self.now);
         let far = member.report.is_some() && source_on(member, row) == Source::Remote;
         let (source, reason) = (Source::Remote, FETCH.into());
-        let wake = Plan::Wake { slot, source, reason };
+        let wake = PlanStep::Wake { slot, source, reason };
         (local && far && !self.is_giving(slot)).then_some(wake)
     }
 
-    fn prime_anew(&self, row: &Row) -> Option<Plan> {
+    fn prime_anew(&self, row: &Row) -> Option<PlanStep> {
         let reported = self.local().all(|m| m.report.is_some());
         if !reported || self.best_source(row) != Source::Remote {
             return None;
         }
-        let fits = |m: &&Member| {
+        let fits = |m: &&HostState| {
             self.state.servers.contains_key(&m.host.id) && self.free_mib(m) >= row.memory_mib
         };
         let member = self.local().filter(fits).max_by_key(|m| self.free_mib(m))?;
-        Some(Plan::Place {
+        Some(PlanStep::Place {
             model: row.name.clone(),
             server: member.host.id.clone(),
             source: Source::Remote,
@@ -204,9 +204,9 @@
         self.local().map(|m| source_on(m, row)).min().unwrap_or(Source::Remote)
     }
 
-    fn local(&self) -> impl Iterator<Item = &Member> {
+    fn local(&self) -> impl Iterator<Item = &HostState> {
         self.fleet
-            .with_role(Role::Engine)
+            .with_role(HostRole::Engine)
             .filter(|m| m.host.centre == self.centre && m.is_usable(self.now))
     }
 
@@ -215,7 +215,7 @@
         self.state.slots.moving().filter(|(_, s)| s.phase == remote).count()
     }
 
-    fn plan_model(&self, row: &Row, total: DemandTotal, remote: usize) -> Option<Plan> {
+    fn plan_model(&self, row: &Row, total: DemandTotal, remote: usize) -> Option<PlanStep> {
         let slots: Vec<(SlotId, &Slot)> = self.state.slots_of(&row.name).collect();
         let warm = slots.iter().filter(|(id, s)| self.is_warm(*id, s)).count();
         let needed = (total.count as usize).div_ceil(row.limit as usize).max(1);
@@ -223,12 +223,12 @@
             return None;
         }
         let plan = self.plan_wake(row, &slots).or_else(|| self.plan_place(row, total, &slots))?;
-        if let Plan::Place { source, .. } | Plan::Wake { source, .. } = &plan
+        if let PlanStep::Place { source, .. } | PlanStep::Wake { source, .. } = &plan
             && *source == Source::Remote
-            && remote >= STORE_PARALLEL
+            && remote >= MAX_STORE_LOADS
         {
             let model = row.name.clone();
-            return Some(Plan::Hold { model, reason: "weight store is busy" });
+            return Some(PlanStep::Hold { model, reason: "weight store is busy" });
         }
         Some(plan)
     }
@@ -237,26 +237,26 @@
     fn is_warm(&self, id: SlotId, slot: &Slot) -> bool {
         let phase = matches!(slot.phase, Phase::Loading(_) | Phase::Loaded);
         let woken = self.watches.get(id).and_then(|w| w.order).is_some_and(|o| {
-            o.action == crate::host::Action::Load && slot.phase == Phase::Reserved
+            o.action == crate::host::OrderAction::Load && slot.phase == Phase::Reserved
         });
-        let leaving = self.fleet.member(&slot.server).is_some_and(|m| m.leaving);
+        let leaving = self.fleet.get(&slot.server).is_some_and(|m| m.leaving);
         (phase || woken) && !leaving
     }
 
-    fn plan_wake(&self, row: &Row, slots: &[(SlotId, &Slot)]) -> Option<Plan> {
+    fn plan_wake(&self, row: &Row, slots: &[(SlotId, &Slot)]) -> Option<PlanStep> {
         slots
             .iter()
             .filter(|(id, s)| s.phase == Phase::Reserved && !self.is_giving(*id))
             .filter(|(_, s)| s.memory_mib == row.memory_mib)
             .filter_map(|(id, s)| {
-                let member = self.fleet.member(&s.server)?;
+                let member = self.fleet.get(&s.server)?;
                 let local = member.host.centre == self.centre && member.is_usable(self.now);
                 (local && self.has_base(row, &s.server)).then(|| (source_on(member, row), *id))
             })
             .min()
             .map(|(source, slot)| {
                 let reason = format!("reserved here, checkpoint in {}", name_of(source));
-                Plan::Wake { slot, source, reason }
+                PlanStep::Wake { slot, source, reason }
             })
     }
 
@@ -264,7 +264,12 @@
         self.watches.get(slot).is_some_and(|w| w.giving)
     }
 
-    fn plan_place(&self, row: &Row, total: DemandTotal, slots: &[(SlotId, &Slot)]) -> Option<Plan> {
+    fn plan_place(
+        &self,
+        row: &Row,
+        total: DemandTotal,
+        slots: &[(SlotId, &Slot)],
+    ) -> Option<PlanStep> {
         if slots.len() >= row.replicas as usize {
             return None;
         }
@@ -279,13 +284,13 @@
         let best = candidates.first()?;
         if self.now < total.since + self.patience(best.time) {
             let model = row.name.clone();
-            return Some(Plan::Hold { model, reason: "a nearer checkpoint may bid first" });
+            return Some(PlanStep::Hold { model, reason: "a nearer checkpoint may bid first" });
         }
         let fits = candidates.iter().find(|c| self.free_mib(c.member) >= row.memory_mib);
         let Some(found) = fits else {
             return self.plan_evict(row, &candidates);
         };
-        Some(Plan::Place {
+        Some(PlanStep::Place {
             model: row.name.clone(),
             server: found.member.host.id.clone(),
             source: found.source,
@@ -298,7 +303,7 @@
         })
     }
 
-    fn candidate<'b>(&self, member: &'b Member, row: &Row) -> Candidate<'b> {
+    fn candidate<'b>(&self, member: &'b HostState, row: &Row) -> Candidate<'b> {
         let source = source_on(member, row);
         let time = self.rates.expected(row.load_mib, source);
         let factor = if member.host.fencing { 1.0 } else { UNFENCED };
@@ -310,7 +315,7 @@
         self.free_mib(b.member).cmp(&self.free_mib(a.member))
     }
 
-    fn free_mib(&self, member: &Member) -> u64 {
+    fn free_mib(&self, member: &HostState) -> u64 {
         member.host.memory_mib.saturating_sub(self.state.taken_mib(&member.host.id))
     }
 
@@ -331,8 +336,8 @@
     }
 
     /// Chooses an idle slot whose memory makes room for `row`, the longest unused first.
-    fn plan_evict(&self, row: &Row, candidates: &[Candidate<'_>]) -> Option<Plan> {
-        let hold = |reason| Some(Plan::Hold { model: row.name.clone(), reason });
+    fn plan_evict(&self, row: &Row, candidates: &[Candidate<'_>]) -> Option<PlanStep> {
+        let hold = |reason| Some(PlanStep::Hold { model: row.name.clone(), reason });
         for candidate in candidates {
             let server = &candidate.member.host.id;
             let on_server = || self.state.slots.on_server(server);
@@ -347,7 +352,7 @@
             });
             if let Some((slot, _)) = idle {
                 let reason = format!("{} needs the memory", row.name);
-                return Some(Plan::Evict { slot, reason });
+                return Some(PlanStep::Evict { slot, reason });
             }
         }
         hold("no memory is free")
@@ -357,7 +362,7 @@
         if self.is_giving(id) || self.demand.total(&slot.model).is_some() {
             return false;
         }
-        if self.carries_adapter(slot) {
+        if self.is_adapter_base(slot) {
             return false;
         }
         match slot.phase {
@@ -368,7 +373,7 @@
     }
 
     /// Returns whether an adapter on the same server needs `slot`'s model.
-    pub fn carries_adapter(&self, slot: &Slot) -> bool {
+    pub fn is_adapter_base(&self, slot: &Slot) -> bool {
         self.state
             .slots
             .on_server(&slot.server)
@@ -378,7 +383,7 @@
     }
 }
 
-fn source_on(member: &Member, row: &Row) -> Source {
+fn source_on(member: &HostState, row: &Row) -> Source {
     member.report.as_ref().map_or(Source::Remote, |(_, report)| report.source(&row.name))
 }
 
--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -15,10 +15,10 @@
 use slog::Logger;
 use smol_str::SmolStr;
 
-use crate::backend_client::Exchange;
-use crate::claim_outcomes::Outcomes;
-use crate::decision_log::Journal;
-use crate::decision_log::Line;
+use crate::backend_client::BackendClient;
+use crate::claim_outcomes::ClaimOutcomes;
+use crate::decision_log::DecisionLog;
+use crate::decision_log::LoggedDecision;
 use crate::event::ClaimAnswer;
 use crate::event::Decision;
 use crate::event::DecisionKind;
@@ -31,14 +31,14 @@
 use crate::metrics::Metrics;
 use crate::record::Entry;
 use crate::replicated_state::State;
-use crate::request_limits::Limits;
+use crate::request_limits::RequestLimits;
 use crate::retry_budget::RetryBudget;
 use crate::router::Router;
 use crate::routing_view::View;
 use crate::settings::Settings;
 use crate::table::Edit;
 use crate::timer::Clock;
-use crate::wait_estimator::Pace;
+use crate::wait_estimator::WaitEstimator;
 use crate::wait_queue::WaitingRoom;
 
 /// What the control thread takes in.
@@ -83,15 +83,15 @@
     /// Requests that wait for a replica.
     pub waiting: WaitingRoom,
     /// Outcomes of claimed requests.
-    pub outcomes: Outcomes,
+    pub outcomes: ClaimOutcomes,
     /// To the control thread.
     pub control: flume::Sender<Input>,
     /// Requests to backend servers.
-    pub exchange: Arc<dyn Exchange>,
+    pub exchange: Arc<dyn BackendClient>,
     /// Metrics.
     pub metrics: Metrics,
     /// Latest decisions.
-    pub journal: Journal,
+    pub decision_log: DecisionLog,
     /// Log lines.
     pub log: Logger,
     /// Whether the daemon takes no new work.
@@ -101,9 +101,9 @@
     /// Offsets up to which peers have read the log.
     pub ahead: Mutex<BTreeMap<SmolStr, Offset>>,
     router: Mutex<Router>,
-    limits: Mutex<Limits>,
+    limits: Mutex<RequestLimits>,
     budget: Mutex<RetryBudget>,
-    pace: Mutex<Pace>,
+    pace: Mutex<WaitEstimator>,
     requests: AtomicU64,
 }
 
@@ -117,7 +117,7 @@
         settings: Settings,
         incarnation: Incarnation,
         control: flume::Sender<Input>,
-        exchange: Arc<dyn Exchange>,
+        exchange: Arc<dyn BackendClient>,
         log: Logger,
     ) -> Self {
         let centre = settings.centre.clone();
@@ -126,13 +126,13 @@
             view: ArcSwap::default(),
             rates: Mutex::default(),
             waiting: WaitingRoom::new(settings.queue),
-            outcomes: Outcomes::default(),
+            outcomes: ClaimOutcomes::default(),
             router: Mutex::new(Router::new(centre, incarnation)),
-            limits: Mutex::new(Limits::new(settings.requests, settings.share)),
+            limits: Mutex::new(RequestLimits::new(settings.requests, settings.share)),
             budget: Mutex::default(),
             pace: Mutex::default(),
             metrics: Metrics::new(),
-            journal: Journal::default(),
+            decision_log: DecisionLog::default(),
             stopping: AtomicBool::new(false),
             applied: AtomicU64::new(0),
             ahead: Mutex::default(),
@@ -162,7 +162,7 @@
     }
 
     /// Returns the limits, locked.
-    pub fn limits(&self) -> MutexGuard<'_, Limits> {
+    pub fn limits(&self) -> MutexGuard<'_, RequestLimits> {
         lock(&self.limits)
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Returns the pace of the queues, locked.
-    pub fn pace(&self) -> MutexGuard<'_, Pace> {
+    pub fn pace(&self) -> MutexGuard<'_, WaitEstimator> {
         lock(&self.pace)
     }
 
@@ -220,7 +220,7 @@
         let event = if is_placement(*action) { "placement" } else { "control" };
         slog::info!(self.log, "{event}"; "reason" => reason, "place" => place.as_str(),
             "model" => model.as_str(), "action" => action.as_str());
-        let line = Line {
+        let line = LoggedDecision {
             at: 0.0,
             request: SmolStr::default(),
             model: model.clone(),
@@ -228,7 +228,7 @@
             place: place.clone(),
             reason: reason.clone(),
         };
-        self.journal.add(self.now(), line);
+        self.decision_log.add(self.now(), line);
     }
 
     /// Logs a decision about a request and keeps it for `explain`.
@@ -243,7 +243,7 @@
         let reason = reason.into();
         slog::info!(self.log, "routing"; "reason" => &reason, "place" => place,
             "model" => model, "action" => action, "request" => request.as_str());
-        let line = Line {
+        let line = LoggedDecision {
             at: 0.0,
             request: request.clone(),
             model: model.into(),
@@ -251,7 +251,7 @@
             place: place.into(),
             reason,
         };
-        self.journal.add(self.now(), line);
+        self.decision_log.add(self.now(), line);
     }
 }
 
--- a/lib/src/peer_client.rs
+++ b/lib/src/peer_client.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use crate::claim_outcomes::End;
+use crate::claim_outcomes::ClaimOutcome;
 use crate::ids::ClaimKey;
 use crate::ids::Offset;
 use crate::node::Node;
@@ -33,7 +33,12 @@
 }
 
 /// Returns how a claimed request ended; none where the daemon cannot tell.
-pub fn outcome(node: &Node, addr: SocketAddr, key: ClaimKey, wait: Duration) -> Option<End> {
+pub fn outcome(
+    node: &Node,
+    addr: SocketAddr,
+    key: ClaimKey,
+    wait: Duration,
+) -> Option<ClaimOutcome> {
     match ask(node, addr, &Ask::Outcome(key, wait.as_millis() as u64), wait) {
         Ok(Tell::Outcome(end)) => Some(end.into()),
         Ok(_) | Err(_) => None,
--- a/lib/src/peer_message.rs
+++ b/lib/src/peer_message.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use smol_str::SmolStr;
 
-use crate::claim_outcomes::End;
+use crate::claim_outcomes::ClaimOutcome;
 use crate::demand::WaitingRequests;
 use crate::event::Hint;
 use crate::ids::ClaimKey;
@@ -59,26 +59,26 @@
     /// The whole state.
     State(Box<State>),
     /// How a claimed request ended.
-    Outcome(WireEnd),
+    Outcome(WireOutcome),
     /// It is not known here.
     Unknown,
 }
 
-/// An [`End`] on the wire.
+/// An [`ClaimOutcome`] on the wire.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct WireEnd {
+pub struct WireOutcome {
     verdict: Verdict,
     answer: Option<Answer>,
 }
 
-impl From<End> for WireEnd {
-    fn from(end: End) -> Self {
+impl From<ClaimOutcome> for WireOutcome {
+    fn from(end: ClaimOutcome) -> Self {
         Self { verdict: end.verdict, answer: end.answer }
     }
 }
 
-impl From<WireEnd> for End {
-    fn from(end: WireEnd) -> Self {
+impl From<WireOutcome> for ClaimOutcome {
+    fn from(end: WireOutcome) -> Self {
         Self { verdict: end.verdict, answer: end.answer }
     }
 }
--- a/lib/src/request_limits.rs
+++ b/lib/src/request_limits.rs
@@ -6,14 +6,14 @@
 
 /// Why a request is not taken in.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Limit {
+pub enum RequestLimit {
     /// The daemon has as many requests as it may.
     Daemon,
     /// The caller has as many requests as one caller may.
     Caller,
 }
 
-impl Limit {
+impl RequestLimit {
     /// Returns the word for log lines and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -25,14 +25,14 @@
 
 /// Requests in progress.
 #[derive(Debug)]
-pub struct Limits {
+pub struct RequestLimits {
     total: u32,
     most: u32,
     share: u32,
     callers: BTreeMap<CallerId, u32>,
 }
 
-impl Limits {
+impl RequestLimits {
     /// Allows `most` requests at once, and `share` of one caller.
     pub fn new(most: u32, share: u32) -> Self {
         Self { total: 0, most, share, callers: BTreeMap::new() }
@@ -43,21 +43,21 @@
     /// # Errors
     ///
     /// Names the limit that is reached.
-    pub fn enter(&mut self, caller: &CallerId) -> Result<(), Limit> {
+    pub fn acquire(&mut self, caller: &CallerId) -> Result<(), RequestLimit> {
         if self.total >= self.most {
-            return Err(Limit::Daemon);
+            return Err(RequestLimit::Daemon);
         }
         let count = self.callers.entry(caller.clone()).or_default();
         if *count >= self.share {
-            return Err(Limit::Caller);
+            return Err(RequestLimit::Caller);
         }
         *count += 1;
         self.total += 1;
         Ok(())
     }
 
-    /// Notes the end of a request that [`Limits::enter`] took in.
-    pub fn leave(&mut self, caller: &CallerId) {
+    /// Notes the end of a request that [`RequestLimits::acquire`] took in.
+    pub fn release(&mut self, caller: &CallerId) {
         self.total = self.total.saturating_sub(1);
         if let Some(count) = self.callers.get_mut(caller) {
             *count -= 1;
--- a/lib/src/routing_view.rs
+++ b/lib/src/routing_view.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::control::Controller;
-use crate::host::Role;
+use crate::host::HostRole;
 use crate::ids::CentreId;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
@@ -60,19 +60,19 @@
         for hint in control.hints(now).into_iter().chain(control.own_hints()) {
             view.add(control, now, &hint.model, &hint.server);
         }
-        for member in control.fleet().with_role(Role::Service) {
+        for member in control.fleet().with_role(HostRole::Service) {
             for service in &member.host.services {
                 view.add(control, now, service, &member.host.id);
             }
         }
-        for member in control.fleet().with_role(Role::Entry) {
+        for member in control.fleet().with_role(HostRole::Entry) {
             view.daemons.insert(member.host.id.clone(), member.host.addr);
         }
         view
     }
 
     fn add(&mut self, control: &Controller, now: Duration, model: &ModelName, server: &ServerId) {
-        let member = control.fleet().member(server);
+        let member = control.fleet().get(server);
         let Some(member) = member.filter(|m| m.is_usable(now)) else {
             return;
         };
--- a/lib/src/services.rs
+++ b/lib/src/services.rs
@@ -3,8 +3,8 @@
 use smol_str::SmolStr;
 use tiny_http::Request;
 
-use crate::caller_request::Job;
-use crate::caller_request::Wishes;
+use crate::caller_request::CallerRequest;
+use crate::caller_request::RequestOptions;
 use crate::node::Node;
 use crate::reply::Refused;
 use crate::table::Kind;
@@ -22,9 +22,9 @@
     node: &Node,
     id: SmolStr,
     request: &Request,
-    wishes: Wishes,
+    wishes: RequestOptions,
     body: Vec<u8>,
-) -> Result<Job, Refused> {
+) -> Result<CallerRequest, Refused> {
     let rest = request.url().strip_prefix(PREFIX).unwrap_or_default();
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let view = node.view.load();
@@ -33,11 +33,11 @@
         let message = format!("the service `{name}` does not exist");
         return Err(Refused::wrong(404, "service_not_found", message));
     };
-    let job = Job::new(node, id, request, wishes, row, body);
-    Ok(Job { path: format!("/{path}"), ..job })
+    let job = CallerRequest::new(node, id, request, wishes, row, body);
+    Ok(CallerRequest { path: format!("/{path}"), ..job })
 }
 
 /// Serves a call of a plain service.
-pub fn serve(node: &Node, job: &Job, request: Request) {
+pub fn serve(node: &Node, job: &CallerRequest, request: Request) {
     unary::serve(node, job, request);
 }
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -10,7 +10,7 @@
 
 use crate::ids::CentreId;
 use crate::ids::DaemonId;
-use crate::keep_warm::Policy;
+use crate::keep_warm::KeepWarmPolicy;
 
 /// Prefix of the environment variables: `--append-gap` is `COMFREYMUX_APPEND_GAP`.
 pub const ENV_PREFIX: &str = "COMFREYMUX_";
@@ -66,7 +66,7 @@
     /// Least time between two appends; records are grouped meanwhile.
     pub gap: Duration,
     /// How keep-warm times are chosen.
-    pub policy: Policy,
+    pub policy: KeepWarmPolicy,
     /// Time between load reports of one backend server.
     pub poll: Duration,
     /// Longest time that a stop waits for requests in progress.
@@ -169,11 +169,11 @@
     }
 }
 
-fn parse_policy(text: &str) -> Option<Policy> {
+fn parse_policy(text: &str) -> Option<KeepWarmPolicy> {
     if text == "learned" {
-        return Some(Policy::Learned);
+        return Some(KeepWarmPolicy::Learned);
     }
-    parse_duration(text).map(Policy::Fixed)
+    parse_duration(text).map(KeepWarmPolicy::Fixed)
 }
 
 const MS: Duration = Duration::from_millis(1);
--- a/lib/src/slot_reconciler.rs
+++ b/lib/src/slot_reconciler.rs
@@ -7,14 +7,14 @@
 
 use std::time::Duration;
 
-use crate::host::Action;
 use crate::host::ModelReport;
+use crate::host::OrderAction;
 use crate::host::OrderAnswer;
 use crate::ids::DaemonId;
 use crate::ids::Incarnation;
 use crate::ids::SlotId;
 use crate::keep_warm::KeepWarm;
-use crate::load_planner::Scene;
+use crate::load_planner::LoadPlanner;
 use crate::record::Phase;
 use crate::record::Source;
 use crate::slot_tracker::OrderState;
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct Upkeep<'a> {
     /// Everything placement looks at.
-    pub scene: Scene<'a>,
+    pub scene: LoadPlanner<'a>,
     /// Keep-warm times.
     pub warm: &'a KeepWarm,
     /// This daemon and its start.
@@ -94,7 +94,7 @@
         }
         let own = slot.orderer.0 == *self.me.0 && slot.orderer.1 == self.me.1;
         match watch.order {
-            Some(o) if o.action == Action::Unload => emptied(o, "load given up")
+            Some(o) if o.action == OrderAction::Unload => emptied(o, "load given up")
                 .filter(|s| !self.paused(o) || matches!(s, Step::Free(_))),
             Some(o) => self.step_ordered(slot, o),
             None if own || self.is_fencing(slot) => Some(Step::Load),
@@ -131,7 +131,7 @@
     fn step_reserved(&self, id: SlotId, slot: &Slot, watch: &Watch) -> Option<Step> {
         let giving = self.giving(id, slot, watch);
         match watch.order {
-            Some(o) if o.action == Action::Unload => {
+            Some(o) if o.action == OrderAction::Unload => {
                 let reason = giving?;
                 match emptied(o, &reason) {
                     Some(Step::Unload(_)) if !self.paused(o) => Some(Step::Unload(reason)),
@@ -160,7 +160,7 @@
         if watch.active > 0 || self.scene.demand.total(&slot.model).is_some() {
             return None;
         }
-        if self.scene.carries_adapter(slot) {
+        if self.scene.is_adapter_base(slot) {
             return None;
         }
         let row = self.scene.state.table.row(&slot.model)?;
@@ -174,15 +174,15 @@
     fn keep(&self, row: &Row, slot: &Slot) -> Duration {
         // The next start reads what this unload leaves in the server's memory or on its disk.
         let cold = self.scene.rates.expected(row.load_mib, Source::Disk);
-        let member = self.scene.fleet.member(&slot.server);
+        let member = self.scene.fleet.get(&slot.server);
         let whole = member.map_or(1, |m| m.host.memory_mib.max(1));
         let share = slot.memory_mib as f64 / whole as f64;
-        self.warm.keep(&row.name, cold, row.idle_price * share)
+        self.warm.keep_time(&row.name, cold, row.idle_price * share)
     }
 
     fn step_draining(&self, id: SlotId, slot: &Slot, watch: &Watch) -> Option<Step> {
         let giving = self.giving(id, slot, watch);
-        if let Some(o) = watch.order.filter(|o| o.action == Action::Unload) {
+        if let Some(o) = watch.order.filter(|o| o.action == OrderAction::Unload) {
             return match (o.answer, giving) {
                 (Some(OrderAnswer::Done), Some(reason)) => Some(Step::Free(reason)),
                 (Some(OrderAnswer::Done), None) => Some(Step::Sleep("unloaded".into())),
@@ -217,7 +217,7 @@
         if slot.memory_mib != row.memory_mib && slot.phase != Phase::Loaded {
             return Some("its memory changed".into());
         }
-        if self.scene.fleet.member(&slot.server).is_some_and(|m| m.leaving) {
+        if self.scene.fleet.get(&slot.server).is_some_and(|m| m.leaving) {
             return Some("the server leaves".into());
         }
         watch.giving.then(|| "another model needs the memory".into())
@@ -231,7 +231,7 @@
     }
 
     fn reported(&self, slot: &Slot) -> Option<&ModelReport> {
-        let (_, report) = self.scene.fleet.member(&slot.server)?.report.as_ref()?;
+        let (_, report) = self.scene.fleet.get(&slot.server)?.report.as_ref()?;
         report.model(&slot.model)
     }
 
@@ -249,7 +249,7 @@
 
     /// Returns whether a report that is surely younger than `since` does not name the model.
     fn is_absent(&self, slot: &Slot, since: Duration) -> bool {
-        let member = self.scene.fleet.member(&slot.server);
+        let member = self.scene.fleet.get(&slot.server);
         let report = member.and_then(|m| m.report.as_ref());
         report.is_some_and(|(at, report)| {
             *at > since + REPORT_LAG && report.model(&slot.model).is_none()
@@ -261,8 +261,8 @@
         let (daemon, incarnation) = &slot.orderer;
         let writer = self.scene.state.writers.get(daemon);
         let replaced = writer.is_some_and(|w| w.incarnation > *incarnation);
-        let listed = self.scene.fleet.member(daemon).is_some();
-        replaced || (self.scene.fleet.is_known() && !listed)
+        let listed = self.scene.fleet.get(daemon).is_some();
+        replaced || (self.scene.fleet.has_host_list() && !listed)
     }
 }
 
--- a/lib/src/slot_tracker.rs
+++ b/lib/src/slot_tracker.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::host::Action;
 use crate::host::Order;
+use crate::host::OrderAction;
 use crate::host::OrderAnswer;
 use crate::ids::Fence;
 use crate::ids::Incarnation;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OrderState {
     /// What was ordered.
-    pub action: Action,
+    pub action: OrderAction,
     /// When it was sent.
     pub sent: Duration,
     /// The slot's ticket then.
@@ -68,7 +68,7 @@
     /// A slot that the log has just moved from loaded to reserved is none: its watch may not have
     /// followed yet, and what was loaded then is unloaded now.
     pub fn is_woken(&self) -> bool {
-        let ordered = self.order.is_some_and(|o| o.action == Action::Load);
+        let ordered = self.order.is_some_and(|o| o.action == OrderAction::Load);
         self.loaded && ordered && self.phase == Phase::Reserved
     }
 
@@ -162,7 +162,7 @@
             answer: None,
             known: now,
         });
-        if action == Action::Load {
+        if action == OrderAction::Load {
             watch.began = now;
             watch.loaded = false;
         }
--- a/lib/src/sse.rs
+++ b/lib/src/sse.rs
@@ -7,7 +7,7 @@
 use std::io::Write;
 
 use crate::backend_client::Failure;
-use crate::backend_client::Fault;
+use crate::backend_client::FailureKind;
 
 /// Data of the event that ends a whole stream.
 const DONE: &str = "[DONE]";
@@ -52,10 +52,10 @@
             match read {
                 Ok(0) => {
                     let detail = "the stream ended without its end marker";
-                    return Err(Failure::doubtful(Fault::Truncated, detail));
+                    return Err(Failure::may_have_run(FailureKind::Truncated, detail));
                 }
                 Ok(_) => {}
-                Err(error) => return Err(Failure::reading(&error)),
+                Err(error) => return Err(Failure::from_read_error(&error)),
             }
             if let Some(data) = line.trim_end().strip_prefix("data:") {
                 return read_data(data.trim_start());
@@ -71,7 +71,7 @@
     // Engines may end an accepted stream with an error object and nothing else. Read as a chunk,
     // it would look like an empty answer.
     if data.contains("\"error\"") && is_error(data) {
-        return Err(Failure::doubtful(Fault::Faulted, data));
+        return Err(Failure::may_have_run(FailureKind::ServerError, data));
     }
     Ok(StreamEvent::Chunk(data.to_owned()))
 }
--- a/lib/src/trace.rs
+++ b/lib/src/trace.rs
@@ -21,9 +21,9 @@
 use crate::event::Effect;
 use crate::event::Event;
 use crate::event::TimedEvent;
-use crate::host::Action;
+use crate::host::OrderAction;
 use crate::ids::ModelName;
-use crate::keep_warm::Policy;
+use crate::keep_warm::KeepWarmPolicy;
 
 /// One line of a trace file, as JSON.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -183,7 +183,7 @@
 
     fn note(&mut self, effect: &Effect) {
         match effect {
-            Effect::Order(order, _) if order.action == Action::Load => {
+            Effect::Order(order, _) if order.action == OrderAction::Load => {
                 self.add(Counted::LoadOrder, &order.model);
             }
             Effect::Order(order, _) => self.add(Counted::UnloadOrder, &order.model),
@@ -263,7 +263,7 @@
         incarnation,
         centre: centre.into(),
         append_gap: Duration::from_millis(20),
-        keep_warm: Policy::Learned,
+        keep_warm: KeepWarmPolicy::Learned,
         poll_interval: Duration::from_secs(1),
     }
 }
--- a/lib/src/unary.rs
+++ b/lib/src/unary.rs
@@ -4,11 +4,11 @@
 
 use tiny_http::Request;
 
-use crate::caller_request::Job;
+use crate::caller_request::CallerRequest;
 use crate::chat::read_answer;
 use crate::chat::record_refusal;
 use crate::chat::record_response;
-use crate::claim_outcomes::End;
+use crate::claim_outcomes::ClaimOutcome;
 use crate::dispatch::DispatchError;
 use crate::dispatch::dispatch;
 use crate::event::ClaimAnswer;
@@ -44,8 +44,8 @@
 }
 
 /// Serves a request with one whole answer.
-pub fn serve(node: &Node, job: &Job, request: Request) {
-    let result = match job.claim() {
+pub fn serve(node: &Node, job: &CallerRequest, request: Request) {
+    let result = match job.claim_key() {
         Some(key) => claim_and_run(node, job, key),
         None => run(node, job).map(|answer| Given { answer, replayed: false }),
     };
@@ -55,7 +55,7 @@
             node.metrics.first_byte(node.now().saturating_sub(job.arrived));
             let reason = if given.replayed { "replayed" } else { "answered" };
             node.note_request(&job.id, job.model(), "done", "", reason);
-            send_answer(request, job, &given.answer, given.replayed);
+            send_response(request, job, &given.answer, given.replayed);
         }
         Err(DispatchError::Refused(refused)) => {
             record_refusal(node, job, &refused);
@@ -66,7 +66,7 @@
 }
 
 /// Sends a backend server's answer to the caller.
-pub fn send_answer(request: Request, job: &Job, answer: &Answer, replayed: bool) {
+pub fn send_response(request: Request, job: &CallerRequest, answer: &Answer, replayed: bool) {
     let mut response = reply::with_body(answer.status, &answer.content_type, answer.body.clone())
         .with_header(reply::header(VERDICT_HEADER, Verdict::Ran.as_str()))
         .with_header(reply::header(REQUEST_HEADER, &job.id));
@@ -76,22 +76,22 @@
     reply::send(request, response);
 }
 
-fn run(node: &Node, job: &Job) -> Result<Answer, DispatchError> {
+fn run(node: &Node, job: &CallerRequest) -> Result<Answer, DispatchError> {
     dispatch(node, job, |route, call| {
-        let reply = node.exchange.call(route.addr, call)?;
+        let reply = node.exchange.send(route.addr, call)?;
         record_response(node, job, route, &reply);
         read_answer(reply)
     })
 }
 
-fn claim_and_run(node: &Node, job: &Job, key: ClaimKey) -> Result<Given, DispatchError> {
+fn claim_and_run(node: &Node, job: &CallerRequest, key: ClaimKey) -> Result<Given, DispatchError> {
     match ask_claim(node, key) {
         ClaimAnswer::Granted => run_claimed(node, job, key),
         ClaimAnswer::Ended(daemon, verdict, None) => {
             fetch(node, job, key, &daemon).unwrap_or_else(|| Err(lost(verdict)))
         }
         ClaimAnswer::Ended(_, verdict, Some(answer)) => {
-            replay(End { verdict, answer: Some(answer) })
+            replay(ClaimOutcome { verdict, answer: Some(answer) })
         }
         ClaimAnswer::Taken(daemon) => {
             fetch(node, job, key, &daemon).unwrap_or_else(|| Err(in_progress(&daemon)))
@@ -109,12 +109,16 @@
     })
 }
 
-fn run_claimed(node: &Node, job: &Job, key: ClaimKey) -> Result<Given, DispatchError> {
+fn run_claimed(node: &Node, job: &CallerRequest, key: ClaimKey) -> Result<Given, DispatchError> {
     let result = run(node, job);
     let end = match &result {
-        Ok(answer) => End { verdict: Verdict::Ran, answer: Some(answer.clone()) },
-        Err(DispatchError::Refused(refused)) => End { verdict: refused.verdict, answer: None },
-        Err(DispatchError::CallerGone) => End { verdict: Verdict::MayHaveRun, answer: None },
+        Ok(answer) => ClaimOutcome { verdict: Verdict::Ran, answer: Some(answer.clone()) },
+        Err(DispatchError::Refused(refused)) => {
+            ClaimOutcome { verdict: refused.verdict, answer: None }
+        }
+        Err(DispatchError::CallerGone) => {
+            ClaimOutcome { verdict: Verdict::MayHaveRun, answer: None }
+        }
     };
     let kept = end.answer.clone().filter(|a| a.body.len() <= KEPT_BODY);
     let settlement = Settlement { key, verdict: end.verdict, answer: kept };
@@ -126,7 +130,7 @@
 /// Asks the daemon that runs a request for its outcome; none where it cannot tell.
 fn fetch(
     node: &Node,
-    job: &Job,
+    job: &CallerRequest,
     key: ClaimKey,
     daemon: &DaemonId,
 ) -> Option<Result<Given, DispatchError>> {
@@ -140,7 +144,7 @@
     end.map(replay)
 }
 
-fn replay(end: End) -> Result<Given, DispatchError> {
+fn replay(end: ClaimOutcome) -> Result<Given, DispatchError> {
     match end.answer {
         Some(answer) => Ok(Given { answer, replayed: true }),
         None => Err(lost(end.verdict)),
--- a/lib/src/wait_estimator.rs
+++ b/lib/src/wait_estimator.rs
@@ -35,7 +35,7 @@
 /// each priority the turns of that and all lesser ones count. More important requests that are yet to
 /// come and overtake are in the pace that way.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct WaitEstimator {
     models: BTreeMap<ModelName, BTreeMap<u8, Turns>>,
 }
 
@@ -55,9 +55,9 @@
     }
 }
 
-impl Pace {
+impl WaitEstimator {
     /// Notes that a request that had waited gets its turn.
-    pub fn turned(&mut self, now: Duration, model: &ModelName, priority: u8) {
+    pub fn record_dequeue(&mut self, now: Duration, model: &ModelName, priority: u8) {
         let classes = self.models.entry(model.clone()).or_default();
         classes.entry(priority).or_insert(Turns { last: now, since: now, time: 0.0, count: 0.0 });
         for (_, turns) in classes.range_mut(priority..) {
@@ -69,7 +69,13 @@
     ///
     /// When the queue of now is through, an overload may still go on. One that has lasted for some
     /// time is best expected to last for as long again.
-    pub fn come_back(&self, now: Duration, model: &str, priority: u8, wait: Duration) -> Duration {
+    pub fn retry_after(
+        &self,
+        now: Duration,
+        model: &str,
+        priority: u8,
+        wait: Duration,
+    ) -> Duration {
         let turns = self.models.get(model).and_then(|classes| classes.get(&priority));
         let lasted = turns.filter(|t| now < t.last + LULL).map(|t| now.saturating_sub(t.since));
         wait + lasted.unwrap_or_default()
@@ -77,7 +83,13 @@
 
     /// Returns how long a request waits that has `ahead` others before it; zero where nothing is
     /// known.
-    pub fn expected(&self, now: Duration, model: &str, priority: u8, ahead: usize) -> Duration {
+    pub fn expected_wait(
+        &self,
+        now: Duration,
+        model: &str,
+        priority: u8,
+        ahead: usize,
+    ) -> Duration {
         let turns = self.models.get(model).and_then(|classes| classes.get(&priority));
         let turns = turns.filter(|t| now < t.last + FRESH && t.count > 0.0);
         let interval = turns.map_or(0.0, |t| t.time / t.count);
--- a/lib/tests/test_outages.rs
+++ b/lib/tests/test_outages.rs
@@ -176,7 +176,7 @@
     let mut book = HostBook::default();
     let host = |id: &str| comfreymux_lib::host::Host {
         id: id.into(),
-        ..comfreymux_testutils::rig::host(comfreymux_lib::host::Role::Entry, "a", ANY)
+        ..comfreymux_testutils::rig::host(comfreymux_lib::host::HostRole::Entry, "a", ANY)
     };
     let whole =
         HostChange { version: 1, whole: true, hosts: vec![host("a"), host("b")], removed: vec![] };
--- a/lib/tests/test_router.rs
+++ b/lib/tests/test_router.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use comfreymux_lib::failure_backoff::Suspicion;
-use comfreymux_lib::request_limits::Limit;
-use comfreymux_lib::request_limits::Limits;
+use comfreymux_lib::request_limits::RequestLimit;
+use comfreymux_lib::request_limits::RequestLimits;
 use comfreymux_lib::retry_budget::RetryBudget;
 use comfreymux_lib::router::Router;
 use comfreymux_lib::router::Wish;
@@ -124,15 +124,15 @@
 
 #[test]
 fn limits_kept() {
-    let mut limits = Limits::new(3, 2);
+    let mut limits = RequestLimits::new(3, 2);
     let (a, b) = ("a".into(), "b".into());
-    assert_eq!(limits.enter(&a), Ok(()));
-    assert_eq!(limits.enter(&a), Ok(()));
-    assert_eq!(limits.enter(&a), Err(Limit::Caller));
-    assert_eq!(limits.enter(&b), Ok(()));
-    assert_eq!(limits.enter(&b), Err(Limit::Daemon));
-    limits.leave(&a);
-    assert_eq!(limits.enter(&b), Ok(()));
+    assert_eq!(limits.acquire(&a), Ok(()));
+    assert_eq!(limits.acquire(&a), Ok(()));
+    assert_eq!(limits.acquire(&a), Err(RequestLimit::Caller));
+    assert_eq!(limits.acquire(&b), Ok(()));
+    assert_eq!(limits.acquire(&b), Err(RequestLimit::Daemon));
+    limits.release(&a);
+    assert_eq!(limits.acquire(&b), Ok(()));
 }
 
 #[test]
--- a/lib/tests/test_settings.rs
+++ b/lib/tests/test_settings.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use comfreymux_lib::keep_warm::KeepWarm;
-use comfreymux_lib::keep_warm::Policy;
-use comfreymux_lib::lease::Authority;
+use comfreymux_lib::keep_warm::KeepWarmPolicy;
 use comfreymux_lib::lease::BID_AFTER;
 use comfreymux_lib::lease::DRIFT_PERCENT;
-use comfreymux_lib::lease::LEASE;
+use comfreymux_lib::lease::LEASE_TTL;
+use comfreymux_lib::lease::LeaseAuthority;
 use comfreymux_lib::settings::Settings;
 use comfreymux_testutils::rig::Texts;
 
@@ -25,7 +25,7 @@
         ("keep-warm", "90s"),
     ];
     let settings = Settings::read(&texts(&needed)).unwrap();
-    assert_eq!(settings.policy, Policy::Fixed(Duration::from_secs(90)));
+    assert_eq!(settings.policy, KeepWarmPolicy::Fixed(Duration::from_secs(90)));
     assert_eq!(settings.idle, Duration::from_secs(10));
 }
 
@@ -50,12 +50,12 @@
     // The holder's clock may run slow and the bidder's fast, each by half the bound; the holder
     // must still stop before the bidder may bid.
     let drift = f64::from(DRIFT_PERCENT) / 100.0;
-    assert!(LEASE.mul_f64(1.0 + drift) < BID_AFTER.mul_f64(1.0 - drift));
-    let mut authority = Authority::default();
-    authority.renewed(Duration::from_secs(5));
-    authority.renewed(Duration::from_secs(4));
-    assert!(authority.is_valid(Duration::from_secs(4) + LEASE));
-    assert!(!authority.is_valid(Duration::from_secs(5) + LEASE));
+    assert!(LEASE_TTL.mul_f64(1.0 + drift) < BID_AFTER.mul_f64(1.0 - drift));
+    let mut authority = LeaseAuthority::default();
+    authority.record_renewal(Duration::from_secs(5));
+    authority.record_renewal(Duration::from_secs(4));
+    assert!(authority.is_valid(Duration::from_secs(4) + LEASE_TTL));
+    assert!(!authority.is_valid(Duration::from_secs(5) + LEASE_TTL));
 }
 
 #[test]
@@ -63,14 +63,14 @@
     // A model that returns every two minutes is kept for that long where idle time is cheap, and
     // unloaded soon where it is dear or where it returns once a day.
     let cold = Duration::from_secs(20);
-    let mut warm = KeepWarm::new(Policy::Learned);
+    let mut warm = KeepWarm::new(KeepWarmPolicy::Learned);
     for _ in 0..50 {
-        warm.returned(&"often".into(), Duration::from_mins(2));
-        warm.returned(&"daily".into(), Duration::from_secs(80_000));
+        warm.record_gap(&"often".into(), Duration::from_mins(2));
+        warm.record_gap(&"daily".into(), Duration::from_secs(80_000));
     }
-    assert_eq!(warm.keep("often", cold, 200.0), Duration::from_secs(150));
-    assert!(warm.keep("often", cold, 10_000.0) < Duration::from_mins(1));
-    assert!(warm.keep("daily", cold, 200.0) < Duration::from_mins(1));
-    let fixed = KeepWarm::new(Policy::Fixed(Duration::from_mins(10)));
-    assert_eq!(fixed.keep("daily", cold, 10.0), Duration::from_mins(10));
+    assert_eq!(warm.keep_time("often", cold, 200.0), Duration::from_secs(150));
+    assert!(warm.keep_time("often", cold, 10_000.0) < Duration::from_mins(1));
+    assert!(warm.keep_time("daily", cold, 200.0) < Duration::from_mins(1));
+    let fixed = KeepWarm::new(KeepWarmPolicy::Fixed(Duration::from_mins(10)));
+    assert_eq!(fixed.keep_time("daily", cold, 10.0), Duration::from_mins(10));
 }
--- a/lib/testutils/src/engine_standin.rs
+++ b/lib/testutils/src/engine_standin.rs
@@ -18,12 +18,12 @@
 use comfreymux_lib::backend_client::REFUSED_LEAVING;
 use comfreymux_lib::backend_client::REFUSED_NOT_LOADED;
 use comfreymux_lib::backend_client::RESUME_HEADER;
-use comfreymux_lib::host::Action;
-use comfreymux_lib::host::Cached;
+use comfreymux_lib::host::CachedCheckpoint;
 use comfreymux_lib::host::ModelReport;
 use comfreymux_lib::host::Order;
+use comfreymux_lib::host::OrderAction;
 use comfreymux_lib::host::OrderAnswer;
-use comfreymux_lib::host::Report;
+use comfreymux_lib::host::ServerReport;
 use comfreymux_lib::ids::Fence;
 use comfreymux_lib::ids::Mebibytes;
 use comfreymux_lib::ids::ModelName;
@@ -58,7 +58,7 @@
     cached: BTreeMap<ModelName, Source>,
     faults: EngineFaults,
     audit: EngineAudit,
-    reports: Vec<(Instant, Report)>,
+    reports: Vec<(Instant, ServerReport)>,
 }
 
 /// A model engine.
@@ -117,7 +117,7 @@
         }
         inner.fence = inner.fence.max(order.fence);
         match order.action {
-            Action::Load => {
+            OrderAction::Load => {
                 if let Some(place) = inner.places.get_mut(&order.model) {
                     place.ticket = place.ticket.max(order.ticket);
                 } else {
@@ -125,7 +125,7 @@
                 }
                 OrderAnswer::Done
             }
-            Action::Unload => match inner.places.get(&order.model) {
+            OrderAction::Unload => match inner.places.get(&order.model) {
                 Some(place) if place.active > 0 => OrderAnswer::Busy,
                 _ => {
                     inner.places.remove(&order.model);
@@ -178,9 +178,9 @@
     }
 
     /// Returns the load report, as old as its lag.
-    pub fn report(&self) -> Report {
+    pub fn report(&self) -> ServerReport {
         let mut inner = self.inner();
-        let fresh = Report {
+        let fresh = ServerReport {
             incarnation: self.settings.incarnation,
             fence: inner.fence,
             leaving: inner.faults.leaving,
@@ -188,7 +188,7 @@
             cached: inner
                 .cached
                 .iter()
-                .map(|(model, source)| Cached { model: model.clone(), source: *source })
+                .map(|(model, source)| CachedCheckpoint { model: model.clone(), source: *source })
                 .collect(),
         };
         let lag = Duration::from_millis(inner.faults.lag_ms);
@@ -198,7 +198,7 @@
             inner.reports.drain(..keep);
             return inner.reports[0].1.clone();
         }
-        Report { incarnation: self.settings.incarnation, ..Report::default() }
+        ServerReport { incarnation: self.settings.incarnation, ..ServerReport::default() }
     }
 
     fn complete(&self, request: &HttpRequest, out: &mut TcpStream) -> io::Result<()> {
--- a/lib/testutils/src/rig.rs
+++ b/lib/testutils/src/rig.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use comfreymux_lib::backend_client::HttpExchange;
+use comfreymux_lib::backend_client::HttpBackendClient;
 use comfreymux_lib::daemon::Daemon;
 use comfreymux_lib::daemon::Sockets;
 use comfreymux_lib::engine_control::HttpEngineControl;
 use comfreymux_lib::host::Host;
-use comfreymux_lib::host::Role;
+use comfreymux_lib::host::HostRole;
 use comfreymux_lib::host_list::HttpHostList;
 use comfreymux_lib::log_service::HttpLog;
 use comfreymux_lib::logging;
@@ -127,7 +127,7 @@
             memory_mib,
             fencing,
             id: id.into(),
-            ..host(Role::Engine, centre, server.addr)
+            ..host(HostRole::Engine, centre, server.addr)
         };
         self.hosts.put(host);
         self.servers.push(server);
@@ -146,7 +146,7 @@
         let host = Host {
             services: vec![row.into()],
             id: id.into(),
-            ..host(Role::Service, centre, server.addr)
+            ..host(HostRole::Service, centre, server.addr)
         };
         self.hosts.put(host);
         self.servers.push(server);
@@ -177,7 +177,7 @@
         let host = Host {
             incarnation: self.starts,
             id: id.into(),
-            ..host(Role::Entry, centre, sockets.peer_addr)
+            ..host(HostRole::Entry, centre, sockets.peer_addr)
         };
         self.hosts.put(host);
         let borders = Borders {
@@ -185,7 +185,7 @@
             hosts: Arc::new(HttpHostList::new(settings.hosts.clone())),
             engine: Arc::new(HttpEngineControl),
         };
-        let exchange = Arc::new(HttpExchange::new(settings.idle));
+        let exchange = Arc::new(HttpBackendClient::new(settings.idle));
         let logger = self.logger.clone();
         let daemon = Daemon::start(settings, self.starts, sockets, &borders, exchange, logger);
         self.daemons.insert(id.into(), daemon.expect("a daemon"));
@@ -246,7 +246,7 @@
 }
 
 /// Returns a host without a name, memory or services.
-pub fn host(role: Role, centre: &str, addr: SocketAddr) -> Host {
+pub fn host(role: HostRole, centre: &str, addr: SocketAddr) -> Host {
     Host {
         id: "".into(),
         role,
--- a/tools/src/experiment.rs
+++ b/tools/src/experiment.rs
@@ -7,7 +7,7 @@
 use comfreymux_lib::event::Event;
 use comfreymux_lib::ids::ModelName;
 use comfreymux_lib::ids::ServerId;
-use comfreymux_lib::keep_warm::Policy;
+use comfreymux_lib::keep_warm::KeepWarmPolicy;
 use comfreymux_lib::queue::Entered;
 use comfreymux_lib::queue::Queue;
 use comfreymux_lib::queue::Waiter;
@@ -108,7 +108,7 @@
 pub fn run(
     name: &str,
     deployment: &Deployment,
-    policy: Policy,
+    policy: KeepWarmPolicy,
     seed: u64,
     arrivals: &[Arrival],
 ) -> Result<Outcome, Breach> {
@@ -130,7 +130,7 @@
 }
 
 impl Run {
-    fn new(deployment: &Deployment, policy: Policy, seed: u64) -> Result<Self, Breach> {
+    fn new(deployment: &Deployment, policy: KeepWarmPolicy, seed: u64) -> Result<Self, Breach> {
         let mut world = World::new(policy);
         world.store.spacing = Duration::from_secs_f64(1.0 / deployment.starts);
         let cached = deployment.cached(seed);
--- a/tools/src/fake_engine.rs
+++ b/tools/src/fake_engine.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use comfreymux_lib::host::Action;
-use comfreymux_lib::host::Cached;
+use comfreymux_lib::host::CachedCheckpoint;
 use comfreymux_lib::host::ModelReport;
 use comfreymux_lib::host::Order;
+use comfreymux_lib::host::OrderAction;
 use comfreymux_lib::host::OrderAnswer;
-use comfreymux_lib::host::Report;
+use comfreymux_lib::host::ServerReport;
 use comfreymux_lib::ids::Fence;
 use comfreymux_lib::ids::Incarnation;
 use comfreymux_lib::ids::Mebibytes;
@@ -90,7 +90,7 @@
         }
         self.fence = self.fence.max(order.fence);
         match order.action {
-            Action::Load => {
+            OrderAction::Load => {
                 if let Some(held) = self.held.get_mut(&order.model) {
                     held.ticket = held.ticket.max(order.ticket);
                 } else {
@@ -107,7 +107,7 @@
                 }
                 OrderAnswer::Done
             }
-            Action::Unload => {
+            OrderAction::Unload => {
                 if self.held.get(&order.model).is_some_and(|h| h.active > 0) {
                     return OrderAnswer::Busy;
                 }
@@ -128,7 +128,7 @@
     }
 
     /// Returns the load report.
-    pub fn report(&self, now: Duration) -> Report {
+    pub fn report(&self, now: Duration) -> ServerReport {
         let line = |(model, held): (&ModelName, &Held)| ModelReport {
             model: model.clone(),
             loaded: held.ready <= now,
@@ -136,11 +136,11 @@
             served: held.served,
             ticket: held.ticket,
         };
-        let cached = |(model, source): (&ModelName, &Source)| Cached {
+        let cached = |(model, source): (&ModelName, &Source)| CachedCheckpoint {
             model: model.clone(),
             source: *source,
         };
-        Report {
+        ServerReport {
             incarnation: self.incarnation,
             fence: self.fence,
             leaving: self.leaving,
--- a/tools/src/relay.rs
+++ b/tools/src/relay.rs
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::Duration;
 
-use comfreymux_lib::backend_client::Call;
-use comfreymux_lib::backend_client::Exchange;
-use comfreymux_lib::backend_client::HttpExchange;
+use comfreymux_lib::backend_client::BackendClient;
+use comfreymux_lib::backend_client::HttpBackendClient;
+use comfreymux_lib::backend_client::ServerRequest;
 use comfreymux_lib::chat;
 use comfreymux_lib::gateway;
 use comfreymux_lib::sse::StreamEvent;
@@ -26,7 +26,7 @@
     let listener = gateway::listen(listen)?;
     println!("listening on {}", listener.local_addr()?);
     let server = Server::from_listener(listener, None).map_err(io::Error::other)?;
-    let exchange = Arc::new(HttpExchange::new(Duration::from_secs(10)));
+    let exchange = Arc::new(HttpBackendClient::new(Duration::from_secs(10)));
     for request in server.incoming_requests() {
         let exchange = Arc::clone(&exchange);
         thread::Builder::new().stack_size(256 * 1024).spawn(move || {
@@ -37,20 +37,20 @@
     Ok(())
 }
 
-fn relay(exchange: &dyn Exchange, to: SocketAddr, mut request: Request) -> io::Result<()> {
+fn relay(exchange: &dyn BackendClient, to: SocketAddr, mut request: Request) -> io::Result<()> {
     let mut body = Vec::new();
     request.as_reader().read_to_end(&mut body)?;
-    let call = Call {
+    let call = ServerRequest {
         method: "POST".into(),
         path: chat::PATH.into(),
         content_type: "application/json".into(),
         body,
-        attempt: "1".into(),
-        resume: 0,
+        attempt_id: "1".into(),
+        resume_from: 0,
         priority: 0,
     };
     let failed = |f: comfreymux_lib::backend_client::Failure| io::Error::other(f.detail);
-    let mut reader = StreamReader::new(exchange.call(to, &call).map_err(failed)?.body);
+    let mut reader = StreamReader::new(exchange.send(to, &call).map_err(failed)?.body);
     let mut writer = StreamWriter::start(request.into_writer(), &[])?;
     while let StreamEvent::Chunk(data) = reader.next_event().map_err(failed)? {
         writer.event(&data)?;
--- a/tools/src/report.rs
+++ b/tools/src/report.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-use comfreymux_lib::keep_warm::Policy;
+use comfreymux_lib::keep_warm::KeepWarmPolicy;
 use plotters::prelude::*;
 
 use crate::experiment;
@@ -38,15 +38,15 @@
             10_000_000 => "never unload".to_owned(),
             _ => format!("fixed {s}s"),
         };
-        (name, deployment.clone(), Policy::Fixed(Duration::from_secs(s)))
+        (name, deployment.clone(), KeepWarmPolicy::Fixed(Duration::from_secs(s)))
     });
     let learned = prices.iter().map(|price| {
         let variant = Deployment { idle_price: *price, ..deployment.clone() };
-        (format!("learned, price {price}"), variant, Policy::Learned)
+        (format!("learned, price {price}"), variant, KeepWarmPolicy::Learned)
     });
     let runs: Vec<_> = fixed.into_iter().chain(learned).collect();
     thread::scope(|scope| {
-        let start = |(name, deployment, policy): &(String, Deployment, Policy)| {
+        let start = |(name, deployment, policy): &(String, Deployment, KeepWarmPolicy)| {
             let (name, deployment, policy) = (name.clone(), deployment.clone(), *policy);
             scope.spawn(move || experiment::run(&name, &deployment, policy, seed, arrivals))
         };
--- a/tools/src/standin.rs
+++ b/tools/src/standin.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use comfreymux_lib::host::Host;
-use comfreymux_lib::host::Role;
+use comfreymux_lib::host::HostRole;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table_file::write_csv;
 use comfreymux_testutils::engine_settings::EngineSettings;
@@ -64,14 +64,14 @@
                 incarnation: settings.incarnation,
                 memory_mib: settings.memory_mib,
                 fencing: settings.fencing,
-                ..host(&engine.id, Role::Engine, &engine.centre, listen)
+                ..host(&engine.id, HostRole::Engine, &engine.centre, listen)
             };
             serve(listen, Arc::new(EngineStandin::new(settings)), Some((engine.hosts, host)))
         }
         ComfreymuxStandinCmd::Service(service) => {
             let host = Host {
                 services: vec![service.row.as_str().into()],
-                ..host(&service.id, Role::Service, &service.centre, listen)
+                ..host(&service.id, HostRole::Service, &service.centre, listen)
             };
             serve(listen, Arc::new(ServiceStandin::default()), Some((service.hosts, host)))
         }
@@ -166,9 +166,9 @@
         return Err(wrong());
     };
     let addr = addr.parse().map_err(|_unparsed| wrong())?;
-    Ok(host(id, Role::Entry, centre, addr))
+    Ok(host(id, HostRole::Entry, centre, addr))
 }
 
-fn host(id: &str, role: Role, centre: &str, addr: SocketAddr) -> Host {
+fn host(id: &str, role: HostRole, centre: &str, addr: SocketAddr) -> Host {
     Host { id: id.into(), ..comfreymux_testutils::rig::host(role, centre, addr) }
 }
--- a/tools/src/world.rs
+++ b/tools/src/world.rs
@@ -15,20 +15,20 @@
 use comfreymux_lib::event::Effect;
 use comfreymux_lib::event::Event;
 use comfreymux_lib::fold;
-use comfreymux_lib::host::Action;
 use comfreymux_lib::host::Host;
+use comfreymux_lib::host::HostRole;
 use comfreymux_lib::host::Order;
+use comfreymux_lib::host::OrderAction;
 use comfreymux_lib::host::OrderAnswer;
-use comfreymux_lib::host::Report;
-use comfreymux_lib::host::Role;
+use comfreymux_lib::host::ServerReport;
 use comfreymux_lib::ids::CentreId;
 use comfreymux_lib::ids::ClaimKey;
 use comfreymux_lib::ids::DaemonId;
 use comfreymux_lib::ids::Incarnation;
 use comfreymux_lib::ids::ModelName;
 use comfreymux_lib::ids::ServerId;
-use comfreymux_lib::keep_warm::Policy;
-use comfreymux_lib::load_planner::STORE_PARALLEL;
+use comfreymux_lib::keep_warm::KeepWarmPolicy;
+use comfreymux_lib::load_planner::MAX_STORE_LOADS;
 use comfreymux_lib::load_rates::Rates;
 use comfreymux_lib::record::Entry;
 use comfreymux_lib::record::Source;
@@ -49,7 +49,7 @@
     /// An order, and whether its answer is lost; none where the sender has given up.
     Order(DaemonId, Incarnation, Order, Option<bool>),
     Ordered(DaemonId, Incarnation, Order, OrderAnswer),
-    Report(DaemonId, Incarnation, ServerId, Option<Report>),
+    Report(DaemonId, Incarnation, ServerId, Option<ServerReport>),
     /// An answer that waited for the end of a pause.
     Answer(DaemonId, Incarnation, Event),
 }
@@ -91,7 +91,7 @@
     /// The weight store.
     pub store: Store,
     counts: BTreeMap<ModelName, usize>,
-    policy: Policy,
+    policy: KeepWarmPolicy,
     log: Vec<Entry>,
     hosts: Vec<Host>,
     version: u64,
@@ -101,13 +101,13 @@
 
 impl Default for World {
     fn default() -> Self {
-        Self::new(Policy::Learned)
+        Self::new(KeepWarmPolicy::Learned)
     }
 }
 
 impl World {
     /// Creates a world with nothing in it.
-    pub fn new(policy: Policy) -> Self {
+    pub fn new(policy: KeepWarmPolicy) -> Self {
         Self {
             now: Duration::ZERO,
             log_down: false,
@@ -196,16 +196,16 @@
             id: id.into(),
             ..comfreymux_testutils::rig::host(role, centre, ANY)
         };
-        let daemons = self
-            .daemons
-            .iter()
-            .map(|(id, d)| Host { incarnation: d.incarnation, ..host(id, Role::Entry, &d.centre) });
+        let daemons = self.daemons.iter().map(|(id, d)| Host {
+            incarnation: d.incarnation,
+            ..host(id, HostRole::Entry, &d.centre)
+        });
         let engines = self.engines.iter().map(|(id, (centre, e))| Host {
             incarnation: e.incarnation,
             leaving: e.leaving,
             memory_mib: e.memory_mib,
             fencing: e.fencing,
-            ..host(id, Role::Engine, centre)
+            ..host(id, HostRole::Engine, centre)
         });
         self.hosts = daemons.chain(engines).collect();
     }
@@ -442,7 +442,7 @@
     ///
     /// Loads from the weight store wait for their start, and share its speed past the fourth.
     fn load_time(&mut self, order: &Order) -> Duration {
-        if order.action != Action::Load {
+        if order.action != OrderAction::Load {
             return Duration::ZERO;
         }
         let engine = self.engines.get(&order.server);
@@ -455,7 +455,8 @@
         let begin = self.store.next.max(now);
         self.store.next = begin + self.store.spacing;
         self.store.ends.retain(|end| *end > now);
-        let share = (self.store.ends.len() + 1).max(STORE_PARALLEL) as f64 / STORE_PARALLEL as f64;
+        let share =
+            (self.store.ends.len() + 1).max(MAX_STORE_LOADS) as f64 / MAX_STORE_LOADS as f64;
         let end = begin + time.mul_f64(share);
         self.store.ends.push(end);
         end.saturating_sub(now)
