--- a/cli/src/daemon.rs
+++ b/cli/src/daemon.rs
@@ -15,8 +15,8 @@
 use comfreymux_lib::log_service::HttpLog;
 use comfreymux_lib::logging;
 use comfreymux_lib::settings::ENV_PREFIX;
+use comfreymux_lib::settings::FlagSource;
 use comfreymux_lib::settings::Settings;
-use comfreymux_lib::settings::Source;
 use comfreymux_lib::settings::env_name;
 use comfreymux_lib::workers::Borders;
 use daemon_flags::Comfreymuxd;
@@ -31,7 +31,7 @@
 /// Time between looks at the operators' order to drain.
 const LOOK: Duration = Duration::from_millis(100);
 
-impl Source for Comfreymuxd {
+impl FlagSource for Comfreymuxd {
     fn text(&self, flag: &str) -> Option<String> {
         let given = match flag {
             "id" => &self.id,
@@ -81,13 +81,13 @@
 fn run(settings: Settings) -> miette::Result<bool> {
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|e| miette::miette!("no signals: {e}"))?;
-    let sockets = Sockets::open(settings.listen, settings.peer)?;
+    let sockets = Sockets::open(settings.listen_addr, settings.peer_addr)?;
     let borders = Borders {
-        log: Arc::new(HttpLog::new(settings.log.clone())),
-        hosts: Arc::new(HttpHostList::new(settings.hosts.clone())),
+        log: Arc::new(HttpLog::new(settings.log_url.clone())),
+        hosts: Arc::new(HttpHostList::new(settings.hosts_url.clone())),
         engine: Arc::new(HttpEngineControl),
     };
-    let exchange = Arc::new(HttpBackendClient::new(settings.idle));
+    let exchange = Arc::new(HttpBackendClient::new(settings.idle_timeout));
     let log = logging::to_stderr();
     let daemon = Daemon::start(settings, incarnation_now(), sockets, &borders, exchange, log)?;
     while signals.pending().next().is_none() && !daemon.node().is_stopping() {
--- a/lib/src/admin.rs
+++ b/lib/src/admin.rs
@@ -10,10 +10,10 @@
 
 use crate::caller_request::read_body;
 use crate::event::EditAnswer;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
 use crate::reply;
-use crate::reply::Refused;
+use crate::reply::RequestRefusal;
 use crate::table::Edit;
 
 /// Longest wait for the log to decide an edit.
@@ -30,7 +30,7 @@
         (Method::Get, "explain") => explain(node, query),
         (Method::Post, "edits") => edit(node, &mut request),
         (Method::Post, "drain") => Ok(drain(node)),
-        _ => Err(Refused::wrong(
+        _ => Err(RequestRefusal::permanent(
             404,
             "no-such-path",
             "operators ask for /admin/table, history, \
@@ -39,14 +39,14 @@
     };
     match answer {
         Ok((status, value)) => reply::send_json(request, status, &value),
-        Err(refused) => reply::send_refused(request, "", &refused),
+        Err(refused) => reply::send_refusal(request, "", &refused),
     }
 }
 
-type Answer = Result<(u16, Value), Refused>;
+type Answer = Result<(u16, Value), RequestRefusal>;
 
-fn no_state() -> Refused {
-    Refused::later(503, "no-state", "the log was not read yet", Duration::from_secs(1))
+fn no_state() -> RequestRefusal {
+    RequestRefusal::retryable(503, "no-state", "the log was not read yet", Duration::from_secs(1))
 }
 
 fn table(node: &Node) -> Answer {
@@ -95,7 +95,7 @@
 fn explain(node: &Node, query: &str) -> Answer {
     let id = query.strip_prefix("id=").unwrap_or_default();
     if id.is_empty() {
-        return Err(Refused::wrong(
+        return Err(RequestRefusal::permanent(
             400,
             "no-id",
             "explain?id= takes a request, model, server or \
@@ -108,20 +108,20 @@
 fn edit(node: &Node, request: &mut Request) -> Answer {
     let body = read_body(node, request)?;
     let edit: Edit = serde_json::from_slice(&body)
-        .map_err(|e| Refused::wrong(400, "bad-json", e.to_string()))?;
+        .map_err(|e| RequestRefusal::permanent(400, "bad-json", e.to_string()))?;
     let (sender, receiver) = flume::bounded(1);
-    node.tell(Input::Edit(edit.clone(), sender));
+    node.send(ControlInput::Edit(edit.clone(), sender));
     let Ok(answer) = receiver.recv_timeout(EDIT_WAIT) else {
         let message = format!(
             "the log has not decided edit {} yet; apply it again with the same id",
             edit.id
         );
-        return Err(Refused {
+        return Err(RequestRefusal {
             status: 504,
             verdict: crate::verdict::Verdict::MayHaveRun,
             code: "edit-undecided",
             message,
-            retry: Some(Duration::from_secs(5)),
+            retry_after: Some(Duration::from_secs(5)),
         });
     };
     Ok(match answer {
--- a/lib/src/caller_request.rs
+++ b/lib/src/caller_request.rs
@@ -11,7 +11,7 @@
 use crate::ids::ModelName;
 use crate::ids::claim_key;
 use crate::node::Node;
-use crate::reply::Refused;
+use crate::reply::RequestRefusal;
 use crate::table::Row;
 
 /// Header with the milliseconds in which an answer must begin.
@@ -117,8 +117,8 @@
 /// # Errors
 ///
 /// The body is too large, or ended early.
-pub fn read_body(node: &Node, request: &mut Request) -> Result<Vec<u8>, Refused> {
-    let most = node.settings.body;
+pub fn read_body(node: &Node, request: &mut Request) -> Result<Vec<u8>, RequestRefusal> {
+    let most = node.settings.max_body;
     let stated = request.body_length();
     if stated.is_some_and(|n| n > most) {
         return Err(too_large(most));
@@ -126,19 +126,19 @@
     let mut body = Vec::new();
     let read = request.as_reader().take(most as u64 + 1).read_to_end(&mut body);
     if let Err(error) = read {
-        return Err(Refused::wrong(400, "body-unreadable", error.to_string()));
+        return Err(RequestRefusal::permanent(400, "body-unreadable", error.to_string()));
     }
     if body.len() > most {
         return Err(too_large(most));
     }
     if stated.is_some_and(|n| n != body.len()) {
-        return Err(Refused::wrong(400, "body-cut-short", "the body ended early"));
+        return Err(RequestRefusal::permanent(400, "body-cut-short", "the body ended early"));
     }
     Ok(body)
 }
 
-fn too_large(most: usize) -> Refused {
-    Refused::wrong(413, "body-too-large", format!("a body may have {most} bytes"))
+fn too_large(most: usize) -> RequestRefusal {
+    RequestRefusal::permanent(413, "body-too-large", format!("a body may have {most} bytes"))
 }
 
 /// Headers that shape how a request is handled.
@@ -158,12 +158,16 @@
     /// # Errors
     ///
     /// Names the header that cannot be read.
-    pub fn parse(node: &Node, request: &Request, arrived: Duration) -> Result<Self, Refused> {
+    pub fn parse(
+        node: &Node,
+        request: &Request,
+        arrived: Duration,
+    ) -> Result<Self, RequestRefusal> {
         let wrong = |name: &str, allowed: &str| {
-            Refused::wrong(400, "bad-header", format!("{name} must be {allowed}"))
+            RequestRefusal::permanent(400, "bad-header", format!("{name} must be {allowed}"))
         };
         let time = match header_of(request, DEADLINE_HEADER) {
-            None => node.settings.deadline,
+            None => node.settings.default_deadline,
             Some(text) => match text.trim().parse() {
                 Ok(ms) if ms <= 3_600_000 => Duration::from_millis(ms),
                 _ => return Err(wrong(DEADLINE_HEADER, "milliseconds up to 3600000")),
--- a/lib/src/chat.rs
+++ b/lib/src/chat.rs
@@ -16,10 +16,10 @@
 use crate::dispatch::DispatchError;
 use crate::dispatch::dispatch;
 use crate::node::Node;
-use crate::record::Answer;
+use crate::record::StoredResponse;
 use crate::reply;
-use crate::reply::REQUEST_HEADER;
-use crate::reply::Refused;
+use crate::reply::REQUEST_ID_HEADER;
+use crate::reply::RequestRefusal;
 use crate::router::Route;
 use crate::sse::StreamEvent;
 use crate::sse::StreamReader;
@@ -63,14 +63,14 @@
         request: &Request,
         wishes: RequestOptions,
         body: Vec<u8>,
-    ) -> Result<Self, Refused> {
+    ) -> Result<Self, RequestRefusal> {
         let chat: ChatBody<'_> = serde_json::from_slice(&body)
-            .map_err(|e| Refused::wrong(400, "bad-json", e.to_string()))?;
+            .map_err(|e| RequestRefusal::permanent(400, "bad-json", e.to_string()))?;
         let view = node.view.load();
         let row = view.table.row(&chat.model).filter(|r| r.is_loaded()).cloned();
         let Some(row) = row else {
             let message = format!("the model `{}` does not exist", chat.model);
-            return Err(Refused::wrong(404, "model_not_found", message));
+            return Err(RequestRefusal::permanent(404, "model_not_found", message));
         };
         let messages = chat.messages.get().as_bytes();
         let prefix = xxh3_64(&messages[..messages.len().min(PREFIX)]);
@@ -106,7 +106,7 @@
 /// How an attempt of a stream ended well.
 enum Whole {
     Streamed,
-    Answered(Answer),
+    Answered(StoredResponse),
 }
 
 impl Streaming<'_> {
@@ -118,7 +118,7 @@
             Ok(whole) => self.finish(whole),
             Err(DispatchError::Refused(refused)) => self.refuse(&refused),
             Err(DispatchError::CallerGone) => {
-                node.note_request(&job.id, job.model(), "cancel", "", "the caller is gone");
+                node.log_routing(&job.id, job.model(), "cancel", "", "the caller is gone");
             }
         }
     }
@@ -155,7 +155,7 @@
         let request = self.request.take().ok_or(AttemptError::CallerGone)?;
         let now = self.node.now();
         self.node.metrics.first_byte(now.saturating_sub(self.job.arrived));
-        let headers = [format!("{REQUEST_HEADER}: {}", self.job.id)];
+        let headers = [format!("{REQUEST_ID_HEADER}: {}", self.job.id)];
         StreamWriter::start(request.into_writer(), &headers)
             .map_err(|_gone| AttemptError::CallerGone)
     }
@@ -169,7 +169,7 @@
             }
             // A stream may be whole without a chunk.
             (Whole::Streamed, Some(request), None) => {
-                let headers = [format!("{REQUEST_HEADER}: {}", job.id)];
+                let headers = [format!("{REQUEST_ID_HEADER}: {}", job.id)];
                 let writer = StreamWriter::start(request.into_writer(), &headers);
                 let _gone = writer.and_then(StreamWriter::done);
             }
@@ -177,25 +177,29 @@
                 let _gone = writer.done();
             }
             (Whole::Answered(_), None, Some(writer)) => {
-                end_with(writer, &Refused::wrong(502, "faulted", "the stream broke off"), job);
+                end_with(
+                    writer,
+                    &RequestRefusal::permanent(502, "faulted", "the stream broke off"),
+                    job,
+                );
             }
             (_, None, None) => {}
         }
-        node.note_request(&job.id, job.model(), "done", "", format!("chunks={}", self.sent));
+        node.log_routing(&job.id, job.model(), "done", "", format!("chunks={}", self.sent));
     }
 
     /// Tells the caller that no more comes.
     ///
     /// What was sent stays with the caller; the last event names the condition, and there is no end
     /// marker, so that a broken stream is never taken for a whole one.
-    fn refuse(mut self, refused: &Refused) {
+    fn refuse(mut self, refused: &RequestRefusal) {
         let (node, job) = (self.node, self.job);
         record_refusal(node, job, refused);
         match (self.request.take(), self.writer.take()) {
-            (Some(request), _) => reply::send_refused(request, &job.id, refused),
+            (Some(request), _) => reply::send_refusal(request, &job.id, refused),
             (None, Some(writer)) => {
                 // Chunks were sent, so the request did run in part.
-                let partial = Refused { verdict: Verdict::MayHaveRun, ..refused.clone() };
+                let partial = RequestRefusal { verdict: Verdict::MayHaveRun, ..refused.clone() };
                 end_with(writer, &partial, job);
             }
             (None, None) => {}
@@ -203,17 +207,17 @@
     }
 }
 
-fn end_with(mut writer: StreamWriter, refused: &Refused, job: &CallerRequest) {
+fn end_with(mut writer: StreamWriter, refused: &RequestRefusal, job: &CallerRequest) {
     let data = refused.to_json(&job.id).to_string();
     let _gone = writer.event(&data).and_then(|()| writer.end());
 }
 
 /// Logs and counts a refusal.
-pub fn record_refusal(node: &Node, job: &CallerRequest, refused: &Refused) {
+pub fn record_refusal(node: &Node, job: &CallerRequest, refused: &RequestRefusal) {
     node.metrics.refused(refused.code);
     node.metrics.answered(job.model(), refused.verdict);
     let reason = format!("{} {}: {}", refused.verdict, refused.code, refused.message);
-    node.note_request(&job.id, job.model(), "refuse", "", reason);
+    node.log_routing(&job.id, job.model(), "refuse", "", reason);
 }
 
 /// Notes what the head of an answer says of its replica.
@@ -226,7 +230,7 @@
 /// # Errors
 ///
 /// The body was cut short or silent, or the backend server failed while it ran the request.
-pub fn read_answer(mut reply: ServerResponse) -> Result<Answer, AttemptError> {
+pub fn read_answer(mut reply: ServerResponse) -> Result<StoredResponse, AttemptError> {
     let mut body = Vec::new();
     std::io::Read::read_to_end(&mut reply.body, &mut body)
         .map_err(|e| Failure::from_read_error(&e))?;
@@ -235,5 +239,5 @@
         let detail = format!("status {status}: {}", String::from_utf8_lossy(&body));
         return Err(Failure::may_have_run(FailureKind::ServerError, detail).into());
     }
-    Ok(Answer { status, content_type, body })
+    Ok(StoredResponse { status, content_type, body })
 }
--- a/lib/src/claim_outcomes.rs
+++ b/lib/src/claim_outcomes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::ids::ClaimKey;
-use crate::record::Answer;
+use crate::record::StoredResponse;
 use crate::verdict::Verdict;
 
 /// How long an outcome is kept here; small ones stay in the log for longer.
@@ -19,7 +19,7 @@
     /// Whether it ran.
     pub verdict: Verdict,
     /// Its answer.
-    pub answer: Option<Answer>,
+    pub answer: Option<StoredResponse>,
 }
 
 #[derive(Debug, Default)]
--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -31,7 +31,7 @@
 use crate::keep_warm::KeepWarm;
 use crate::keep_warm::KeepWarmPolicy;
 use crate::lease::LeaseAuthority;
-use crate::load_rates::Rates;
+use crate::load_rates::LoadRates;
 use crate::pending_claims::PendingClaims;
 use crate::pending_edits::PendingEdits;
 use crate::record::Entry;
@@ -73,7 +73,7 @@
     pub(crate) authority: LeaseAuthority,
     pub(crate) demand: Demand,
     pub(crate) fleet: Fleet,
-    pub(crate) rates: Rates,
+    pub(crate) rates: LoadRates,
     pub(crate) keep_warm: KeepWarm,
     pub(crate) watches: Watches,
     pub(crate) effects: Vec<Effect>,
@@ -113,7 +113,7 @@
             authority: LeaseAuthority::default(),
             demand: Demand::default(),
             fleet: Fleet::default(),
-            rates: Rates::default(),
+            rates: LoadRates::default(),
             keep_warm: KeepWarm::new(settings.keep_warm),
             watches: Watches::default(),
             effects: Vec::new(),
@@ -146,7 +146,7 @@
     }
 
     /// Returns the loading speeds learned so far.
-    pub fn rates(&self) -> &Rates {
+    pub fn rates(&self) -> &LoadRates {
         &self.rates
     }
 
--- a/lib/src/control_slots.rs
+++ b/lib/src/control_slots.rs
@@ -119,7 +119,7 @@
             if let (Phase::Loading(source), Some(row)) =
                 (slot.phase, self.state.table.row(&slot.model))
             {
-                self.rates.learn(row.load_mib, source, took);
+                self.rates.record_load(row.load_mib, source, took);
             }
             let reason = format!("loaded in {:.2}s", took.as_secs_f64());
             self.log_decision(DecisionKind::Ready, &slot.model, &slot.server, reason);
--- a/lib/src/control_thread.rs
+++ b/lib/src/control_thread.rs
@@ -20,7 +20,7 @@
 use crate::ids::CentreId;
 use crate::ids::ClaimKey;
 use crate::ids::Offset;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
 use crate::peer_message::Digest;
 use crate::peer_message::MAX_DATAGRAM;
@@ -94,40 +94,40 @@
     }
 
     /// Runs until the daemon ends.
-    pub fn run(mut self, inputs: &flume::Receiver<Input>) {
+    pub fn run(mut self, inputs: &flume::Receiver<ControlInput>) {
         while let Ok(input) = inputs.recv() {
-            if matches!(input, Input::End) {
+            if matches!(input, ControlInput::End) {
                 return;
             }
             self.take(input);
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn take(&mut self, input: ControlInput) {
         let now = self.node.now();
         match input {
-            Input::Event(event) => self.handle(now, event),
-            Input::Install(state) => {
+            ControlInput::Event(event) => self.handle(now, event),
+            ControlInput::InstallState(state) => {
                 let effects = self.control.install(now, *state);
                 self.recent.clear();
                 self.carry_out(now, effects);
             }
-            Input::Claim(key, sender) => self.claim(now, key, sender),
-            Input::Edit(edit, sender) => {
+            ControlInput::Claim(key, sender) => self.claim(now, key, sender),
+            ControlInput::Edit(edit, sender) => {
                 self.edits.push((edit.id.clone(), sender));
                 self.handle(now, Event::Edit(edit));
             }
             // Whoever asked may have given up meanwhile; so below.
-            Input::State(sender) => {
+            ControlInput::GetState(sender) => {
                 let _gone = sender.send(self.control.state().clone());
             }
-            Input::Entries(from, sender) => {
+            ControlInput::GetEntries(from, sender) => {
                 let _gone = sender.send(self.entries(from));
             }
-            Input::PeerAt(peer, offset, hash) => self.note_peer(peer, offset, hash),
-            Input::End => {}
+            ControlInput::PeerOffset(peer, offset, hash) => self.note_peer(peer, offset, hash),
+            ControlInput::End => {}
         }
-        self.node.applied.store(self.control.state().offset, Ordering::Relaxed);
+        self.node.applied_offset.store(self.control.state().offset, Ordering::Relaxed);
     }
 
     /// Notes how far a peer has read, and compares states at the same checkpoint.
@@ -138,7 +138,7 @@
         if own.0 > 0 && own.0 == hash.0 && own.1 != hash.1 {
             slog::crit!(self.node.log, "divergence"; "offset" => own.0, "peer" => peer.as_str());
         }
-        let mut ahead = self.node.ahead.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut ahead = self.node.peer_offsets.lock().unwrap_or_else(PoisonError::into_inner);
         ahead.insert(peer, offset);
     }
 
@@ -214,7 +214,7 @@
                 Effect::Claimed(key, answer) => self.answer_claim(key, answer),
                 Effect::Edited(edit, answer) => self.answer_edit(&edit.id, &answer),
                 Effect::Publish => publish = true,
-                Effect::Decide(decision) => self.node.note_decision(&decision),
+                Effect::Decide(decision) => self.node.log_decision(&decision),
             }
         }
         if publish {
@@ -223,7 +223,7 @@
     }
 
     fn publish(&self, now: Duration) {
-        let mut rates = self.node.rates.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut rates = self.node.load_rates.lock().unwrap_or_else(PoisonError::into_inner);
         *rates = *self.control.rates();
         drop(rates);
         self.node.publish(View::of(&self.control, now));
@@ -249,7 +249,7 @@
         let granted = answer == ClaimAnswer::Granted;
         let heard = self.claims.remove(&key).is_some_and(|sender| sender.send(answer).is_ok());
         if granted && !heard {
-            let _full = self.node.tell(Input::Event(Event::Unclaim(key)));
+            let _full = self.node.send(ControlInput::Event(Event::Unclaim(key)));
         }
     }
 
@@ -271,7 +271,7 @@
         }
         self.send_digests(now);
         self.count_idle(now);
-        self.node.pump();
+        self.node.wake_waiting();
         self.node.outcomes.expire(now);
         self.node.router().expire(now);
         self.edits.retain(|(_, sender)| !sender.is_disconnected());
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -24,9 +24,9 @@
 use crate::gateway;
 use crate::ids::Incarnation;
 use crate::log_reader;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
-use crate::peer_server::Peers;
+use crate::peer_server::PeerServer;
 use crate::settings::Settings;
 use crate::timer::Clock;
 use crate::timer::Timer;
@@ -95,7 +95,7 @@
 /// Sockets of a daemon, opened before anything else so that their addresses are known.
 pub struct Sockets {
     server: Server,
-    peers: Peers,
+    peers: PeerServer,
     /// Where callers connect.
     pub addr: SocketAddr,
     /// Where other daemons connect.
@@ -120,7 +120,8 @@
         let addr = listener.local_addr().map_err(refused)?;
         let server = Server::from_listener(listener, None)
             .map_err(|e| refused(io::Error::other(e.to_string())))?;
-        let peers = Peers::open(peer).map_err(|source| StartError::Peer { addr: peer, source })?;
+        let peers =
+            PeerServer::bind(peer).map_err(|source| StartError::Peer { addr: peer, source })?;
         let peer = peers.addr().map_err(StartError::System)?;
         Ok(Self { server, peers, addr, peer_addr: peer })
     }
@@ -144,7 +145,7 @@
             id: settings.id.clone(),
             incarnation,
             centre: settings.centre.clone(),
-            append_gap: settings.gap,
+            append_gap: settings.append_gap,
             keep_warm: settings.policy,
             poll_interval: settings.poll,
         };
@@ -174,7 +175,7 @@
         let control = spawn("control", Box::new(move || shell.run(&inputs)))?;
         let (accepting, accepted) = (Arc::clone(&node), Arc::clone(&server));
         let accept = spawn("accept", Box::new(move || gateway::run(&accepting, &accepted)))?;
-        slog::info!(node.log, "start"; "peer" => node.settings.peer.to_string(),
+        slog::info!(node.log, "start"; "peer" => node.settings.peer_addr.to_string(),
             "listen" => addr.to_string(), "centre" => node.settings.centre.as_str(),
             "daemon" => node.settings.id.as_str());
         Ok(Self { node, server, addr, control, accept })
@@ -197,7 +198,7 @@
             thread::sleep(STOP_STEP);
         }
         let left = node.limits().total();
-        node.tell(Input::Event(Event::Stop));
+        node.send(ControlInput::Event(Event::Stop));
         thread::sleep(LAST_APPEND.min(node.settings.drain));
         slog::info!(node.log, "stop"; "cut" => left, "daemon" => node.settings.id.as_str());
         self.abort();
@@ -206,7 +207,7 @@
 
     /// Ends the daemon's threads without waiting for anything, as a crash would.
     pub fn abort(self) {
-        self.node.tell(Input::End);
+        self.node.send(ControlInput::End);
         self.server.unblock();
         // A thread that panicked has said so on standard error already.
         let _panicked = self.control.join();
@@ -220,6 +221,6 @@
     // The control thread's own clock counts; the timer only paces it.
     timer.subscribe(TICK, move |_| {
         // A slow control thread gets no pile of ticks.
-        control.len() > 1000 || control.send(Input::Event(Event::Tick)).is_ok()
+        control.len() > 1000 || control.send(ControlInput::Event(Event::Tick)).is_ok()
     });
 }
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -8,12 +8,12 @@
 use crate::caller_request::CallerRequest;
 use crate::ids::ServerId;
 use crate::node::Node;
-use crate::queue::Refusal;
+use crate::queue::QueueRefusal;
 use crate::queue::Waiter;
 use crate::record::Source;
-use crate::reply::Refused;
+use crate::reply::RequestRefusal;
 use crate::router::Route;
-use crate::router::Wish;
+use crate::router::RouteRequest;
 use crate::verdict::Verdict;
 
 /// Most attempts of one request that may have run.
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub enum DispatchError {
     /// The caller must be told.
-    Refused(Refused),
+    Refused(RequestRefusal),
     /// The caller is gone.
     CallerGone,
 }
@@ -69,15 +69,15 @@
 ) -> Result<T, DispatchError> {
     let mut history =
         History { attempts: 0, failures: 0, verdict: Verdict::DidNotRun, tried: Vec::new() };
-    node.budget().attempted();
+    node.retry_budget().record_first();
     loop {
         let route = find_route(node, job, &mut history).map_err(DispatchError::Refused)?;
         let call = call_of(job, history.attempts);
         history.attempts += 1;
-        node.note_request(&job.id, job.model(), "route", &route.server, route.reason);
+        node.log_routing(&job.id, job.model(), "route", &route.server, route.reason);
         let result = attempt(&route, &call);
-        node.router().finished(&route.server, job.model());
-        node.pump();
+        node.router().record_end(&route.server, job.model());
+        node.wake_waiting();
         let failure = match result {
             Ok(value) => return Ok(value),
             Err(AttemptError::CallerGone) => return Err(DispatchError::CallerGone),
@@ -107,14 +107,16 @@
 fn note_failure(node: &Node, job: &CallerRequest, route: &Route, failure: &Failure) {
     let now = node.now();
     match failure.kind {
-        FailureKind::Leaving => node.router().left(now, &route.server),
-        FailureKind::NotLoaded => node.router().missed(now, &route.server, job.model()),
-        FailureKind::Unreachable | FailureKind::Stalled => node.router().failed(now, &route.server),
+        FailureKind::Leaving => node.router().mark_leaving(now, &route.server),
+        FailureKind::NotLoaded => node.router().mark_missing(now, &route.server, job.model()),
+        FailureKind::Unreachable | FailureKind::Stalled => {
+            node.router().record_failure(now, &route.server)
+        }
         FailureKind::Refused => node.router().answered(now, &route.server, job.model(), None),
         FailureKind::Truncated | FailureKind::ServerError | FailureKind::WrongAttempt => {}
     }
     let reason = format!("{} {}: {}", failure.verdict, failure.kind.as_str(), failure.detail);
-    node.note_request(&job.id, job.model(), "fail", &route.server, reason);
+    node.log_routing(&job.id, job.model(), "fail", &route.server, reason);
 }
 
 /// Decides whether another attempt is allowed.
@@ -126,17 +128,17 @@
     job: &CallerRequest,
     history: &History,
     failure: &Failure,
-) -> Result<(), Refused> {
-    let refused = |code, message: String| Refused {
+) -> Result<(), RequestRefusal> {
+    let refused = |code, message: String| RequestRefusal {
         status: if history.verdict == Verdict::DidNotRun { 503 } else { 502 },
         verdict: history.verdict,
         code,
         message,
-        retry: Some(COME_BACK),
+        retry_after: Some(COME_BACK),
     };
     if history.verdict != Verdict::DidNotRun && !job.row.repeat {
         let message = format!("the request may have run: {}", failure.detail);
-        return Err(Refused { retry: None, ..refused("may-have-run", message) });
+        return Err(RequestRefusal { retry_after: None, ..refused("may-have-run", message) });
     }
     // What was refused before running cost nothing; the deadline bounds it.
     if matches!(failure.kind, FailureKind::Refused | FailureKind::Leaving | FailureKind::NotLoaded)
@@ -146,46 +148,50 @@
     if history.failures >= MAX_FAILURES {
         return Err(refused("attempts-used-up", failure.detail.clone()));
     }
-    if !node.budget().take() {
+    if !node.retry_budget().take() {
         return Err(refused("retry-budget-used-up", failure.detail.clone()));
     }
     Ok(())
 }
 
 /// Returns a replica with room, after waiting for one if need be.
-fn find_route(node: &Node, job: &CallerRequest, history: &mut History) -> Result<Route, Refused> {
+fn find_route(
+    node: &Node,
+    job: &CallerRequest,
+    history: &mut History,
+) -> Result<Route, RequestRefusal> {
     let began = node.now();
     let mut woken = false;
     loop {
         let now = node.now();
         let view = node.view.load_full();
-        let wish = Wish { model: job.model(), prefix: job.prefix, tried: &history.tried };
+        let wish = RouteRequest { model: job.model(), prefix: job.prefix, tried: &history.tried };
         let overtakes = !woken && node.waiting.is_waited(job.model());
         let route = if overtakes { None } else { node.router().choose(now, &view, wish) };
         if let Some(route) = route {
             if woken {
-                node.pace().record_dequeue(now, job.model(), job.priority);
+                node.wait_estimator().record_dequeue(now, job.model(), job.priority);
                 node.metrics.waited(job.model(), now.saturating_sub(began));
             }
             return Ok(route);
         }
-        if !history.tried.is_empty() && node.router().room(now, &view, job.model()) > 0 {
+        if !history.tried.is_empty() && node.router().free_capacity(now, &view, job.model()) > 0 {
             // Every replica with room was tried; what refused before may not do so after a pause.
             history.tried.clear();
             std::thread::sleep(PAUSE);
             if node.now() >= job.deadline {
-                return Err(refuse(node, job, history, Refusal::Expired, COME_BACK));
+                return Err(refuse(node, job, history, QueueRefusal::Expired, COME_BACK));
             }
             continue;
         }
         if !job.row.is_loaded() && view.places(job.model()).is_empty() {
             let message = format!("no backend server answers for {}", job.model());
-            return Err(Refused::later(503, "no-server", message, COME_BACK));
+            return Err(RequestRefusal::retryable(503, "no-server", message, COME_BACK));
         }
         let waiter =
             Waiter { model: job.model().clone(), priority: job.priority, deadline: job.deadline };
         if !woken {
-            node.note_request(&job.id, job.model(), "wait", "", "no replica has room");
+            node.log_routing(&job.id, job.model(), "wait", "", "no replica has room");
         }
         let expected = expected_wait(node, now, job, &waiter);
         let turn = node.waiting.wait(now, waiter, expected);
@@ -202,41 +208,41 @@
     let view = node.view.load();
     let cold = view.places(job.model()).is_empty() && !view.loading.contains(job.model());
     if cold && job.row.is_loaded() {
-        return node.loading_rates().expected(job.row.load_mib, Source::Memory);
+        return node.load_rates().expected(job.row.load_mib, Source::Memory);
     }
     let ahead = node.waiting.ahead(waiter);
-    node.pace().expected_wait(now, job.model(), job.priority, ahead)
+    node.wait_estimator().expected_wait(now, job.model(), job.priority, ahead)
 }
 
 fn refuse(
     node: &Node,
     job: &CallerRequest,
     history: &History,
-    refusal: Refusal,
+    refusal: QueueRefusal,
     expected: Duration,
-) -> Refused {
+) -> RequestRefusal {
     let cold = node.view.load().places(job.model()).is_empty();
     let retry = match refusal {
-        Refusal::Stopping => Duration::ZERO,
-        _ if cold => node.loading_rates().expected(job.row.load_mib, Source::Disk),
+        QueueRefusal::Stopping => Duration::ZERO,
+        _ if cold => node.load_rates().expected(job.row.load_mib, Source::Disk),
         _ => {
             let now = node.now();
-            let back = node.pace().retry_after(now, job.model(), job.priority, expected);
+            let back = node.wait_estimator().retry_after(now, job.model(), job.priority, expected);
             back.max(COME_BACK)
         }
     };
     let message = match refusal {
-        Refusal::Full => "too many requests wait for this model",
-        Refusal::Displaced => "a more important request took the place in the queue",
-        Refusal::TooLate => "the model cannot be ready by the deadline",
-        Refusal::Expired => "no replica was ready by the deadline",
-        Refusal::Stopping => "this daemon is stopping; another one will answer",
+        QueueRefusal::Full => "too many requests wait for this model",
+        QueueRefusal::Displaced => "a more important request took the place in the queue",
+        QueueRefusal::TooLate => "the model cannot be ready by the deadline",
+        QueueRefusal::Expired => "no replica was ready by the deadline",
+        QueueRefusal::Stopping => "this daemon is stopping; another one will answer",
     };
-    Refused {
+    RequestRefusal {
         status: 503,
         verdict: history.verdict,
         code: refusal.as_str(),
         message: message.to_owned(),
-        retry: Some(retry),
+        retry_after: Some(retry),
     }
 }
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -17,9 +17,9 @@
 use crate::ids::ModelName;
 use crate::ids::Offset;
 use crate::ids::ServerId;
-use crate::record::Answer;
 use crate::record::Entry;
 use crate::record::Settlement;
+use crate::record::StoredResponse;
 use crate::table::Edit;
 use crate::verdict::Verdict;
 
@@ -80,7 +80,7 @@
     /// Another request has it, run by this daemon.
     Taken(DaemonId),
     /// It was run by this daemon and ended.
-    Ended(DaemonId, Verdict, Option<Answer>),
+    Ended(DaemonId, Verdict, Option<StoredResponse>),
     /// The log does not answer, and nothing was claimed that will be run.
     LogDown,
 }
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -25,7 +25,7 @@
 use crate::chat::ChatRequest;
 use crate::node::Node;
 use crate::reply;
-use crate::reply::Refused;
+use crate::reply::RequestRefusal;
 use crate::request_limits::RequestLimit;
 use crate::services;
 
@@ -91,8 +91,9 @@
         (Method::Post, chat::PATH) => limited(node, request, serve_chat),
         (_, path) if path.starts_with(services::PREFIX) => limited(node, request, serve_service),
         _ => {
-            let refused = Refused::wrong(404, "no-such-path", format!("nothing is at {path}"));
-            reply::send_refused(request, "", &refused);
+            let refused =
+                RequestRefusal::permanent(404, "no-such-path", format!("nothing is at {path}"));
+            reply::send_refusal(request, "", &refused);
         }
     }
 }
@@ -119,22 +120,22 @@
 
 /// Runs `handler` within the limits; a request past them is refused at once.
 fn limited(node: &Node, request: Request, handler: Handler) {
-    let id = node.next_request();
+    let id = node.next_request_id();
     let caller = caller_request::caller_of(&request);
     if node.is_stopping() {
         let message = "this daemon is stopping; another one will answer";
-        let refused = Refused::later(503, "stopping", message, LIMIT_RETRY);
+        let refused = RequestRefusal::retryable(503, "stopping", message, LIMIT_RETRY);
         node.metrics.refused(refused.code);
-        reply::send_refused(request, &id, &refused);
+        reply::send_refusal(request, &id, &refused);
         return;
     }
     let entered = node.limits().acquire(&caller);
     if let Err(limit) = entered {
         let status = if limit == RequestLimit::Caller { 429 } else { 503 };
         let message = "too many requests are in progress";
-        let refused = Refused::later(status, limit.as_str(), message, LIMIT_RETRY);
+        let refused = RequestRefusal::retryable(status, limit.as_str(), message, LIMIT_RETRY);
         node.metrics.refused(refused.code);
-        reply::send_refused(request, &id, &refused);
+        reply::send_refusal(request, &id, &refused);
         return;
     }
     handler(node, &id, request);
@@ -163,8 +164,8 @@
     }
 }
 
-fn refuse(node: &Node, id: &SmolStr, request: Request, refused: &Refused) {
+fn refuse(node: &Node, id: &SmolStr, request: Request, refused: &RequestRefusal) {
     node.metrics.refused(refused.code);
-    node.note_request(id, "", "refuse", "", refused.message.clone());
-    reply::send_refused(request, id, refused);
+    node.log_routing(id, "", "refuse", "", refused.message.clone());
+    reply::send_refusal(request, id, refused);
 }
--- a/lib/src/host_list.rs
+++ b/lib/src/host_list.rs
@@ -70,12 +70,12 @@
 
 /// The whole list, put together from its changes.
 #[derive(Debug, Default)]
-pub struct HostBook {
+pub struct HostListCache {
     version: u64,
     hosts: BTreeMap<SmolStr, Host>,
 }
 
-impl HostBook {
+impl HostListCache {
     /// Returns the version to ask changes of.
     pub fn version(&self) -> u64 {
         self.version
--- a/lib/src/load_planner.rs
+++ b/lib/src/load_planner.rs
@@ -18,7 +18,7 @@
 use crate::ids::ModelName;
 use crate::ids::ServerId;
 use crate::ids::SlotId;
-use crate::load_rates::Rates;
+use crate::load_rates::LoadRates;
 use crate::record::Phase;
 use crate::record::Source;
 use crate::replicated_state::State;
@@ -52,7 +52,7 @@
     /// Waiting requests.
     pub demand: &'a Demand,
     /// Loading speeds.
-    pub rates: &'a Rates,
+    pub rates: &'a LoadRates,
     /// Slots of this data centre.
     pub watches: &'a Watches,
 }
--- a/lib/src/load_rates.rs
+++ b/lib/src/load_rates.rs
@@ -15,26 +15,26 @@
 
 /// Loading speed by source, in MiB/s.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Rates {
+pub struct LoadRates {
     memory: f64,
     disk: f64,
     remote: f64,
 }
 
-impl Default for Rates {
+impl Default for LoadRates {
     fn default() -> Self {
         Self { memory: 8000.0, disk: 2000.0, remote: 500.0 }
     }
 }
 
-impl Rates {
+impl LoadRates {
     /// Returns the expected time to load `size` from `source`.
     pub fn expected(&self, size: Mebibytes, source: Source) -> Duration {
         FIXED + Duration::from_secs_f64(size as f64 / self.rate(source))
     }
 
     /// Notes a load that took `time`.
-    pub fn learn(&mut self, size: Mebibytes, source: Source, time: Duration) {
+    pub fn record_load(&mut self, size: Mebibytes, source: Source, time: Duration) {
         let reading = time.saturating_sub(FIXED).as_secs_f64().max(0.001);
         let measured = (size as f64 / reading).max(1.0);
         let rate = match source {
--- a/lib/src/log_reader.rs
+++ b/lib/src/log_reader.rs
@@ -10,7 +10,7 @@
 use crate::ids::Offset;
 use crate::log_service::LogService;
 use crate::log_service::ReadError;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
 use crate::peer_client;
 use crate::record::Entry;
@@ -42,7 +42,7 @@
 
 impl Reader<'_> {
     fn step(&mut self) {
-        let applied = self.node.applied.load(Ordering::Relaxed);
+        let applied = self.node.applied_offset.load(Ordering::Relaxed);
         self.next = self.next.max(applied);
         if self.next > applied + MAX_BEHIND {
             thread::sleep(PAUSE);
@@ -50,14 +50,14 @@
         }
         match self.log.read(self.next, READ_WAIT) {
             Ok(entries) => {
-                self.node.tell(Input::Event(Event::LogRead));
+                self.node.send(ControlInput::Event(Event::LogRead));
                 for (offset, bytes) in entries {
                     self.take(offset, &bytes);
                 }
             }
             Err(ReadError::Expired(oldest)) => self.recover(oldest),
             Err(ReadError::Unavailable(_)) => {
-                self.node.tell(Input::Event(Event::LogFailed));
+                self.node.send(ControlInput::Event(Event::LogFailed));
                 self.ask_peers();
                 thread::sleep(PAUSE);
             }
@@ -69,7 +69,7 @@
             return;
         }
         self.next += 1;
-        self.node.tell(Input::Event(Event::Entry(offset, decode_entry(bytes))));
+        self.node.send(ControlInput::Event(Event::Entry(offset, decode_entry(bytes))));
     }
 
     /// Starts from a snapshot, because what comes next in the log has expired.
@@ -96,7 +96,7 @@
         }
         if let Some(state) = newest {
             self.next = state.offset;
-            self.node.tell(Input::Install(Box::new(state)));
+            self.node.send(ControlInput::InstallState(Box::new(state)));
             self.await_applied();
         } else {
             self.ask_peers();
@@ -106,7 +106,7 @@
 
     /// Waits until the control thread has taken over a state, so that reading goes on from it.
     fn await_applied(&self) {
-        while self.node.applied.load(Ordering::Relaxed) < self.next
+        while self.node.applied_offset.load(Ordering::Relaxed) < self.next
             && !self.node.control.is_disconnected()
         {
             thread::sleep(Duration::from_millis(5));
@@ -119,20 +119,20 @@
     /// edits, and a daemon that starts during an outage takes over a peer's state.
     fn ask_peers(&mut self) {
         for addr in self.peers_ahead() {
-            if let Some(entries) = peer_client::entries(self.node, addr, self.next)
+            if let Some(entries) = peer_client::fetch_entries(self.node, addr, self.next)
                 && entries.first().is_some_and(|(offset, _)| *offset == self.next)
             {
                 for (offset, entry) in entries {
                     self.next = offset + 1;
-                    self.node.tell(Input::Event(Event::Entry(offset, entry)));
+                    self.node.send(ControlInput::Event(Event::Entry(offset, entry)));
                 }
                 return;
             }
-            if let Some(state) = peer_client::state(self.node, addr)
+            if let Some(state) = peer_client::fetch_state(self.node, addr)
                 && state.offset > self.next
             {
                 self.next = state.offset;
-                self.node.tell(Input::Install(Box::new(state)));
+                self.node.send(ControlInput::InstallState(Box::new(state)));
                 self.await_applied();
                 return;
             }
@@ -141,7 +141,7 @@
 
     fn peers_ahead(&self) -> Vec<SocketAddr> {
         let view = self.node.view.load();
-        let ahead = self.node.ahead.lock().unwrap_or_else(PoisonError::into_inner);
+        let ahead = self.node.peer_offsets.lock().unwrap_or_else(PoisonError::into_inner);
         let mut peers: Vec<(Offset, SocketAddr)> = ahead
             .iter()
             .filter(|(_, offset)| **offset > self.next)
--- a/lib/src/log_service.rs
+++ b/lib/src/log_service.rs
@@ -61,7 +61,7 @@
 
 /// Answer to an append, as the service sends it.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct Appended {
+pub struct AppendResponse {
     /// Where the entry stands.
     pub offset: Offset,
 }
@@ -90,7 +90,7 @@
         if response.status_code != 200 {
             return Err(AppendError(format!("status {}", response.status_code)));
         }
-        let appended: Appended =
+        let appended: AppendResponse =
             serde_json::from_slice(response.as_bytes()).map_err(|e| AppendError(e.to_string()))?;
         Ok(appended.offset)
     }
--- a/lib/src/logging.rs
+++ b/lib/src/logging.rs
@@ -148,7 +148,7 @@
     /// # Panics
     ///
     /// Panics if the system gives no thread.
-    pub fn to(output: impl io::Write + Send + 'static) -> Self {
+    pub fn with_output(output: impl io::Write + Send + 'static) -> Self {
         let waiting = Arc::new(Mutex::new(Waiting::default()));
         let drain = LineDrain { writer: Mutex::new(WaitingWriter(Arc::clone(&waiting))) };
         let for_thread = Arc::clone(&waiting);
@@ -192,7 +192,7 @@
 
 /// Logs to standard output without ever holding up its caller.
 pub fn to_stdout() -> LineLog {
-    LineLog::to(io::stdout())
+    LineLog::with_output(io::stdout())
 }
 
 /// Creates a logger that drops everything.
--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -27,7 +27,7 @@
 use crate::ids::ClaimKey;
 use crate::ids::Incarnation;
 use crate::ids::Offset;
-use crate::load_rates::Rates;
+use crate::load_rates::LoadRates;
 use crate::metrics::Metrics;
 use crate::record::Entry;
 use crate::replicated_state::State;
@@ -42,26 +42,26 @@
 use crate::wait_queue::WaitingRoom;
 
 /// What the control thread takes in.
-pub enum Input {
+pub enum ControlInput {
     /// An event for the control state machine.
     Event(Event),
     /// A whole state, from a snapshot or a peer.
-    Install(Box<State>),
+    InstallState(Box<State>),
     /// A request wants to run and may not be repeated.
     Claim(ClaimKey, flume::Sender<ClaimAnswer>),
     /// An operator's edit.
     Edit(Edit, flume::Sender<EditAnswer>),
     /// Somebody wants the state.
-    State(flume::Sender<State>),
+    GetState(flume::Sender<State>),
     /// A peer wants entries from this offset on.
-    Entries(Offset, flume::Sender<Option<Vec<(Offset, Entry)>>>),
+    GetEntries(Offset, flume::Sender<Option<Vec<(Offset, Entry)>>>),
     /// A peer has read the log to this offset; its state's hash at a checkpoint.
-    PeerAt(SmolStr, Offset, (Offset, u64)),
+    PeerOffset(SmolStr, Offset, (Offset, u64)),
     /// The daemon ends.
     End,
 }
 
-impl fmt::Debug for Input {
+impl fmt::Debug for ControlInput {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Input")
     }
@@ -79,13 +79,13 @@
     /// What routers see.
     pub view: ArcSwap<View>,
     /// Learned loading speeds.
-    pub rates: Mutex<Rates>,
+    pub load_rates: Mutex<LoadRates>,
     /// Requests that wait for a replica.
     pub waiting: WaitingRoom,
     /// Outcomes of claimed requests.
     pub outcomes: ClaimOutcomes,
     /// To the control thread.
-    pub control: flume::Sender<Input>,
+    pub control: flume::Sender<ControlInput>,
     /// Requests to backend servers.
     pub exchange: Arc<dyn BackendClient>,
     /// Metrics.
@@ -97,9 +97,9 @@
     /// Whether the daemon takes no new work.
     pub stopping: AtomicBool,
     /// Offset up to which the log was read.
-    pub applied: AtomicU64,
+    pub applied_offset: AtomicU64,
     /// Offsets up to which peers have read the log.
-    pub ahead: Mutex<BTreeMap<SmolStr, Offset>>,
+    pub peer_offsets: Mutex<BTreeMap<SmolStr, Offset>>,
     router: Mutex<Router>,
     limits: Mutex<RequestLimits>,
     budget: Mutex<RetryBudget>,
@@ -116,7 +116,7 @@
     pub fn new(
         settings: Settings,
         incarnation: Incarnation,
-        control: flume::Sender<Input>,
+        control: flume::Sender<ControlInput>,
         exchange: Arc<dyn BackendClient>,
         log: Logger,
     ) -> Self {
@@ -124,18 +124,18 @@
         Self {
             clock: Clock::start(),
             view: ArcSwap::default(),
-            rates: Mutex::default(),
-            waiting: WaitingRoom::new(settings.queue),
+            load_rates: Mutex::default(),
+            waiting: WaitingRoom::new(settings.max_queue),
             outcomes: ClaimOutcomes::default(),
             router: Mutex::new(Router::new(centre, incarnation)),
-            limits: Mutex::new(RequestLimits::new(settings.requests, settings.share)),
+            limits: Mutex::new(RequestLimits::new(settings.max_requests, settings.caller_requests)),
             budget: Mutex::default(),
             pace: Mutex::default(),
             metrics: Metrics::new(),
             decision_log: DecisionLog::default(),
             stopping: AtomicBool::new(false),
-            applied: AtomicU64::new(0),
-            ahead: Mutex::default(),
+            applied_offset: AtomicU64::new(0),
+            peer_offsets: Mutex::default(),
             requests: AtomicU64::new(0),
             settings,
             incarnation,
@@ -151,7 +151,7 @@
     }
 
     /// Returns a new request id, unique in the whole system.
-    pub fn next_request(&self) -> SmolStr {
+    pub fn next_request_id(&self) -> SmolStr {
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         SmolStr::new(format!("{}-{:x}-{number}", self.settings.id, self.incarnation))
     }
@@ -167,34 +167,34 @@
     }
 
     /// Returns the retry budget, locked.
-    pub fn budget(&self) -> MutexGuard<'_, RetryBudget> {
+    pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.budget)
     }
 
     /// Returns the pace of the queues, locked.
-    pub fn pace(&self) -> MutexGuard<'_, WaitEstimator> {
+    pub fn wait_estimator(&self) -> MutexGuard<'_, WaitEstimator> {
         lock(&self.pace)
     }
 
     /// Returns the learned loading speeds.
-    pub fn loading_rates(&self) -> Rates {
-        *lock(&self.rates)
+    pub fn load_rates(&self) -> LoadRates {
+        *lock(&self.load_rates)
     }
 
     /// Publishes a new picture and wakes requests that it has room for.
     pub fn publish(&self, view: View) {
         self.view.store(Arc::new(view));
-        self.pump();
+        self.wake_waiting();
     }
 
     /// Wakes waiting requests for which there is room.
-    pub fn pump(&self) {
+    pub fn wake_waiting(&self) {
         if self.waiting.is_empty() {
             return;
         }
         let now = self.now();
         let view = self.view.load();
-        self.waiting.pump(now, |model| self.router().room(now, &view, model));
+        self.waiting.pump(now, |model| self.router().free_capacity(now, &view, model));
     }
 
     /// Returns whether the daemon takes no new work.
@@ -203,19 +203,19 @@
     }
 
     /// Sends to the control thread; returns whether it is still there.
-    pub fn tell(&self, input: Input) -> bool {
+    pub fn send(&self, input: ControlInput) -> bool {
         self.control.send(input).is_ok()
     }
 
     /// Asks the control thread for the state.
     pub fn state(&self) -> Option<State> {
         let (sender, receiver) = flume::bounded(1);
-        self.tell(Input::State(sender));
+        self.send(ControlInput::GetState(sender));
         receiver.recv_timeout(Duration::from_secs(5)).ok()
     }
 
     /// Logs a decision of control and keeps it for `explain`.
-    pub fn note_decision(&self, decision: &Decision) {
+    pub fn log_decision(&self, decision: &Decision) {
         let Decision { action, model, place, reason } = decision;
         let event = if is_placement(*action) { "placement" } else { "control" };
         slog::info!(self.log, "{event}"; "reason" => reason, "place" => place.as_str(),
@@ -232,7 +232,7 @@
     }
 
     /// Logs a decision about a request and keeps it for `explain`.
-    pub fn note_request(
+    pub fn log_routing(
         &self,
         request: &SmolStr,
         model: &str,
--- a/lib/src/peer_client.rs
+++ b/lib/src/peer_client.rs
@@ -9,8 +9,8 @@
 use crate::ids::ClaimKey;
 use crate::ids::Offset;
 use crate::node::Node;
-use crate::peer_message::Ask;
-use crate::peer_message::Tell;
+use crate::peer_message::PeerQuery;
+use crate::peer_message::PeerReply;
 use crate::peer_message::read_message;
 use crate::peer_message::write_message;
 use crate::record::Entry;
@@ -22,7 +22,12 @@
 /// Longest wait for an answer that needs no waiting at the other side.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn ask(node: &Node, addr: SocketAddr, question: &Ask, wait: Duration) -> io::Result<Tell> {
+fn ask(
+    node: &Node,
+    addr: SocketAddr,
+    question: &PeerQuery,
+    wait: Duration,
+) -> io::Result<PeerReply> {
     let mut stream = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(wait + ANSWER_TIMEOUT))?;
@@ -33,30 +38,30 @@
 }
 
 /// Returns how a claimed request ended; none where the daemon cannot tell.
-pub fn outcome(
+pub fn fetch_outcome(
     node: &Node,
     addr: SocketAddr,
     key: ClaimKey,
     wait: Duration,
 ) -> Option<ClaimOutcome> {
-    match ask(node, addr, &Ask::Outcome(key, wait.as_millis() as u64), wait) {
-        Ok(Tell::Outcome(end)) => Some(end.into()),
+    match ask(node, addr, &PeerQuery::Outcome(key, wait.as_millis() as u64), wait) {
+        Ok(PeerReply::Outcome(end)) => Some(end.into()),
         Ok(_) | Err(_) => None,
     }
 }
 
 /// Returns log entries that a peer has read; none where it has not kept them.
-pub fn entries(node: &Node, addr: SocketAddr, from: Offset) -> Option<Vec<(Offset, Entry)>> {
-    match ask(node, addr, &Ask::Entries(from), Duration::ZERO) {
-        Ok(Tell::Entries(entries)) => Some(entries),
+pub fn fetch_entries(node: &Node, addr: SocketAddr, from: Offset) -> Option<Vec<(Offset, Entry)>> {
+    match ask(node, addr, &PeerQuery::Entries(from), Duration::ZERO) {
+        Ok(PeerReply::Entries(entries)) => Some(entries),
         Ok(_) | Err(_) => None,
     }
 }
 
 /// Returns a peer's whole state.
-pub fn state(node: &Node, addr: SocketAddr) -> Option<State> {
-    match ask(node, addr, &Ask::State, Duration::ZERO) {
-        Ok(Tell::State(state)) => Some(*state),
+pub fn fetch_state(node: &Node, addr: SocketAddr) -> Option<State> {
+    match ask(node, addr, &PeerQuery::State, Duration::ZERO) {
+        Ok(PeerReply::State(state)) => Some(*state),
         Ok(_) | Err(_) => None,
     }
 }
--- a/lib/src/peer_message.rs
+++ b/lib/src/peer_message.rs
@@ -14,8 +14,8 @@
 use crate::event::Hint;
 use crate::ids::ClaimKey;
 use crate::ids::Offset;
-use crate::record::Answer;
 use crate::record::Entry;
+use crate::record::StoredResponse;
 use crate::replicated_state::State;
 use crate::verdict::Verdict;
 use crate::wire;
@@ -42,7 +42,7 @@
 
 /// A question over TCP.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Ask {
+pub enum PeerQuery {
     /// Log entries from this offset on.
     Entries(Offset),
     /// The whole state.
@@ -51,9 +51,9 @@
     Outcome(ClaimKey, u64),
 }
 
-/// The answer to an [`Ask`].
+/// The answer to an [`PeerQuery`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Tell {
+pub enum PeerReply {
     /// Entries in the order of their offsets.
     Entries(Vec<(Offset, Entry)>),
     /// The whole state.
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct WireOutcome {
     verdict: Verdict,
-    answer: Option<Answer>,
+    answer: Option<StoredResponse>,
 }
 
 impl From<ClaimOutcome> for WireOutcome {
--- a/lib/src/peer_server.rs
+++ b/lib/src/peer_server.rs
@@ -12,13 +12,13 @@
 use std::time::Duration;
 
 use crate::event::Event;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
-use crate::peer_message::Ask;
 use crate::peer_message::Digest;
 use crate::peer_message::MAX_DATAGRAM;
 use crate::peer_message::MAX_LINES;
-use crate::peer_message::Tell;
+use crate::peer_message::PeerQuery;
+use crate::peer_message::PeerReply;
 use crate::peer_message::read_message;
 use crate::peer_message::write_message;
 use crate::wire;
@@ -34,18 +34,18 @@
 
 /// Sockets of the exchange.
 #[derive(Debug)]
-pub struct Peers {
+pub struct PeerServer {
     udp: UdpSocket,
     tcp: TcpListener,
 }
 
-impl Peers {
+impl PeerServer {
     /// Opens the sockets, both on the same address.
     ///
     /// # Errors
     ///
     /// The address cannot be used.
-    pub fn open(addr: SocketAddr) -> io::Result<Self> {
+    pub fn bind(addr: SocketAddr) -> io::Result<Self> {
         let tcp = TcpListener::bind(addr)?;
         let udp = UdpSocket::bind(tcp.local_addr()?)?;
         Ok(Self { udp, tcp })
@@ -81,7 +81,7 @@
 ///
 /// A datagram from an address that is not in the host list, one that names another daemon, and a
 /// malformed one are dropped: any host of the network could send it.
-pub fn read_digest(node: &Node, bytes: &[u8], addr: SocketAddr) -> Option<Digest> {
+pub fn parse_digest(node: &Node, bytes: &[u8], addr: SocketAddr) -> Option<Digest> {
     let digest: Digest = wire::decode(bytes).ok()?;
     let known = node.view.load().daemons.get(&digest.daemon) == Some(&addr);
     let small = digest.demand.len() <= MAX_LINES && digest.hints.len() <= MAX_LINES;
@@ -95,14 +95,14 @@
             // A reset from an earlier datagram's target; the socket still works.
             continue;
         };
-        let Some(digest) = read_digest(node, &buffer[..length], addr) else {
+        let Some(digest) = parse_digest(node, &buffer[..length], addr) else {
             continue;
         };
         node.metrics.exchanged("peer_udp", length);
         let daemon = digest.daemon;
-        let alive = node.tell(Input::Event(Event::Demand(daemon.clone(), digest.demand)))
-            && node.tell(Input::Event(Event::Hints(daemon.clone(), digest.hints)))
-            && node.tell(Input::PeerAt(daemon, digest.offset, digest.hash));
+        let alive = node.send(ControlInput::Event(Event::Demand(daemon.clone(), digest.demand)))
+            && node.send(ControlInput::Event(Event::Hints(daemon.clone(), digest.hints)))
+            && node.send(ControlInput::PeerOffset(daemon, digest.offset, digest.hash));
         if !alive {
             return;
         }
@@ -147,26 +147,28 @@
     stream.set_read_timeout(Some(READ_TIMEOUT))?;
     stream.set_write_timeout(Some(READ_TIMEOUT))?;
     stream.set_nodelay(true)?;
-    let ask: Ask = read_message(&mut stream, MAX_ASK)?;
+    let ask: PeerQuery = read_message(&mut stream, MAX_ASK)?;
     let tell = tell(node, &ask);
     let sent = write_message(&mut stream, &tell)?;
     node.metrics.exchanged("peer_tcp", sent);
     Ok(())
 }
 
-fn tell(node: &Node, ask: &Ask) -> Tell {
+fn tell(node: &Node, ask: &PeerQuery) -> PeerReply {
     match ask {
-        Ask::Entries(from) => {
+        PeerQuery::Entries(from) => {
             let (sender, receiver) = flume::bounded(1);
-            node.tell(Input::Entries(*from, sender));
+            node.send(ControlInput::GetEntries(*from, sender));
             let entries = receiver.recv_timeout(READ_TIMEOUT).ok().flatten();
-            entries.map_or(Tell::Unknown, Tell::Entries)
+            entries.map_or(PeerReply::Unknown, PeerReply::Entries)
         }
-        Ask::State => node.state().map_or(Tell::Unknown, |state| Tell::State(Box::new(state))),
-        Ask::Outcome(key, wait) => {
+        PeerQuery::State => {
+            node.state().map_or(PeerReply::Unknown, |state| PeerReply::State(Box::new(state)))
+        }
+        PeerQuery::Outcome(key, wait) => {
             let wait = Duration::from_millis(*wait).min(MAX_WAIT);
             let end = node.outcomes.wait(*key, wait);
-            end.map_or(Tell::Unknown, |end| Tell::Outcome(end.into()))
+            end.map_or(PeerReply::Unknown, |end| PeerReply::Outcome(end.into()))
         }
     }
 }
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -28,7 +28,7 @@
 
 /// Why a request is refused instead of waiting.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Refusal {
+pub enum QueueRefusal {
     /// The queue is full of requests that are no less important.
     Full,
     /// A more important request took its place.
@@ -41,7 +41,7 @@
     Stopping,
 }
 
-impl Refusal {
+impl QueueRefusal {
     /// Returns the word for log lines and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -56,11 +56,11 @@
 
 /// What became of an attempt to wait.
 #[derive(Debug)]
-pub enum Entered {
+pub enum EnqueueResult {
     /// It waits; this other request was displaced.
-    Waits(WaiterKey, Option<WaiterKey>),
+    Queued(WaiterKey, Option<WaiterKey>),
     /// It does not.
-    Refused(Refusal),
+    Refused(QueueRefusal),
 }
 
 /// Waiting requests of one daemon, bounded for each model.
@@ -81,9 +81,9 @@
     ///
     /// A full queue displaces its least important request, the latest deadline first among equals,
     /// if the new one is more important.
-    pub fn enter(&mut self, now: Duration, waiter: Waiter, expected: Duration) -> Entered {
+    pub fn enter(&mut self, now: Duration, waiter: Waiter, expected: Duration) -> EnqueueResult {
         if now + expected > waiter.deadline {
-            return Entered::Refused(Refusal::TooLate);
+            return EnqueueResult::Refused(QueueRefusal::TooLate);
         }
         let keys = self.models.entry(waiter.model.clone()).or_default();
         let mut displaced = None;
@@ -92,7 +92,7 @@
             let least = (0..keys.len())
                 .min_by_key(|i| (waiters[keys[*i]].priority, Reverse(waiters[keys[*i]].deadline)));
             let Some(least) = least.filter(|i| waiters[keys[*i]].priority < waiter.priority) else {
-                return Entered::Refused(Refusal::Full);
+                return EnqueueResult::Refused(QueueRefusal::Full);
             };
             let key = keys.swap_remove(least);
             self.waiters.remove(key);
@@ -100,7 +100,7 @@
         }
         let key = self.waiters.insert(waiter);
         keys.push(key);
-        Entered::Waits(key, displaced)
+        EnqueueResult::Queued(key, displaced)
     }
 
     /// Returns how many requests would get their turn before `waiter`.
--- a/lib/src/record.rs
+++ b/lib/src/record.rs
@@ -134,7 +134,7 @@
     }
 
     /// Returns whether the slot is on its way to another phase.
-    pub fn is_moving(self) -> bool {
+    pub fn is_transitional(self) -> bool {
         matches!(self, Self::Loading(_) | Self::Draining)
     }
 }
@@ -171,12 +171,12 @@
     /// What is known. [`Verdict::DidNotRun`] releases the claim.
     pub verdict: Verdict,
     /// The answer, where it is small enough to keep.
-    pub answer: Option<Answer>,
+    pub answer: Option<StoredResponse>,
 }
 
 /// An answer of a plain service, kept for a repeat of the same request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Answer {
+pub struct StoredResponse {
     /// HTTP status code.
     pub status: u16,
     /// `Content-Type` of the body.
--- a/lib/src/replicated_state.rs
+++ b/lib/src/replicated_state.rs
@@ -19,8 +19,8 @@
 use crate::ids::Position;
 use crate::ids::ServerId;
 use crate::ids::SlotId;
-use crate::record::Answer;
 use crate::record::ServerFacts;
+use crate::record::StoredResponse;
 use crate::slots::Slot;
 use crate::slots::Slots;
 use crate::table::Table;
@@ -58,7 +58,7 @@
     /// What is known. Invariant: not [`Verdict::DidNotRun`], which releases the claim.
     pub verdict: Verdict,
     /// The answer, where it was small enough.
-    pub answer: Option<Answer>,
+    pub answer: Option<StoredResponse>,
 }
 
 /// A line of the table's history.
--- a/lib/src/reply.rs
+++ b/lib/src/reply.rs
@@ -13,11 +13,11 @@
 /// Header that says whether the request ran.
 pub const VERDICT_HEADER: &str = "X-Request-Verdict";
 /// Header of the request's id, which `comfreymux explain` takes.
-pub const REQUEST_HEADER: &str = "X-Request-Id";
+pub const REQUEST_ID_HEADER: &str = "X-Request-Id";
 
 /// A request's final answer without a result.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Refused {
+pub struct RequestRefusal {
     /// HTTP status code.
     pub status: u16,
     /// Whether the request ran.
@@ -27,30 +27,30 @@
     /// A sentence for people.
     pub message: String,
     /// When to come back; none where coming back does not help.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
-impl Refused {
+impl RequestRefusal {
     /// A request that is wrong and did not run.
-    pub fn wrong(status: u16, code: &'static str, message: impl Into<String>) -> Self {
+    pub fn permanent(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         let verdict = Verdict::DidNotRun;
-        Self { status, verdict, code, message: message.into(), retry: None }
+        Self { status, verdict, code, message: message.into(), retry_after: None }
     }
 
     /// A request that did not run now and may be sent again after `retry`.
-    pub fn later(
+    pub fn retryable(
         status: u16,
         code: &'static str,
         message: impl Into<String>,
         retry: Duration,
     ) -> Self {
         let verdict = Verdict::DidNotRun;
-        Self { status, verdict, code, message: message.into(), retry: Some(retry) }
+        Self { status, verdict, code, message: message.into(), retry_after: Some(retry) }
     }
 
     /// Returns the whole seconds of `Retry-After`.
-    pub fn retry_seconds(&self) -> Option<u64> {
-        self.retry.map(|r| r.as_secs() + u64::from(r.subsec_nanos() > 0)).map(|s| s.max(1))
+    pub fn retry_after_seconds(&self) -> Option<u64> {
+        self.retry_after.map(|r| r.as_secs() + u64::from(r.subsec_nanos() > 0)).map(|s| s.max(1))
     }
 
     /// Returns the error object.
@@ -60,7 +60,7 @@
             "type": if self.status < 500 { "invalid_request_error" } else { "server_error" },
             "code": self.code,
             "verdict": self.verdict.as_str(),
-            "retry_after_s": self.retry_seconds(),
+            "retry_after_s": self.retry_after_seconds(),
             "request_id": request,
         }})
     }
@@ -93,12 +93,12 @@
 }
 
 /// Answers a request that is refused.
-pub fn send_refused(request: Request, id: &str, refused: &Refused) {
+pub fn send_refusal(request: Request, id: &str, refused: &RequestRefusal) {
     let body = refused.to_json(id).to_string().into_bytes();
     let mut response = with_body(refused.status, "application/json", body)
         .with_header(header(VERDICT_HEADER, refused.verdict.as_str()))
-        .with_header(header(REQUEST_HEADER, id));
-    if let Some(seconds) = refused.retry_seconds() {
+        .with_header(header(REQUEST_ID_HEADER, id));
+    if let Some(seconds) = refused.retry_after_seconds() {
         response.add_header(header("Retry-After", &seconds.to_string()));
     }
     send(request, response);
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -19,7 +19,7 @@
 
 impl RetryBudget {
     /// Notes a first attempt.
-    pub fn attempted(&mut self) {
+    pub fn record_first(&mut self) {
         self.tokens = (self.tokens + SHARE).min(BURST);
     }
 
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -27,7 +27,7 @@
 
 /// What a request asks of the router.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct RouteRequest<'a> {
     /// The model or plain service.
     pub model: &'a str,
     /// Hash of the prompt's beginning, by which an engine's prefix cache is reused.
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Chooses a replica with room, and counts the request there until [`Router::finished`].
-    pub fn choose(&mut self, now: Duration, view: &View, wish: Wish<'_>) -> Option<Route> {
+    /// Chooses a replica with room, and counts the request there until [`Router::record_end`].
+    pub fn choose(&mut self, now: Duration, view: &View, wish: RouteRequest<'_>) -> Option<Route> {
         let limit = view.table.row(wish.model)?.limit;
         let usable: Vec<&Replica> = view
             .places(wish.model)
@@ -109,7 +109,7 @@
     }
 
     /// Returns how many more requests the replicas of `model` have room for.
-    pub fn room(&self, now: Duration, view: &View, model: &str) -> u32 {
+    pub fn free_capacity(&self, now: Duration, view: &View, model: &str) -> u32 {
         let limit = view.table.row(model).map_or(0, |row| row.limit);
         view.places(model)
             .iter()
@@ -122,7 +122,7 @@
         &mut self,
         now: Duration,
         places: &[&'r Replica],
-        wish: Wish<'_>,
+        wish: RouteRequest<'_>,
     ) -> Option<(&'r Replica, &'static str)> {
         match places {
             [] => return None,
@@ -163,7 +163,7 @@
     }
 
     /// Notes the end of a request that [`Router::choose`] counted.
-    pub fn finished(&mut self, server: &ServerId, model: &ModelName) {
+    pub fn record_end(&mut self, server: &ServerId, model: &ModelName) {
         let key = (server.clone(), model.clone());
         if let Some(load) = self.loads.get_mut(&key) {
             load.own = load.own.saturating_sub(1);
@@ -190,14 +190,14 @@
     }
 
     /// Notes a failed connection.
-    pub fn failed(&mut self, now: Duration, server: &ServerId) {
+    pub fn record_failure(&mut self, now: Duration, server: &ServerId) {
         self.suspects.entry(server.clone()).or_default().failed(now);
     }
 
     /// Notes that a backend server refused work because it leaves.
     ///
     /// The host list lags behind; without this the server would get new work until it shows it.
-    pub fn left(&mut self, now: Duration, server: &ServerId) {
+    pub fn mark_leaving(&mut self, now: Duration, server: &ServerId) {
         self.leaving.insert(server.clone(), now);
     }
 
@@ -205,7 +205,7 @@
     ///
     /// Requests wait for a load then; asking again would keep them from being counted as waiting,
     /// and nobody would load the model.
-    pub fn missed(&mut self, now: Duration, server: &ServerId, model: &ModelName) {
+    pub fn mark_missing(&mut self, now: Duration, server: &ServerId, model: &ModelName) {
         self.missing.insert((server.clone(), model.clone()), now);
     }
 
--- a/lib/src/services.rs
+++ b/lib/src/services.rs
@@ -6,7 +6,7 @@
 use crate::caller_request::CallerRequest;
 use crate::caller_request::RequestOptions;
 use crate::node::Node;
-use crate::reply::Refused;
+use crate::reply::RequestRefusal;
 use crate::table::Kind;
 use crate::unary;
 
@@ -24,14 +24,14 @@
     request: &Request,
     wishes: RequestOptions,
     body: Vec<u8>,
-) -> Result<CallerRequest, Refused> {
+) -> Result<CallerRequest, RequestRefusal> {
     let rest = request.url().strip_prefix(PREFIX).unwrap_or_default();
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let view = node.view.load();
     let row = view.table.row(name).filter(|r| r.kind == Kind::Service).cloned();
     let Some(row) = row else {
         let message = format!("the service `{name}` does not exist");
-        return Err(Refused::wrong(404, "service_not_found", message));
+        return Err(RequestRefusal::permanent(404, "service_not_found", message));
     };
     let job = CallerRequest::new(node, id, request, wishes, row, body);
     Ok(CallerRequest { path: format!("/{path}"), ..job })
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -44,27 +44,27 @@
     /// Its data centre.
     pub centre: CentreId,
     /// Where callers and operators connect.
-    pub listen: SocketAddr,
+    pub listen_addr: SocketAddr,
     /// Where other daemons connect, over UDP and TCP.
-    pub peer: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// Base URL of the log service.
-    pub log: String,
+    pub log_url: String,
     /// Base URL of the host list.
-    pub hosts: String,
+    pub hosts_url: String,
     /// A backend server that is silent for this long in a response has stalled.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Deadline of a request that names none.
-    pub deadline: Duration,
+    pub default_deadline: Duration,
     /// Most requests that wait for one model.
-    pub queue: usize,
+    pub max_queue: usize,
     /// Most requests in progress.
-    pub requests: u32,
+    pub max_requests: u32,
     /// Most requests of one caller in progress.
-    pub share: u32,
+    pub caller_requests: u32,
     /// Largest request body, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// Least time between two appends; records are grouped meanwhile.
-    pub gap: Duration,
+    pub append_gap: Duration,
     /// How keep-warm times are chosen.
     pub policy: KeepWarmPolicy,
     /// Time between load reports of one backend server.
@@ -76,7 +76,7 @@
 }
 
 /// Where settings come from: a flag's text by its name, then the environment.
-pub trait Source {
+pub trait FlagSource {
     /// Returns the text given for `flag`.
     fn text(&self, flag: &str) -> Option<String>;
 }
@@ -87,7 +87,7 @@
 }
 
 struct Reader<'a> {
-    source: &'a dyn Source,
+    source: &'a dyn FlagSource,
     faults: Vec<SettingFault>,
 }
 
@@ -185,7 +185,7 @@
     /// # Errors
     ///
     /// Names every setting that is missing or not allowed.
-    pub fn read(source: &dyn Source) -> Result<Self, SettingsError> {
+    pub fn read(source: &dyn FlagSource) -> Result<Self, SettingsError> {
         let mut r = Reader { source, faults: Vec::new() };
         let settings = Self::read_all(&mut r);
         match settings {
@@ -217,17 +217,17 @@
         Some(Self {
             id: id?,
             centre: centre?,
-            listen: listen?,
-            peer: peer?,
-            log: log?,
-            hosts: hosts?,
-            idle: idle?,
-            deadline: deadline?,
-            queue: queue? as usize,
-            requests: requests? as u32,
-            share: share? as u32,
-            body: body? as usize * 1024,
-            gap: gap?,
+            listen_addr: listen?,
+            peer_addr: peer?,
+            log_url: log?,
+            hosts_url: hosts?,
+            idle_timeout: idle?,
+            default_deadline: deadline?,
+            max_queue: queue? as usize,
+            max_requests: requests? as u32,
+            caller_requests: share? as u32,
+            max_body: body? as usize * 1024,
+            append_gap: gap?,
             policy: policy?,
             poll: poll?,
             drain: drain?,
--- a/lib/src/slots.rs
+++ b/lib/src/slots.rs
@@ -122,7 +122,7 @@
         self.remove(id);
         self.models.entry(slot.model.clone()).or_default().insert(id);
         self.servers.entry(slot.server.clone()).or_default().insert(id);
-        if slot.phase.is_moving() {
+        if slot.phase.is_transitional() {
             self.moving.insert(id);
         }
         self.all.insert(id, slot);
@@ -134,7 +134,7 @@
             return;
         };
         change(slot);
-        if slot.phase.is_moving() {
+        if slot.phase.is_transitional() {
             self.moving.insert(id);
         } else {
             self.moving.remove(&id);
--- a/lib/src/unary.rs
+++ b/lib/src/unary.rs
@@ -15,14 +15,14 @@
 use crate::event::Event;
 use crate::ids::ClaimKey;
 use crate::ids::DaemonId;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
 use crate::peer_client;
-use crate::record::Answer;
 use crate::record::Settlement;
+use crate::record::StoredResponse;
 use crate::reply;
-use crate::reply::REQUEST_HEADER;
-use crate::reply::Refused;
+use crate::reply::REQUEST_ID_HEADER;
+use crate::reply::RequestRefusal;
 use crate::reply::VERDICT_HEADER;
 use crate::verdict::Verdict;
 
@@ -39,7 +39,7 @@
 
 /// An answer, and whether an earlier request got it first.
 struct Given {
-    answer: Answer,
+    answer: StoredResponse,
     replayed: bool,
 }
 
@@ -54,29 +54,34 @@
             node.metrics.answered(job.model(), Verdict::Ran);
             node.metrics.first_byte(node.now().saturating_sub(job.arrived));
             let reason = if given.replayed { "replayed" } else { "answered" };
-            node.note_request(&job.id, job.model(), "done", "", reason);
+            node.log_routing(&job.id, job.model(), "done", "", reason);
             send_response(request, job, &given.answer, given.replayed);
         }
         Err(DispatchError::Refused(refused)) => {
             record_refusal(node, job, &refused);
-            reply::send_refused(request, &job.id, &refused);
+            reply::send_refusal(request, &job.id, &refused);
         }
         Err(DispatchError::CallerGone) => {}
     }
 }
 
 /// Sends a backend server's answer to the caller.
-pub fn send_response(request: Request, job: &CallerRequest, answer: &Answer, replayed: bool) {
+pub fn send_response(
+    request: Request,
+    job: &CallerRequest,
+    answer: &StoredResponse,
+    replayed: bool,
+) {
     let mut response = reply::with_body(answer.status, &answer.content_type, answer.body.clone())
         .with_header(reply::header(VERDICT_HEADER, Verdict::Ran.as_str()))
-        .with_header(reply::header(REQUEST_HEADER, &job.id));
+        .with_header(reply::header(REQUEST_ID_HEADER, &job.id));
     if replayed {
         response.add_header(reply::header(REPLAYED_HEADER, "true"));
     }
     reply::send(request, response);
 }
 
-fn run(node: &Node, job: &CallerRequest) -> Result<Answer, DispatchError> {
+fn run(node: &Node, job: &CallerRequest) -> Result<StoredResponse, DispatchError> {
     dispatch(node, job, |route, call| {
         let reply = node.exchange.send(route.addr, call)?;
         record_response(node, job, route, &reply);
@@ -102,9 +107,9 @@
 
 fn ask_claim(node: &Node, key: ClaimKey) -> ClaimAnswer {
     let (sender, receiver) = flume::bounded(1);
-    node.tell(Input::Claim(key, sender));
+    node.send(ControlInput::Claim(key, sender));
     receiver.recv_timeout(CLAIM_WAIT).unwrap_or_else(|_silent| {
-        node.tell(Input::Event(Event::Unclaim(key)));
+        node.send(ControlInput::Event(Event::Unclaim(key)));
         ClaimAnswer::LogDown
     })
 }
@@ -122,7 +127,7 @@
     };
     let kept = end.answer.clone().filter(|a| a.body.len() <= KEPT_BODY);
     let settlement = Settlement { key, verdict: end.verdict, answer: kept };
-    node.tell(Input::Event(Event::Settle(settlement)));
+    node.send(ControlInput::Event(Event::Settle(settlement)));
     node.outcomes.end(node.now(), key, &end);
     result.map(|answer| Given { answer, replayed: false })
 }
@@ -139,7 +144,7 @@
         node.outcomes.wait(key, wait)
     } else {
         let addr = *node.view.load().daemons.get(daemon)?;
-        peer_client::outcome(node, addr, key, wait)
+        peer_client::fetch_outcome(node, addr, key, wait)
     };
     end.map(replay)
 }
@@ -160,16 +165,22 @@
     };
     let status = if verdict == Verdict::DidNotRun { 503 } else { 409 };
     let message = message.to_owned();
-    DispatchError::Refused(Refused { status, verdict, code: "answer-lost", message, retry })
+    DispatchError::Refused(RequestRefusal {
+        status,
+        verdict,
+        code: "answer-lost",
+        message,
+        retry_after: retry,
+    })
 }
 
 fn in_progress(daemon: &DaemonId) -> DispatchError {
-    DispatchError::Refused(Refused {
+    DispatchError::Refused(RequestRefusal {
         status: 409,
         verdict: Verdict::MayHaveRun,
         code: "claimed-elsewhere",
         message: format!("{daemon} has this request and did not tell how it ended"),
-        retry: Some(TAKEN_RETRY),
+        retry_after: Some(TAKEN_RETRY),
     })
 }
 
@@ -178,13 +189,13 @@
 /// Nothing was sent for it. An earlier request with the same key may have run through another daemon,
 /// though, so "did not run" might be untrue; sending it again with its key is safe.
 fn claim_unknown() -> DispatchError {
-    DispatchError::Refused(Refused {
+    DispatchError::Refused(RequestRefusal {
         status: 503,
         verdict: Verdict::MayHaveRun,
         code: "claim-unknown",
         message: "nothing was sent now; whether an earlier request with this key ran cannot be \
                   looked up while the log is down; send it again with the same key"
             .to_owned(),
-        retry: Some(LOG_RETRY),
+        retry_after: Some(LOG_RETRY),
     })
 }
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -8,13 +8,13 @@
 
 use crate::demand::WaitingRequests;
 use crate::ids::ModelName;
-use crate::queue::Entered;
+use crate::queue::EnqueueResult;
 use crate::queue::Queue;
-use crate::queue::Refusal;
+use crate::queue::QueueRefusal;
 use crate::queue::Waiter;
 use crate::queue::WaiterKey;
 
-type Wake = Result<(), Refusal>;
+type Wake = Result<(), QueueRefusal>;
 
 #[derive(Debug)]
 struct Inner {
@@ -55,20 +55,25 @@
     /// # Errors
     ///
     /// Says why the request must be refused instead.
-    pub fn wait(&self, now: Duration, waiter: Waiter, expected: Duration) -> Result<(), Refusal> {
+    pub fn wait(
+        &self,
+        now: Duration,
+        waiter: Waiter,
+        expected: Duration,
+    ) -> Result<(), QueueRefusal> {
         let bound = waiter.deadline.saturating_sub(now);
         let (sender, receiver) = flume::bounded(1);
         let key = {
             let mut inner = self.inner();
             if inner.stopping {
-                return Err(Refusal::Stopping);
+                return Err(QueueRefusal::Stopping);
             }
             match inner.queue.enter(now, waiter, expected) {
-                Entered::Refused(refusal) => return Err(refusal),
-                Entered::Waits(key, displaced) => {
+                EnqueueResult::Refused(refusal) => return Err(refusal),
+                EnqueueResult::Queued(key, displaced) => {
                     inner.senders.insert(key, sender);
                     if let Some(displaced) = displaced {
-                        inner.wake(displaced, Err(Refusal::Displaced));
+                        inner.wake(displaced, Err(QueueRefusal::Displaced));
                     }
                     key
                 }
@@ -81,17 +86,17 @@
         let mut inner = self.inner();
         inner.senders.remove(&key);
         if inner.queue.leave(key) {
-            return Err(Refusal::Expired);
+            return Err(QueueRefusal::Expired);
         }
         // It got its turn at the very moment of its deadline.
-        receiver.try_recv().unwrap_or(Err(Refusal::Expired))
+        receiver.try_recv().unwrap_or(Err(QueueRefusal::Expired))
     }
 
     /// Wakes requests for which `room` gives places, and refuses those whose deadline has come.
     pub fn pump(&self, now: Duration, mut room: impl FnMut(&ModelName) -> u32) {
         let mut inner = self.inner();
         for key in inner.queue.expire(now) {
-            inner.wake(key, Err(Refusal::Expired));
+            inner.wake(key, Err(QueueRefusal::Expired));
         }
         for model in inner.queue.models() {
             for _ in 0..room(&model) {
@@ -108,7 +113,7 @@
         let mut inner = self.inner();
         inner.stopping = true;
         for key in inner.queue.keys() {
-            inner.wake(key, Err(Refusal::Stopping));
+            inner.wake(key, Err(QueueRefusal::Stopping));
         }
     }
 
--- a/lib/src/workers.rs
+++ b/lib/src/workers.rs
@@ -14,10 +14,10 @@
 use crate::engine_control::EngineControl;
 use crate::event::Event;
 use crate::host::OrderAnswer;
-use crate::host_list::HostBook;
 use crate::host_list::HostList;
+use crate::host_list::HostListCache;
 use crate::log_service::LogService;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
 use crate::record::Entry;
 use crate::wire;
@@ -85,7 +85,7 @@
         node.metrics.exchanged("append", bytes.len());
         let done = log.append(&bytes).is_ok();
         let sequence = entry.sequence;
-        if !node.tell(Input::Event(Event::Appended { sequence, done })) {
+        if !node.send(ControlInput::Event(Event::Appended { sequence, done })) {
             return;
         }
     }
@@ -94,7 +94,7 @@
 fn poll(node: &Node, engine: &dyn EngineControl, asked: &flume::Receiver<(SmolStr, SocketAddr)>) {
     for (server, addr) in asked {
         let report = engine.report(addr).ok();
-        if !node.tell(Input::Event(Event::Report(server, report))) {
+        if !node.send(ControlInput::Event(Event::Report(server, report))) {
             return;
         }
     }
@@ -106,18 +106,18 @@
         // before the write.
         let late = until.is_some_and(|until| node.now() >= until);
         let answer = if late { OrderAnswer::Unsent } else { engine.send_order(addr, &order) };
-        if !node.tell(Input::Event(Event::Ordered(order, answer))) {
+        if !node.send(ControlInput::Event(Event::Ordered(order, answer))) {
             return;
         }
     }
 }
 
 fn watch_hosts(node: &Node, list: &dyn HostList) {
-    let mut book = HostBook::default();
+    let mut book = HostListCache::default();
     loop {
         let hosts = list.changes(book.version()).ok().and_then(|change| book.apply(change));
         if let Some(hosts) = hosts
-            && !node.tell(Input::Event(Event::Hosts(hosts)))
+            && !node.send(ControlInput::Event(Event::Hosts(hosts)))
         {
             return;
         }
--- a/lib/tests/test_fold.rs
+++ b/lib/tests/test_fold.rs
@@ -5,7 +5,6 @@
 use comfreymux_lib::fold::Rejection;
 use comfreymux_lib::ids::Fence;
 use comfreymux_lib::ids::Position;
-use comfreymux_lib::record::Answer;
 use comfreymux_lib::record::Bid;
 use comfreymux_lib::record::Entry;
 use comfreymux_lib::record::Freed;
@@ -16,6 +15,7 @@
 use comfreymux_lib::record::ServerFacts;
 use comfreymux_lib::record::Settlement;
 use comfreymux_lib::record::Source;
+use comfreymux_lib::record::StoredResponse;
 use comfreymux_lib::replicated_state::CLAIM_TICKS;
 use comfreymux_lib::replicated_state::State;
 use comfreymux_lib::snapshot;
@@ -244,7 +244,8 @@
     let body = vec![b'x'; 1000];
     for key in 0..100 {
         log.put("d1", Record::Claim(key)).unwrap();
-        let answer = Answer { status: 200, content_type: "text/plain".into(), body: body.clone() };
+        let answer =
+            StoredResponse { status: 200, content_type: "text/plain".into(), body: body.clone() };
         let settlement = Settlement { key, verdict: Verdict::Ran, answer: Some(answer) };
         log.put("d1", Record::Settle(settlement)).unwrap();
     }
--- a/lib/tests/test_line_log.rs
+++ b/lib/tests/test_line_log.rs
@@ -61,7 +61,7 @@
 fn pairs_ordered() {
     let gate = Gate::default();
     gate.open();
-    let log = LineLog::to(gate.clone());
+    let log = LineLog::with_output(gate.clone());
     slog::info!(log.logger(), "request"; "attempt" => "a1", "status" => 503, "reason" => "too late\nx=1");
     let text = gate.wait_for("reason");
     let line = text.lines().next().expect("a line");
@@ -76,7 +76,7 @@
 #[test]
 fn blocked_dropped() {
     let gate = Gate::default();
-    let log = LineLog::to(gate.clone());
+    let log = LineLog::with_output(gate.clone());
     let logger = log.logger();
     for n in 0..40_000 {
         slog::info!(logger, "request"; "attempt" => n, "text" => "some forty bytes of a usual line's end");
@@ -91,7 +91,7 @@
 #[test]
 fn last_written() {
     let gate = Gate::default();
-    let log = LineLog::to(gate.clone());
+    let log = LineLog::with_output(gate.clone());
     slog::info!(log.logger(), "stop"; "phase" => "ended");
     // The writing thread takes the line, and is held up by the output.
     thread::sleep(Duration::from_millis(150));
--- a/lib/tests/test_outages.rs
+++ b/lib/tests/test_outages.rs
@@ -1,9 +1,9 @@
 //! Log outages, cut-off data centres and late starts, over real sockets.
 
-use comfreymux_lib::host_list::HostBook;
 use comfreymux_lib::host_list::HostChange;
+use comfreymux_lib::host_list::HostListCache;
 use comfreymux_lib::peer_message::Digest;
-use comfreymux_lib::peer_server::read_digest;
+use comfreymux_lib::peer_server::parse_digest;
 use comfreymux_lib::wire;
 use comfreymux_testutils::engine_settings::EngineFaults;
 use comfreymux_testutils::engine_settings::EngineSettings;
@@ -164,16 +164,16 @@
         hints: Vec::new(),
     };
     let good = wire::encode(&digest);
-    assert!(read_digest(node, &good, addr).is_some());
-    assert!(read_digest(node, &good, ANY).is_none());
-    assert!(read_digest(node, &good[..good.len() - 1], addr).is_none());
+    assert!(parse_digest(node, &good, addr).is_some());
+    assert!(parse_digest(node, &good, ANY).is_none());
+    assert!(parse_digest(node, &good[..good.len() - 1], addr).is_none());
     let named = wire::encode(&Digest { daemon: "d1".into(), ..digest });
-    assert!(read_digest(node, &named, addr).is_none());
+    assert!(parse_digest(node, &named, addr).is_none());
 }
 
 #[test]
 fn list_changes() {
-    let mut book = HostBook::default();
+    let mut book = HostListCache::default();
     let host = |id: &str| comfreymux_lib::host::Host {
         id: id.into(),
         ..comfreymux_testutils::rig::host(comfreymux_lib::host::HostRole::Entry, "a", ANY)
--- a/lib/tests/test_overload.rs
+++ b/lib/tests/test_overload.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use comfreymux_lib::queue::Entered;
+use comfreymux_lib::queue::EnqueueResult;
 use comfreymux_lib::queue::Queue;
-use comfreymux_lib::queue::Refusal;
+use comfreymux_lib::queue::QueueRefusal;
 use comfreymux_lib::queue::Waiter;
 use comfreymux_lib::queue::WaiterKey;
 use comfreymux_lib::wait_estimator::WaitEstimator;
@@ -106,12 +106,12 @@
         let ahead = self.queue.ahead(&waiter);
         let expected = self.pace.expected_wait(self.now, "m", priority, ahead);
         let refused = match self.queue.enter(self.now, waiter, expected) {
-            Entered::Waits(key, displaced) => {
+            EnqueueResult::Queued(key, displaced) => {
                 self.waiting.insert(key, asked);
                 displaced.and_then(|key| self.waiting.remove(&key))
             }
-            Entered::Refused(refusal) => {
-                assert_ne!(refusal, Refusal::Expired);
+            EnqueueResult::Refused(refusal) => {
+                assert_ne!(refusal, QueueRefusal::Expired);
                 Some(Asked { priority, again })
             }
         };
--- a/lib/tests/test_queue.rs
+++ b/lib/tests/test_queue.rs
@@ -4,9 +4,9 @@
 
 use comfreymux_lib::demand::Demand;
 use comfreymux_lib::demand::WaitingRequests;
-use comfreymux_lib::queue::Entered;
+use comfreymux_lib::queue::EnqueueResult;
 use comfreymux_lib::queue::Queue;
-use comfreymux_lib::queue::Refusal;
+use comfreymux_lib::queue::QueueRefusal;
 use comfreymux_lib::queue::Waiter;
 use comfreymux_lib::queue::WaiterKey;
 use comfreymux_lib::wait_queue::WaitingRoom;
@@ -22,7 +22,7 @@
 
 fn enter(queue: &mut Queue, priority: u8, deadline: u64) -> WaiterKey {
     match queue.enter(seconds(0), waiter(priority, deadline), Duration::ZERO) {
-        Entered::Waits(key, None) => key,
+        EnqueueResult::Queued(key, None) => key,
         other => panic!("{other:?}"),
     }
 }
@@ -48,16 +48,16 @@
     enter(&mut queue, 1, 10);
     let least = enter(&mut queue, 1, 20);
     let entered = queue.enter(seconds(0), waiter(1, 5), Duration::ZERO);
-    assert!(matches!(entered, Entered::Refused(Refusal::Full)));
+    assert!(matches!(entered, EnqueueResult::Refused(QueueRefusal::Full)));
     let entered = queue.enter(seconds(0), waiter(9, 60), Duration::ZERO);
-    assert!(matches!(entered, Entered::Waits(_, Some(key)) if key == least));
+    assert!(matches!(entered, EnqueueResult::Queued(_, Some(key)) if key == least));
 }
 
 #[test]
 fn hopeless_refused() {
     let mut queue = Queue::new(2);
     let entered = queue.enter(seconds(1), waiter(5, 3), seconds(4));
-    assert!(matches!(entered, Entered::Refused(Refusal::TooLate)));
+    assert!(matches!(entered, EnqueueResult::Refused(QueueRefusal::TooLate)));
 }
 
 #[test]
@@ -80,8 +80,8 @@
         std::thread::yield_now();
     }
     room.close();
-    assert_eq!(thread.join().unwrap(), Err(Refusal::Stopping));
-    assert_eq!(room.wait(seconds(0), waiter(5, 30), Duration::ZERO), Err(Refusal::Stopping));
+    assert_eq!(thread.join().unwrap(), Err(QueueRefusal::Stopping));
+    assert_eq!(room.wait(seconds(0), waiter(5, 30), Duration::ZERO), Err(QueueRefusal::Stopping));
 }
 
 #[test]
@@ -120,14 +120,14 @@
                     came += 1;
                     let deadline = now.as_secs() + time;
                     match queue.enter(now, waiter(priority, deadline), Duration::ZERO) {
-                        Entered::Waits(key, displaced) => {
+                        EnqueueResult::Queued(key, displaced) => {
                             waiting.push(key);
                             if let Some(displaced) = displaced {
                                 waiting.retain(|k| *k != displaced);
                                 out += 1;
                             }
                         }
-                        Entered::Refused(_) => out += 1,
+                        EnqueueResult::Refused(_) => out += 1,
                     }
                 }
                 2 => {
--- a/lib/tests/test_router.rs
+++ b/lib/tests/test_router.rs
@@ -6,8 +6,8 @@
 use comfreymux_lib::request_limits::RequestLimit;
 use comfreymux_lib::request_limits::RequestLimits;
 use comfreymux_lib::retry_budget::RetryBudget;
+use comfreymux_lib::router::RouteRequest;
 use comfreymux_lib::router::Router;
-use comfreymux_lib::router::Wish;
 use comfreymux_lib::routing_view::Replica;
 use comfreymux_lib::routing_view::View;
 use comfreymux_lib::table::Edit;
@@ -35,8 +35,8 @@
     view
 }
 
-fn wish(prefix: Option<u64>) -> Wish<'static> {
-    Wish { model: "m", prefix, tried: &[] }
+fn wish(prefix: Option<u64>) -> RouteRequest<'static> {
+    RouteRequest { model: "m", prefix, tried: &[] }
 }
 
 #[test]
@@ -54,7 +54,7 @@
     // A server refuses work because it leaves; the host list will show it only later.
     let view = view(9, &[("e1", "a"), ("e2", "a")]);
     let mut router = Router::new("a".into(), 1);
-    router.left(NOW, &"e1".into());
+    router.mark_leaving(NOW, &"e1".into());
     for _ in 0..8 {
         assert_eq!(router.choose(NOW, &view, wish(None)).unwrap().server, "e2");
     }
@@ -66,21 +66,21 @@
     // against it.
     let view = view(9, &[("e1", "a"), ("e2", "a")]);
     let mut router = Router::new("a".into(), 1);
-    router.failed(NOW, &"e1".into());
+    router.record_failure(NOW, &"e1".into());
     router.answered(NOW, &"e1".into(), &"m".into(), None);
-    router.failed(NOW, &"e1".into());
+    router.record_failure(NOW, &"e1".into());
     let chosen = |router: &mut Router| {
         let servers = (0..8).map(|_| router.choose(NOW, &view, wish(None)).unwrap().server);
         let found = servers.collect::<Vec<_>>().contains(&"e1".into());
         for server in ["e1", "e2"] {
             for _ in 0..8 {
-                router.finished(&server.into(), &"m".into());
+                router.record_end(&server.into(), &"m".into());
             }
         }
         found
     };
     assert!(chosen(&mut router));
-    router.failed(NOW, &"e1".into());
+    router.record_failure(NOW, &"e1".into());
     assert!(!chosen(&mut router));
 }
 
@@ -90,7 +90,7 @@
     let view = view(100, &[("e1", "a"), ("e2", "a"), ("e3", "a")]);
     let mut router = Router::new("a".into(), 1);
     let home = router.choose(NOW, &view, wish(Some(5))).unwrap().server;
-    router.finished(&home, &"m".into());
+    router.record_end(&home, &"m".into());
     let chosen: Vec<_> =
         (0..30).map(|_| router.choose(NOW, &view, wish(Some(5))).unwrap().server).collect();
     assert_eq!(chosen[..2], [home.clone(), home.clone()]);
@@ -106,7 +106,7 @@
     let route = router.choose(NOW, &view, wish(None)).unwrap();
     router.answered(NOW, &route.server, &"m".into(), Some(4));
     assert!(router.choose(NOW, &view, wish(None)).is_none());
-    assert_eq!(router.room(NOW, &view, "m"), 0);
+    assert_eq!(router.free_capacity(NOW, &view, "m"), 0);
     assert!(router.choose(NOW + Duration::from_secs(3), &view, wish(None)).is_some());
 }
 
@@ -118,8 +118,8 @@
     let mut router = Router::new("a".into(), 1);
     let route = router.choose(NOW, &view, wish(None)).unwrap();
     router.answered(NOW, &route.server, &"m".into(), Some(4));
-    router.finished(&route.server, &"m".into());
-    assert_eq!(router.room(NOW, &view, "m"), 1);
+    router.record_end(&route.server, &"m".into());
+    assert_eq!(router.free_capacity(NOW, &view, "m"), 1);
 }
 
 #[test]
@@ -141,7 +141,7 @@
     let mut budget = RetryBudget::default();
     let retries = (0..1000)
         .filter(|_| {
-            budget.attempted();
+            budget.record_first();
             budget.take()
         })
         .count();
@@ -185,13 +185,13 @@
         let mut open: Vec<comfreymux_lib::ids::ServerId> = Vec::new();
         for (begin, n) in steps {
             if begin {
-                let room = router.room(NOW, &view, "m");
+                let room = router.free_capacity(NOW, &view, "m");
                 let route = router.choose(NOW, &view, wish(n.is_multiple_of(2).then_some(u64::from(n))));
                 prop_assert_eq!(room > 0, route.is_some());
                 open.extend(route.map(|r| r.server));
             } else if !open.is_empty() {
                 let server = open.swap_remove(n as usize % open.len());
-                router.finished(&server, &"m".into());
+                router.record_end(&server, &"m".into());
             }
             for server in ["e1", "e2", "e3"] {
                 let count = open.iter().filter(|s| **s == server).count();
--- a/lib/tests/test_settings.rs
+++ b/lib/tests/test_settings.rs
@@ -26,7 +26,7 @@
     ];
     let settings = Settings::read(&texts(&needed)).unwrap();
     assert_eq!(settings.policy, KeepWarmPolicy::Fixed(Duration::from_secs(90)));
-    assert_eq!(settings.idle, Duration::from_secs(10));
+    assert_eq!(settings.idle_timeout, Duration::from_secs(10));
 }
 
 #[test]
--- a/lib/testutils/src/log_standin.rs
+++ b/lib/testutils/src/log_standin.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use comfreymux_lib::ids::Offset;
-use comfreymux_lib::log_service::Appended;
+use comfreymux_lib::log_service::AppendResponse;
 use comfreymux_lib::log_service::LogPage;
 use comfreymux_lib::wire;
 use serde::Deserialize;
@@ -119,7 +119,7 @@
                     return Ok(());
                 }
                 drop(inner);
-                respond_json(out, &Appended { offset })
+                respond_json(out, &AppendResponse { offset })
             }
             "/read" => {
                 let wait = Duration::from_millis(request.number("wait_ms"));
--- a/lib/testutils/src/rig.rs
+++ b/lib/testutils/src/rig.rs
@@ -18,8 +18,8 @@
 use comfreymux_lib::host_list::HttpHostList;
 use comfreymux_lib::log_service::HttpLog;
 use comfreymux_lib::logging;
+use comfreymux_lib::settings::FlagSource as TextSource;
 use comfreymux_lib::settings::Settings;
-use comfreymux_lib::settings::Source as TextSource;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::workers::Borders;
@@ -181,11 +181,11 @@
         };
         self.hosts.put(host);
         let borders = Borders {
-            log: Arc::new(HttpLog::new(settings.log.clone())),
-            hosts: Arc::new(HttpHostList::new(settings.hosts.clone())),
+            log: Arc::new(HttpLog::new(settings.log_url.clone())),
+            hosts: Arc::new(HttpHostList::new(settings.hosts_url.clone())),
             engine: Arc::new(HttpEngineControl),
         };
-        let exchange = Arc::new(HttpBackendClient::new(settings.idle));
+        let exchange = Arc::new(HttpBackendClient::new(settings.idle_timeout));
         let logger = self.logger.clone();
         let daemon = Daemon::start(settings, self.starts, sockets, &borders, exchange, logger);
         self.daemons.insert(id.into(), daemon.expect("a daemon"));
--- a/tools/src/demo.rs
+++ b/tools/src/demo.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use comfreymux_lib::event::EditAnswer;
-use comfreymux_lib::node::Input;
+use comfreymux_lib::node::ControlInput;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
 
@@ -159,7 +159,7 @@
             .zip(edits)
             .map(|(daemon, edit)| {
                 let (sender, receiver) = flume::bounded(1);
-                self.rig.daemons[*daemon].node().tell(Input::Edit(edit, sender));
+                self.rig.daemons[*daemon].node().send(ControlInput::Edit(edit, sender));
                 receiver
             })
             .collect();
--- a/tools/src/experiment.rs
+++ b/tools/src/experiment.rs
@@ -8,12 +8,12 @@
 use comfreymux_lib::ids::ModelName;
 use comfreymux_lib::ids::ServerId;
 use comfreymux_lib::keep_warm::KeepWarmPolicy;
-use comfreymux_lib::queue::Entered;
+use comfreymux_lib::queue::EnqueueResult;
 use comfreymux_lib::queue::Queue;
 use comfreymux_lib::queue::Waiter;
 use comfreymux_lib::queue::WaiterKey;
+use comfreymux_lib::router::RouteRequest;
 use comfreymux_lib::router::Router;
-use comfreymux_lib::router::Wish;
 use comfreymux_lib::routing_view::View;
 use comfreymux_lib::table::Edit;
 use hdrhistogram::Histogram;
@@ -189,13 +189,13 @@
             deadline: WARM_UP + deadline(arrival),
         };
         match front.queue.enter(self.world.now, waiter, Duration::ZERO) {
-            Entered::Waits(key, displaced) => {
+            EnqueueResult::Queued(key, displaced) => {
                 front.waiting.insert(key, arrival.clone());
                 if displaced.and_then(|key| front.waiting.remove(&key)).is_some() {
                     self.refused += 1;
                 }
             }
-            Entered::Refused(_) => self.refused += 1,
+            EnqueueResult::Refused(_) => self.refused += 1,
         }
     }
 
@@ -217,7 +217,7 @@
     fn begin(&mut self, daemon: usize, arrival: &Arrival) -> bool {
         let now = self.world.now;
         let front = &mut self.fronts[daemon];
-        let wish = Wish { model: &arrival.model, prefix: None, tried: &[] };
+        let wish = RouteRequest { model: &arrival.model, prefix: None, tried: &[] };
         let Some(route) = front.router.choose(now, &front.view, wish) else {
             return false;
         };
@@ -225,7 +225,7 @@
         let held = engine.and_then(|e| e.held.get_mut(&arrival.model)).filter(|h| h.ready <= now);
         let Some(held) = held else {
             // The engine refuses: it does not hold the model any more.
-            front.router.finished(&route.server, &arrival.model);
+            front.router.record_end(&route.server, &arrival.model);
             return false;
         };
         held.active += 1;
@@ -270,7 +270,7 @@
         self.running = running;
         let done: Vec<Running> = done;
         for r in done {
-            self.fronts[r.daemon].router.finished(&r.server, &r.model);
+            self.fronts[r.daemon].router.record_end(&r.server, &r.model);
             let engine = self.world.engines.get_mut(&r.server);
             if let Some(held) = engine.and_then(|(_, e)| e.held.get_mut(&r.model)) {
                 held.active = held.active.saturating_sub(1);
--- a/tools/src/world.rs
+++ b/tools/src/world.rs
@@ -29,7 +29,7 @@
 use comfreymux_lib::ids::ServerId;
 use comfreymux_lib::keep_warm::KeepWarmPolicy;
 use comfreymux_lib::load_planner::MAX_STORE_LOADS;
-use comfreymux_lib::load_rates::Rates;
+use comfreymux_lib::load_rates::LoadRates;
 use comfreymux_lib::record::Entry;
 use comfreymux_lib::record::Source;
 use comfreymux_lib::replicated_state::State;
@@ -87,7 +87,7 @@
     /// Decisions, newest last.
     pub decisions: Vec<(Duration, DaemonId, Decision)>,
     /// Loading speeds of the engines.
-    pub rates: Rates,
+    pub rates: LoadRates,
     /// The weight store.
     pub store: Store,
     counts: BTreeMap<ModelName, usize>,
@@ -119,7 +119,7 @@
             refused: Vec::new(),
             edited: Vec::new(),
             decisions: Vec::new(),
-            rates: Rates::default(),
+            rates: LoadRates::default(),
             store: Store::default(),
             counts: BTreeMap::new(),
             policy,
