--- a/cli/src/daemon.rs
+++ b/cli/src/daemon.rs
@@ -18,7 +18,7 @@
 use comfreymux_lib::settings::FlagSource;
 use comfreymux_lib::settings::Settings;
 use comfreymux_lib::settings::env_name;
-use comfreymux_lib::workers::Borders;
+use comfreymux_lib::workers::PlatformClients;
 use daemon_flags::Comfreymuxd;
 use signal_hook::consts::SIGINT;
 use signal_hook::consts::SIGTERM;
@@ -82,7 +82,7 @@
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|e| miette::miette!("no signals: {e}"))?;
     let sockets = Sockets::open(settings.listen_addr, settings.peer_addr)?;
-    let borders = Borders {
+    let borders = PlatformClients {
         log: Arc::new(HttpLog::new(settings.log_url.clone())),
         hosts: Arc::new(HttpHostList::new(settings.hosts_url.clone())),
         engine: Arc::new(HttpEngineControl),
--- a/lib/benches/slopes.rs
+++ b/lib/benches/slopes.rs
@@ -25,7 +25,7 @@
 use comfreymux_lib::record::Settlement;
 use comfreymux_lib::record::Source;
 use comfreymux_lib::replicated_state::State;
-use comfreymux_lib::routing_view::View;
+use comfreymux_lib::routing_view::RoutingView;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table::RowChange;
@@ -163,7 +163,7 @@
         black_box(control.handle(now, Event::Tick));
     });
     let view = time(10, || {
-        black_box(View::of(&control, now));
+        black_box(RoutingView::new(&control, now));
     });
     let encode = time(5, || {
         black_box(control.state().hash());
--- a/lib/src/admin.rs
+++ b/lib/src/admin.rs
@@ -55,7 +55,7 @@
         return Err(no_state());
     }
     let rows: Vec<_> = view.table.iter().collect();
-    Ok((200, json!({"rows": rows, "log_up": view.logged})))
+    Ok((200, json!({"rows": rows, "log_up": view.log_up})))
 }
 
 fn history(node: &Node) -> Answer {
@@ -79,7 +79,7 @@
         "centre": node.settings.centre,
         "incarnation": node.incarnation,
         "stopping": node.is_stopping(),
-        "log_up": view.logged,
+        "log_up": view.log_up,
         "offset": state.offset,
         "hash": format!("{:016x}", state.hash()),
         "leases": state.leases,
--- a/lib/src/admin_client.rs
+++ b/lib/src/admin_client.rs
@@ -13,7 +13,7 @@
 use crate::table::Row;
 use crate::table::RowChange;
 use crate::table::Table;
-use crate::table::Versioned;
+use crate::table::VersionedRow;
 
 /// Longest wait for an answer.
 const TIMEOUT: Duration = Duration::from_secs(15);
@@ -51,7 +51,7 @@
 
 #[derive(Deserialize)]
 struct TableAnswer {
-    rows: Vec<Versioned>,
+    rows: Vec<VersionedRow>,
 }
 
 /// A client of one daemon's operator side.
--- a/lib/src/chat.rs
+++ b/lib/src/chat.rs
@@ -67,7 +67,7 @@
         let chat: ChatBody<'_> = serde_json::from_slice(&body)
             .map_err(|e| RequestRefusal::permanent(400, "bad-json", e.to_string()))?;
         let view = node.view.load();
-        let row = view.table.row(&chat.model).filter(|r| r.is_loaded()).cloned();
+        let row = view.table.row(&chat.model).filter(|r| r.is_loadable()).cloned();
         let Some(row) = row else {
             let message = format!("the model `{}` does not exist", chat.model);
             return Err(RequestRefusal::permanent(404, "model_not_found", message));
@@ -146,7 +146,7 @@
             let writer = self.start()?;
             self.writer.insert(writer)
         };
-        writer.event(data).map_err(|_gone| AttemptError::CallerGone)?;
+        writer.write_event(data).map_err(|_gone| AttemptError::CallerGone)?;
         self.sent += 1;
         Ok(())
     }
@@ -171,10 +171,10 @@
             (Whole::Streamed, Some(request), None) => {
                 let headers = [format!("{REQUEST_ID_HEADER}: {}", job.id)];
                 let writer = StreamWriter::start(request.into_writer(), &headers);
-                let _gone = writer.and_then(StreamWriter::done);
+                let _gone = writer.and_then(StreamWriter::finish);
             }
             (Whole::Streamed, _, Some(writer)) => {
-                let _gone = writer.done();
+                let _gone = writer.finish();
             }
             (Whole::Answered(_), None, Some(writer)) => {
                 end_with(
@@ -209,7 +209,7 @@
 
 fn end_with(mut writer: StreamWriter, refused: &RequestRefusal, job: &CallerRequest) {
     let data = refused.to_json(&job.id).to_string();
-    let _gone = writer.event(&data).and_then(|()| writer.end());
+    let _gone = writer.write_event(&data).and_then(|()| writer.end());
 }
 
 /// Logs and counts a refusal.
--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -38,8 +38,8 @@
 use crate::record::Phase;
 use crate::record::Record;
 use crate::replicated_state::State;
-use crate::slot_tracker::Watch;
-use crate::slot_tracker::Watches;
+use crate::slot_tracker::SlotTracker;
+use crate::slot_tracker::TrackedSlot;
 use crate::table::Edit;
 
 /// The log counts as down after this time without an answer to a read.
@@ -75,7 +75,7 @@
     pub(crate) fleet: Fleet,
     pub(crate) rates: LoadRates,
     pub(crate) keep_warm: KeepWarm,
-    pub(crate) watches: Watches,
+    pub(crate) watches: SlotTracker,
     pub(crate) effects: Vec<Effect>,
     /// When the log's current tick was read.
     pub(crate) last_tick: Duration,
@@ -115,7 +115,7 @@
             fleet: Fleet::default(),
             rates: LoadRates::default(),
             keep_warm: KeepWarm::new(settings.keep_warm),
-            watches: Watches::default(),
+            watches: SlotTracker::default(),
             effects: Vec::new(),
             last_tick: Duration::ZERO,
             snapshot_offset: 0,
@@ -167,7 +167,7 @@
         }
         self.local_slots()
             .into_iter()
-            .filter(|id| self.watches.get(*id).is_some_and(Watch::is_woken))
+            .filter(|id| self.watches.get(*id).is_some_and(TrackedSlot::is_unlogged_load))
             .filter_map(|id| self.state.slots.get(id))
             .filter(|s| s.phase != Phase::Loaded && s.phase != Phase::Draining)
             .map(|s| Hint { model: s.model.clone(), server: s.server.clone() })
@@ -427,12 +427,12 @@
             let Some(line) = report.model(&model) else {
                 continue;
             };
-            let watch = self.watches.entry(now, id);
+            let watch = self.watches.get_or_insert(now, id);
             let begun = line.served != watch.served;
             watch.served = line.served;
             watch.active = line.active;
             if begun || line.active > 0 {
-                watch.used = now;
+                watch.last_used = now;
                 if let Some(gap) = self.watches.used(now, &model) {
                     self.keep_warm.record_gap(&model, gap);
                 }
--- a/lib/src/control_slots.rs
+++ b/lib/src/control_slots.rs
@@ -19,13 +19,13 @@
 use crate::record::PhaseChange;
 use crate::record::Record;
 use crate::record::Source;
-use crate::slot_reconciler::Step;
-use crate::slot_reconciler::Upkeep;
+use crate::slot_reconciler::SlotReconciler;
+use crate::slot_reconciler::SlotStep;
 use crate::slots::Slot;
 
 impl Controller {
     /// Takes the next step of each slot; between two full rounds only of those that are not at rest.
-    pub(crate) fn keep_slots(&mut self, now: Duration, full: bool) {
+    pub(crate) fn reconcile_slots(&mut self, now: Duration, full: bool) {
         let ids = if full { self.local_slots() } else { self.moving_slots() };
         for id in ids {
             let Some(slot) = self.state.slots.get(id).cloned() else {
@@ -34,10 +34,10 @@
             if self.is_freeing(id) {
                 continue;
             }
-            self.watches.entry(now, id).follow(now, &slot);
+            self.watches.get_or_insert(now, id).update_from_log(now, &slot);
             let step = {
                 let upkeep = self.upkeep(now);
-                self.watches.get(id).and_then(|watch| upkeep.step(id, &slot, watch))
+                self.watches.get(id).and_then(|watch| upkeep.next_step(id, &slot, watch))
             };
             if let Some(step) = step {
                 self.take_step(now, id, &slot, step);
@@ -50,8 +50,8 @@
         let centre = &self.settings.centre;
         let local =
             |s: &Slot| self.state.servers.get(&s.server).is_some_and(|f| f.centre == *centre);
-        let moving = self.state.slots.moving().filter(|(_, s)| local(s)).map(|(id, _)| id);
-        let mut ids: Vec<SlotId> = moving.chain(self.watches.ordered_slots()).collect();
+        let moving = self.state.slots.transitioning().filter(|(_, s)| local(s)).map(|(id, _)| id);
+        let mut ids: Vec<SlotId> = moving.chain(self.watches.slots_with_order()).collect();
         ids.sort_unstable();
         ids.dedup();
         ids
@@ -69,53 +69,53 @@
         }
     }
 
-    fn upkeep(&self, now: Duration) -> Upkeep<'_> {
-        Upkeep {
-            scene: self.scene(now),
-            warm: &self.keep_warm,
-            me: (&self.settings.id, self.settings.incarnation),
-            valid: self.authority.is_valid(now),
+    fn upkeep(&self, now: Duration) -> SlotReconciler<'_> {
+        SlotReconciler {
+            planner: self.scene(now),
+            keep_warm: &self.keep_warm,
+            daemon: (&self.settings.id, self.settings.incarnation),
+            lease_valid: self.authority.is_valid(now),
         }
     }
 
-    fn take_step(&mut self, now: Duration, id: SlotId, slot: &Slot, step: Step) {
+    fn take_step(&mut self, now: Duration, id: SlotId, slot: &Slot, step: SlotStep) {
         let (model, server) = (slot.model.as_str(), slot.server.as_str());
         match step {
-            Step::Load => {
+            SlotStep::Load => {
                 self.order(now, id, OrderAction::Load);
             }
-            Step::Reload => {
+            SlotStep::Reload => {
                 self.change_phase(id, slot.phase);
             }
-            Step::Ready => self.note_ready(now, id, slot),
-            Step::Drain(reason) => {
+            SlotStep::Ready => self.note_ready(now, id, slot),
+            SlotStep::Drain(reason) => {
                 if self.change_phase(id, Phase::Draining) {
                     self.log_decision(DecisionKind::Drain, model, server, reason);
                 }
             }
-            Step::Retain => {
+            SlotStep::Retain => {
                 if self.change_phase(id, Phase::Loaded) {
                     self.log_decision(DecisionKind::Retain, model, server, "it is wanted again");
                 }
             }
-            Step::Unload(reason) => {
+            SlotStep::Unload(reason) => {
                 if self.order(now, id, OrderAction::Unload) {
                     self.log_decision(DecisionKind::Unload, model, server, reason);
                 }
             }
-            Step::Sleep(_) => {
+            SlotStep::Reserve(_) => {
                 self.change_phase(id, Phase::Reserved);
             }
-            Step::Free(reason) => self.free(now, id, slot, reason),
+            SlotStep::Free(reason) => self.free(now, id, slot, reason),
         }
     }
 
     fn note_ready(&mut self, now: Duration, id: SlotId, slot: &Slot) {
-        let watch = self.watches.entry(now, id);
+        let watch = self.watches.get_or_insert(now, id);
         if !watch.loaded {
             watch.loaded = true;
-            watch.used = now;
-            let took = now.saturating_sub(watch.began);
+            watch.last_used = now;
+            let took = now.saturating_sub(watch.load_began);
             if let (Phase::Loading(source), Some(row)) =
                 (slot.phase, self.state.table.row(&slot.model))
             {
@@ -132,7 +132,7 @@
         let Some(fence) = self.held_fence() else {
             return;
         };
-        let orderer_gone = self.upkeep(now).is_gone(slot);
+        let orderer_gone = self.upkeep(now).is_orderer_gone(slot);
         let record = Record::Freed(Freed { slot: id, fence, orderer_gone });
         if self.appender.push_unique(record) {
             self.log_decision(DecisionKind::Free, &slot.model, &slot.server, reason);
@@ -224,9 +224,9 @@
         let Some(slot) = self.state.slots.get(id).cloned() else {
             return;
         };
-        let watch = self.watches.entry(now, id);
-        if !watch.giving {
-            watch.giving = true;
+        let watch = self.watches.get_or_insert(now, id);
+        if !watch.evicting {
+            watch.evicting = true;
             self.log_decision(DecisionKind::Drain, &slot.model, &slot.server, reason);
         }
     }
@@ -247,7 +247,7 @@
         let (Some(lease), Some(slot)) = (self.held_fence(), self.state.slots.get(id)) else {
             return false;
         };
-        if self.watches.is_busy(now, &slot.server) || self.is_freeing(id) {
+        if self.watches.has_order_inflight(now, &slot.server) || self.is_freeing(id) {
             return false;
         }
         let Some(server) = self.state.servers.get(&slot.server) else {
@@ -270,7 +270,7 @@
         // An engine that ignores fencing numbers must get no order after the lease's end; one that
         // heeds them refuses it itself.
         let until = if server.fencing { None } else { self.authority.valid_until() };
-        self.watches.ordered(now, &order);
+        self.watches.record_order(now, &order);
         self.effects.push(Effect::Order(order, until));
         true
     }
--- a/lib/src/control_thread.rs
+++ b/lib/src/control_thread.rs
@@ -27,7 +27,7 @@
 use crate::peer_message::MAX_LINES;
 use crate::record::Entry;
 use crate::replicated_state::State;
-use crate::routing_view::View;
+use crate::routing_view::RoutingView;
 use crate::trace::TraceWriter;
 use crate::wire;
 
@@ -41,27 +41,27 @@
 const QUIET_DIGEST: Duration = Duration::from_secs(1);
 
 /// An order to be carried out, and how late.
-pub type Errand = (SocketAddr, Order, Option<Duration>);
+pub type OrderTask = (SocketAddr, Order, Option<Duration>);
 
 /// Channels to the filters that do the input and output.
 #[derive(Debug)]
-pub struct Outputs {
+pub struct ControlOutputs {
     /// Entries to append.
     pub appends: flume::Sender<Entry>,
     /// Backend servers to ask for a report.
     pub polls: flume::Sender<(SmolStr, SocketAddr)>,
     /// Orders to give.
-    pub orders: flume::Sender<Errand>,
+    pub orders: flume::Sender<OrderTask>,
     /// Datagrams to peers.
     pub socket: UdpSocket,
 }
 
 /// The control thread's state.
 #[derive(Debug)]
-pub struct Shell {
+pub struct ControlThread {
     node: Arc<Node>,
     control: Controller,
-    outputs: Outputs,
+    outputs: ControlOutputs,
     trace: Option<TraceWriter>,
     claims: BTreeMap<ClaimKey, flume::Sender<ClaimAnswer>>,
     edits: Vec<(SmolStr, flume::Sender<EditAnswer>)>,
@@ -71,12 +71,12 @@
     idled: Duration,
 }
 
-impl Shell {
+impl ControlThread {
     /// Creates the control thread's state.
     pub fn new(
         node: Arc<Node>,
         control: Controller,
-        outputs: Outputs,
+        outputs: ControlOutputs,
         trace: Option<TraceWriter>,
     ) -> Self {
         Self {
@@ -144,7 +144,7 @@
 
     fn handle(&mut self, now: Duration, event: Event) {
         if let Some(trace) = &mut self.trace {
-            trace.write(now, &event);
+            trace.write_event(now, &event);
         }
         if let Event::Entry(offset, entry) = &event
             && *offset == self.control.state().offset
@@ -180,7 +180,7 @@
     fn claim(&mut self, now: Duration, key: ClaimKey, sender: flume::Sender<ClaimAnswer>) {
         let event = Event::Claim(key);
         if let Some(trace) = &mut self.trace {
-            trace.write(now, &event);
+            trace.write_event(now, &event);
         }
         let effects = self.control.handle(now, event);
         let mut answer = None;
@@ -226,7 +226,7 @@
         let mut rates = self.node.load_rates.lock().unwrap_or_else(PoisonError::into_inner);
         *rates = *self.control.rates();
         drop(rates);
-        self.node.publish(View::of(&self.control, now));
+        self.node.publish(RoutingView::new(&self.control, now));
     }
 
     fn poll(&self, server: SmolStr) {
@@ -265,7 +265,7 @@
 
     fn on_tick(&mut self, now: Duration) {
         let logged = self.control.is_log_up(now);
-        if self.node.view.load().logged != logged {
+        if self.node.view.load().log_up != logged {
             slog::warn!(self.node.log, "log"; "up" => logged);
             self.publish(now);
         }
--- a/lib/src/control_tick.rs
+++ b/lib/src/control_tick.rs
@@ -20,7 +20,7 @@
 use crate::record::Record;
 use crate::record::ServerFacts;
 use crate::replicated_state::TICK_PERIOD_S;
-use crate::slot_tracker::Watches;
+use crate::slot_tracker::SlotTracker;
 use crate::slots::Slot;
 use crate::snapshot;
 
@@ -58,7 +58,7 @@
             self.keep_log(now);
         }
         self.poll_servers(now);
-        self.keep_slots(now, full);
+        self.reconcile_slots(now, full);
         if full || !self.demand.is_empty() {
             self.place_models(now);
         }
@@ -138,7 +138,7 @@
         }
         self.logged_fence = fence;
         self.servers_checked = None;
-        self.watches = Watches::default();
+        self.watches = SlotTracker::default();
     }
 
     /// Writes to the log which backend servers there are.
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -19,7 +19,7 @@
 use crate::backend_client::BackendClient;
 use crate::control::ControlSettings;
 use crate::control::Controller;
-use crate::control_thread::Shell;
+use crate::control_thread::ControlThread;
 use crate::event::Event;
 use crate::gateway;
 use crate::ids::Incarnation;
@@ -32,7 +32,7 @@
 use crate::timer::Timer;
 use crate::trace::TraceWriter;
 use crate::workers;
-use crate::workers::Borders;
+use crate::workers::PlatformClients;
 
 /// Period of the control state machine.
 const TICK: Duration = Duration::from_millis(50);
@@ -137,7 +137,7 @@
         settings: Settings,
         incarnation: Incarnation,
         sockets: Sockets,
-        borders: &Borders,
+        borders: &PlatformClients,
         exchange: Arc<dyn BackendClient>,
         log: Logger,
     ) -> Result<Self, StartError> {
@@ -146,11 +146,11 @@
             incarnation,
             centre: settings.centre.clone(),
             append_gap: settings.append_gap,
-            keep_warm: settings.policy,
-            poll_interval: settings.poll,
+            keep_warm: settings.keep_warm,
+            poll_interval: settings.poll_interval,
         };
         let trace = settings
-            .trace
+            .trace_path
             .as_ref()
             .map(|path| TraceWriter::create(path, &control))
             .transpose()
@@ -164,7 +164,7 @@
             let outputs = workers::start(&node, borders, socket)?;
             let log = Arc::clone(&borders.log);
             workers::spawn("log-reader", &node, move |node| log_reader::run(node, log.as_ref()))?;
-            Ok(Shell::new(Arc::clone(&node), controller, outputs, trace))
+            Ok(ControlThread::new(Arc::clone(&node), controller, outputs, trace))
         })()
         .map_err(StartError::System)?;
         subscribe(&node);
@@ -188,18 +188,18 @@
 
     /// Stops gracefully: refuses new work, lets requests in progress end, gives up the lease.
     ///
-    /// Returns whether every request in progress ended by itself within the `drain` setting.
+    /// Returns whether every request in progress ended by itself within the `drain_timeout` setting.
     pub fn stop(self) -> bool {
         let node = &self.node;
         node.stopping.store(true, Ordering::Relaxed);
         node.waiting.close();
-        let end = node.now() + node.settings.drain;
+        let end = node.now() + node.settings.drain_timeout;
         while node.limits().total() > 0 && node.now() < end {
             thread::sleep(STOP_STEP);
         }
         let left = node.limits().total();
         node.send(ControlInput::Event(Event::Stop));
-        thread::sleep(LAST_APPEND.min(node.settings.drain));
+        thread::sleep(LAST_APPEND.min(node.settings.drain_timeout));
         slog::info!(node.log, "stop"; "cut" => left, "daemon" => node.settings.id.as_str());
         self.abort();
         left == 0
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -166,7 +166,7 @@
         let now = node.now();
         let view = node.view.load_full();
         let wish = RouteRequest { model: job.model(), prefix: job.prefix, tried: &history.tried };
-        let overtakes = !woken && node.waiting.is_waited(job.model());
+        let overtakes = !woken && node.waiting.has_waiters(job.model());
         let route = if overtakes { None } else { node.router().choose(now, &view, wish) };
         if let Some(route) = route {
             if woken {
@@ -184,7 +184,7 @@
             }
             continue;
         }
-        if !job.row.is_loaded() && view.places(job.model()).is_empty() {
+        if !job.row.is_loadable() && view.replicas_of(job.model()).is_empty() {
             let message = format!("no backend server answers for {}", job.model());
             return Err(RequestRefusal::retryable(503, "no-server", message, COME_BACK));
         }
@@ -206,8 +206,8 @@
 /// queue.
 fn expected_wait(node: &Node, now: Duration, job: &CallerRequest, waiter: &Waiter) -> Duration {
     let view = node.view.load();
-    let cold = view.places(job.model()).is_empty() && !view.loading.contains(job.model());
-    if cold && job.row.is_loaded() {
+    let cold = view.replicas_of(job.model()).is_empty() && !view.loading.contains(job.model());
+    if cold && job.row.is_loadable() {
         return node.load_rates().expected(job.row.load_mib, Source::Memory);
     }
     let ahead = node.waiting.ahead(waiter);
@@ -221,7 +221,7 @@
     refusal: QueueRefusal,
     expected: Duration,
 ) -> RequestRefusal {
-    let cold = node.view.load().places(job.model()).is_empty();
+    let cold = node.view.load().replicas_of(job.model()).is_empty();
     let retry = match refusal {
         QueueRefusal::Stopping => Duration::ZERO,
         _ if cold => node.load_rates().expected(job.row.load_mib, Source::Disk),
--- a/lib/src/failure_backoff.rs
+++ b/lib/src/failure_backoff.rs
@@ -13,14 +13,14 @@
 ///
 /// One silent connection does not condemn a host that answers others: any answer clears it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Suspicion {
+pub struct FailureBackoff {
     failures: u32,
     until: Duration,
 }
 
-impl Suspicion {
+impl FailureBackoff {
     /// Notes a failed connection or report.
-    pub fn failed(&mut self, now: Duration) {
+    pub fn record_failure(&mut self, now: Duration) {
         self.failures += 1;
         let extra = self.failures.saturating_sub(FAILURES).min(8);
         self.until = now + (MIN_PAUSE * 2_u32.pow(extra)).min(MAX_PAUSE);
@@ -32,7 +32,7 @@
     }
 
     /// Returns whether the host is left alone now.
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn is_active(&self, now: Duration) -> bool {
         self.failures >= FAILURES && now < self.until
     }
 }
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::failure_backoff::Suspicion;
+use crate::failure_backoff::FailureBackoff;
 use crate::host::Host;
 use crate::host::HostRole;
 use crate::host::ServerReport;
@@ -24,18 +24,18 @@
     pub report: Option<(Duration, ServerReport)>,
     /// When the last report was asked for.
     pub polled_at: Option<Duration>,
-    suspicion: Suspicion,
+    suspicion: FailureBackoff,
 }
 
 impl HostState {
     fn new(host: Host) -> Self {
         let leaving = host.leaving;
-        Self { host, leaving, report: None, polled_at: None, suspicion: Suspicion::default() }
+        Self { host, leaving, report: None, polled_at: None, suspicion: FailureBackoff::default() }
     }
 
     /// Returns whether the host failed several times and is left alone for now.
     pub fn is_suspected(&self, now: Duration) -> bool {
-        self.suspicion.holds(now)
+        self.suspicion.is_active(now)
     }
 
     /// Returns whether new work may go there.
@@ -101,7 +101,7 @@
     /// Notes that a connection or report failed.
     pub fn record_failure(&mut self, now: Duration, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
-            member.suspicion.failed(now);
+            member.suspicion.record_failure(now);
         }
     }
 }
--- a/lib/src/fold.rs
+++ b/lib/src/fold.rs
@@ -24,15 +24,15 @@
 use crate::record::Record;
 use crate::record::ServerFacts;
 use crate::record::Settlement;
-use crate::replicated_state::CLAIM_TICKS;
+use crate::replicated_state::CLAIM_TTL_TICKS;
 use crate::replicated_state::Claim;
 use crate::replicated_state::ClaimEnd;
-use crate::replicated_state::EditLine;
+use crate::replicated_state::HistoryEntry;
 use crate::replicated_state::Lease;
 use crate::replicated_state::MAX_HISTORY;
 use crate::replicated_state::State;
-use crate::replicated_state::WRITER_TICKS;
-use crate::replicated_state::Writer;
+use crate::replicated_state::WRITER_TTL_TICKS;
+use crate::replicated_state::WriterState;
 use crate::slots::Slot;
 use crate::table::Edit;
 use crate::verdict::Verdict;
@@ -111,7 +111,7 @@
 /// the last one seen is old.
 fn is_new(state: &mut State, entry: &Entry) -> bool {
     let this =
-        Writer { incarnation: entry.incarnation, sequence: entry.sequence, tick: state.tick };
+        WriterState { incarnation: entry.incarnation, sequence: entry.sequence, tick: state.tick };
     let last = state.writers.get(&entry.writer);
     let is_new =
         last.is_none_or(|w| (w.incarnation, w.sequence) < (this.incarnation, this.sequence));
@@ -154,8 +154,8 @@
     if state.edit(&edit.id).is_some() {
         return Err(Rejection::Duplicate);
     }
-    let conflict = state.table.conflict(edit).cloned();
-    state.history.push_back(EditLine {
+    let conflict = state.table.find_conflict(edit).cloned();
+    state.history.push_back(HistoryEntry {
         id: edit.id.clone(),
         author: edit.author.clone(),
         position: at,
@@ -258,7 +258,7 @@
     let lease = state.leases.get(&server.centre).ok_or(Rejection::NotHolder)?;
     check_holder(entry, lease, intent.fence)?;
     let row = state.table.row(&intent.model).ok_or(Rejection::NoModel)?;
-    if !row.is_loaded() {
+    if !row.is_loadable() {
         return Err(Rejection::NoModel);
     }
     if state.slots_of(&intent.model).count() >= row.replicas as usize {
@@ -267,7 +267,7 @@
     if state.slots_of(&intent.model).any(|(_, s)| s.server == intent.server) {
         return Err(Rejection::SameServer);
     }
-    if state.taken_mib(&intent.server) + row.memory_mib > server.memory_mib {
+    if state.memory_used(&intent.server) + row.memory_mib > server.memory_mib {
         return Err(Rejection::MemoryTaken);
     }
     let slot = Slot {
@@ -300,7 +300,7 @@
     if unresolved && change.phase != Phase::Loaded {
         return Err(Rejection::OrderUnresolved);
     }
-    state.slots.change(change.slot, |slot| {
+    state.slots.update(change.slot, |slot| {
         slot.phase = change.phase;
         slot.fence = change.fence;
         if change.phase.is_loading() {
@@ -365,7 +365,7 @@
     }
     state.tick = tick;
     while let Some(&(claimed, key)) = state.expiry.front() {
-        if claimed + CLAIM_TICKS > tick {
+        if claimed + CLAIM_TTL_TICKS > tick {
             break;
         }
         state.expiry.pop_front();
@@ -374,6 +374,6 @@
             state.claims.remove(&key);
         }
     }
-    state.writers.retain(|_, w| w.tick + WRITER_TICKS > tick);
+    state.writers.retain(|_, w| w.tick + WRITER_TTL_TICKS > tick);
     Ok(())
 }
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -102,7 +102,7 @@
     let view = node.view.load();
     let ready = view.ready && !node.is_stopping();
     let status = if ready { 200 } else { 503 };
-    reply::send_json(request, status, &json!({"ready": ready, "log_up": view.logged}));
+    reply::send_json(request, status, &json!({"ready": ready, "log_up": view.log_up}));
 }
 
 fn models(node: &Node, request: Request) {
@@ -110,7 +110,7 @@
     let data: Vec<_> = view
         .table
         .iter()
-        .filter(|v| v.row.is_loaded())
+        .filter(|v| v.row.is_loadable())
         .map(|v| json!({"id": v.row.name, "object": "model", "created": 0, "owned_by": "comfreymux"}))
         .collect();
     reply::send_json(request, 200, &json!({"object": "list", "data": data}));
--- a/lib/src/load_planner.rs
+++ b/lib/src/load_planner.rs
@@ -22,10 +22,10 @@
 use crate::record::Phase;
 use crate::record::Source;
 use crate::replicated_state::State;
-use crate::slot_tracker::Watches;
+use crate::slot_tracker::SlotTracker;
 use crate::slots::Slot;
-use crate::table::Kind;
 use crate::table::Row;
+use crate::table::RowKind;
 
 /// Reason of a load without callers.
 const FETCH: &str = "nothing else to do, checkpoint only in the weight store";
@@ -54,7 +54,7 @@
     /// Loading speeds.
     pub rates: &'a LoadRates,
     /// Slots of this data centre.
-    pub watches: &'a Watches,
+    pub watches: &'a SlotTracker,
 }
 
 /// A planned step towards a loaded replica.
@@ -130,7 +130,7 @@
     /// model's first callers, who would wait for the weight store otherwise.
     fn plan_prime(&self) -> Option<PlanStep> {
         let rows = self.state.table.iter().map(|v| &v.row);
-        let models = rows.filter(|r| matches!(r.kind, Kind::Model | Kind::Version));
+        let models = rows.filter(|r| matches!(r.kind, RowKind::Model | RowKind::Version));
         models.filter(|r| r.replicas > 0 && self.primes(r)).find_map(|row| {
             match self.state.slots_of(&row.name).next() {
                 Some((slot, place)) => self.prime_slot(row, slot, place),
@@ -180,11 +180,11 @@
         let mut seen = BTreeSet::new();
         let mut wanted = Vec::new();
         for (model, total) in self.demand.iter() {
-            let Some(row) = self.state.table.row(model).filter(|r| r.is_loaded()) else {
+            let Some(row) = self.state.table.row(model).filter(|r| r.is_loadable()) else {
                 continue;
             };
             // An adapter runs on its base, so its requests wait for the base as well.
-            let base = self.state.table.row(&row.base).filter(|_| row.kind == Kind::Adapter);
+            let base = self.state.table.row(&row.base).filter(|_| row.kind == RowKind::Adapter);
             for row in base.into_iter().chain([row]) {
                 if seen.insert(row.name.clone()) {
                     wanted.push((row, total, self.urgency(row, total)));
@@ -212,7 +212,7 @@
 
     fn remote_loads(&self) -> usize {
         let remote = Phase::Loading(Source::Remote);
-        self.state.slots.moving().filter(|(_, s)| s.phase == remote).count()
+        self.state.slots.transitioning().filter(|(_, s)| s.phase == remote).count()
     }
 
     fn plan_model(&self, row: &Row, total: DemandTotal, remote: usize) -> Option<PlanStep> {
@@ -261,7 +261,7 @@
     }
 
     fn is_giving(&self, slot: SlotId) -> bool {
-        self.watches.get(slot).is_some_and(|w| w.giving)
+        self.watches.get(slot).is_some_and(|w| w.evicting)
     }
 
     fn plan_place(
@@ -316,7 +316,7 @@
     }
 
     fn free_mib(&self, member: &HostState) -> u64 {
-        member.host.memory_mib.saturating_sub(self.state.taken_mib(&member.host.id))
+        member.host.memory_mib.saturating_sub(self.state.memory_used(&member.host.id))
     }
 
     fn patience(&self, time: Duration) -> Duration {
@@ -328,7 +328,7 @@
 
     /// Returns whether an adapter's base is loaded on `server`; true for others.
     fn has_base(&self, row: &Row, server: &str) -> bool {
-        row.kind != Kind::Adapter
+        row.kind != RowKind::Adapter
             || self
                 .state
                 .slots_of(&row.base)
@@ -347,7 +347,7 @@
                 return hold("memory is being freed");
             }
             let idle = on_server().filter(|(id, s)| self.is_idle(*id, s)).min_by_key(|(id, s)| {
-                let used = self.watches.get(*id).map(|w| w.used);
+                let used = self.watches.get(*id).map(|w| w.last_used);
                 (s.phase != Phase::Reserved, used)
             });
             if let Some((slot, _)) = idle {
@@ -379,7 +379,7 @@
             .on_server(&slot.server)
             .filter(|(_, s)| s.phase != Phase::Reserved)
             .filter_map(|(_, s)| self.state.table.row(&s.model))
-            .any(|row| row.kind == Kind::Adapter && row.base == slot.model)
+            .any(|row| row.kind == RowKind::Adapter && row.base == slot.model)
     }
 }
 
--- a/lib/src/log_reader.rs
+++ b/lib/src/log_reader.rs
@@ -16,7 +16,7 @@
 use crate::record::Entry;
 use crate::record::Record;
 use crate::replicated_state::State;
-use crate::snapshot::Collector;
+use crate::snapshot::SnapshotAssembler;
 use crate::wire;
 
 /// How long a read waits for the next entry.
@@ -74,7 +74,7 @@
 
     /// Starts from a snapshot, because what comes next in the log has expired.
     fn recover(&mut self, oldest: Offset) {
-        let mut collector = Collector::default();
+        let mut collector = SnapshotAssembler::default();
         let mut at = oldest;
         let mut newest: Option<State> = None;
         loop {
--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -34,12 +34,12 @@
 use crate::request_limits::RequestLimits;
 use crate::retry_budget::RetryBudget;
 use crate::router::Router;
-use crate::routing_view::View;
+use crate::routing_view::RoutingView;
 use crate::settings::Settings;
 use crate::table::Edit;
 use crate::timer::Clock;
 use crate::wait_estimator::WaitEstimator;
-use crate::wait_queue::WaitingRoom;
+use crate::wait_queue::WaitQueue;
 
 /// What the control thread takes in.
 pub enum ControlInput {
@@ -77,11 +77,11 @@
     /// Time since the start.
     pub clock: Clock,
     /// What routers see.
-    pub view: ArcSwap<View>,
+    pub view: ArcSwap<RoutingView>,
     /// Learned loading speeds.
     pub load_rates: Mutex<LoadRates>,
     /// Requests that wait for a replica.
-    pub waiting: WaitingRoom,
+    pub waiting: WaitQueue,
     /// Outcomes of claimed requests.
     pub outcomes: ClaimOutcomes,
     /// To the control thread.
@@ -125,7 +125,7 @@
             clock: Clock::start(),
             view: ArcSwap::default(),
             load_rates: Mutex::default(),
-            waiting: WaitingRoom::new(settings.max_queue),
+            waiting: WaitQueue::new(settings.max_queue),
             outcomes: ClaimOutcomes::default(),
             router: Mutex::new(Router::new(centre, incarnation)),
             limits: Mutex::new(RequestLimits::new(settings.max_requests, settings.caller_requests)),
@@ -182,7 +182,7 @@
     }
 
     /// Publishes a new picture and wakes requests that it has room for.
-    pub fn publish(&self, view: View) {
+    pub fn publish(&self, view: RoutingView) {
         self.view.store(Arc::new(view));
         self.wake_waiting();
     }
--- a/lib/src/replicated_state.rs
+++ b/lib/src/replicated_state.rs
@@ -63,7 +63,7 @@
 
 /// A line of the table's history.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct EditLine {
+pub struct HistoryEntry {
     /// The edit's id.
     pub id: SmolStr,
     /// Who made it.
@@ -88,7 +88,7 @@
     /// The operators' table.
     pub table: Table,
     /// Edits, newest last.
-    pub history: VecDeque<EditLine>,
+    pub history: VecDeque<HistoryEntry>,
     /// Backend servers by name.
     pub servers: BTreeMap<ServerId, ServerFacts>,
     /// Leases by data centre.
@@ -100,14 +100,14 @@
     /// Claims in the order in which they expire.
     pub expiry: VecDeque<(u64, ClaimKey)>,
     /// Last entry of each writer.
-    pub writers: BTreeMap<DaemonId, Writer>,
+    pub writers: BTreeMap<DaemonId, WriterState>,
     /// The log's clock: ticks are at least [`TICK_PERIOD_S`] seconds apart.
     pub tick: u64,
 }
 
 /// Last entry of one writer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Writer {
+pub struct WriterState {
     /// The writer's start count.
     pub incarnation: Incarnation,
     /// Sequence number of its last entry.
@@ -119,9 +119,9 @@
 /// Least seconds between two ticks of the log's clock.
 pub const TICK_PERIOD_S: u64 = 60;
 /// Ticks for which a claim is kept: a repeat within this time is recognized.
-pub const CLAIM_TICKS: u64 = 24 * 60;
+pub const CLAIM_TTL_TICKS: u64 = 24 * 60;
 /// Ticks after which a silent writer is forgotten.
-pub const WRITER_TICKS: u64 = 3 * 24 * 60;
+pub const WRITER_TTL_TICKS: u64 = 3 * 24 * 60;
 
 impl State {
     /// Returns the slots of `model`, with their identities.
@@ -130,7 +130,7 @@
     }
 
     /// Returns the memory of `server` that slots have taken.
-    pub fn taken_mib(&self, server: &str) -> Mebibytes {
+    pub fn memory_used(&self, server: &str) -> Mebibytes {
         self.slots.on_server(server).map(|(_, s)| s.memory_mib).sum()
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Returns the history line of the edit `id`.
-    pub fn edit(&self, id: &str) -> Option<&EditLine> {
+    pub fn edit(&self, id: &str) -> Option<&HistoryEntry> {
         self.history.iter().rev().find(|line| line.id == id)
     }
 }
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -9,12 +9,12 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::failure_backoff::Suspicion;
+use crate::failure_backoff::FailureBackoff;
 use crate::ids::CentreId;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
 use crate::routing_view::Replica;
-use crate::routing_view::View;
+use crate::routing_view::RoutingView;
 
 /// What an engine said of other daemons' requests fades over this time.
 const LOAD_FRESH: Duration = Duration::from_millis(500);
@@ -61,7 +61,7 @@
     centre: CentreId,
     rng: ChaCha8Rng,
     loads: BTreeMap<(ServerId, ModelName), Load>,
-    suspects: BTreeMap<ServerId, Suspicion>,
+    suspects: BTreeMap<ServerId, FailureBackoff>,
     leaving: BTreeMap<ServerId, Duration>,
     /// Replicas that turned out not to be there, and when.
     missing: BTreeMap<(ServerId, ModelName), Duration>,
@@ -90,10 +90,15 @@
     }
 
     /// Chooses a replica with room, and counts the request there until [`Router::record_end`].
-    pub fn choose(&mut self, now: Duration, view: &View, wish: RouteRequest<'_>) -> Option<Route> {
+    pub fn choose(
+        &mut self,
+        now: Duration,
+        view: &RoutingView,
+        wish: RouteRequest<'_>,
+    ) -> Option<Route> {
         let limit = view.table.row(wish.model)?.limit;
         let usable: Vec<&Replica> = view
-            .places(wish.model)
+            .replicas_of(wish.model)
             .iter()
             .filter(|r| !wish.tried.contains(&r.server))
             .filter(|r| self.is_usable(now, &r.server, wish.model))
@@ -109,9 +114,9 @@
     }
 
     /// Returns how many more requests the replicas of `model` have room for.
-    pub fn free_capacity(&self, now: Duration, view: &View, model: &str) -> u32 {
+    pub fn free_capacity(&self, now: Duration, view: &RoutingView, model: &str) -> u32 {
         let limit = view.table.row(model).map_or(0, |row| row.limit);
-        view.places(model)
+        view.replicas_of(model)
             .iter()
             .filter(|r| self.is_usable(now, &r.server, model))
             .map(|r| limit.saturating_sub(self.load(now, &r.server, model)))
@@ -147,7 +152,7 @@
     }
 
     fn is_usable(&self, now: Duration, server: &str, model: &str) -> bool {
-        let suspected = self.suspects.get(server).is_some_and(|s| s.holds(now));
+        let suspected = self.suspects.get(server).is_some_and(|s| s.is_active(now));
         let leaving = self.leaving.get(server).is_some_and(|at| now < *at + LEAVING);
         let key = (ServerId::from(server), ModelName::from(model));
         let missing = self.missing.get(&key).is_some_and(|at| now < *at + MISSING);
@@ -191,7 +196,7 @@
 
     /// Notes a failed connection.
     pub fn record_failure(&mut self, now: Duration, server: &ServerId) {
-        self.suspects.entry(server.clone()).or_default().failed(now);
+        self.suspects.entry(server.clone()).or_default().record_failure(now);
     }
 
     /// Notes that a backend server refused work because it leaves.
--- a/lib/src/routing_view.rs
+++ b/lib/src/routing_view.rs
@@ -25,7 +25,7 @@
 
 /// What one daemon's routers know at one moment.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct RoutingView {
     /// The table in force.
     pub table: Table,
     /// Places by model or plain service. Invariant: no leaving and no suspected backend server.
@@ -37,16 +37,16 @@
     /// Whether the log was read at all.
     pub ready: bool,
     /// Whether the log answers.
-    pub logged: bool,
+    pub log_up: bool,
 }
 
-impl View {
+impl RoutingView {
     /// Takes the picture of what `control` knows.
-    pub fn of(control: &Controller, now: Duration) -> Self {
+    pub fn new(control: &Controller, now: Duration) -> Self {
         let mut view = Self {
             table: control.state().table.clone(),
             ready: control.is_ready(),
-            logged: control.is_log_up(now),
+            log_up: control.is_log_up(now),
             ..Self::default()
         };
         let slots = control.state().slots.values();
@@ -88,7 +88,7 @@
     }
 
     /// Returns the places of `model`.
-    pub fn places(&self, model: &str) -> &[Replica] {
+    pub fn replicas_of(&self, model: &str) -> &[Replica] {
         self.replicas.get(model).map_or(&[], Vec::as_slice)
     }
 }
--- a/lib/src/services.rs
+++ b/lib/src/services.rs
@@ -7,7 +7,7 @@
 use crate::caller_request::RequestOptions;
 use crate::node::Node;
 use crate::reply::RequestRefusal;
-use crate::table::Kind;
+use crate::table::RowKind;
 use crate::unary;
 
 /// Beginning of the paths of plain services.
@@ -28,7 +28,7 @@
     let rest = request.url().strip_prefix(PREFIX).unwrap_or_default();
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let view = node.view.load();
-    let row = view.table.row(name).filter(|r| r.kind == Kind::Service).cloned();
+    let row = view.table.row(name).filter(|r| r.kind == RowKind::Service).cloned();
     let Some(row) = row else {
         let message = format!("the service `{name}` does not exist");
         return Err(RequestRefusal::permanent(404, "service_not_found", message));
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -66,13 +66,13 @@
     /// Least time between two appends; records are grouped meanwhile.
     pub append_gap: Duration,
     /// How keep-warm times are chosen.
-    pub policy: KeepWarmPolicy,
+    pub keep_warm: KeepWarmPolicy,
     /// Time between load reports of one backend server.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Longest time that a stop waits for requests in progress.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// File that control events are written to, for `comfreymux replay`.
-    pub trace: Option<PathBuf>,
+    pub trace_path: Option<PathBuf>,
 }
 
 /// Where settings come from: a flag's text by its name, then the environment.
@@ -228,10 +228,10 @@
             caller_requests: share? as u32,
             max_body: body? as usize * 1024,
             append_gap: gap?,
-            policy: policy?,
-            poll: poll?,
-            drain: drain?,
-            trace,
+            keep_warm: policy?,
+            poll_interval: poll?,
+            drain_timeout: drain?,
+            trace_path: trace,
         })
     }
 }
--- a/lib/src/slot_reconciler.rs
+++ b/lib/src/slot_reconciler.rs
@@ -18,7 +18,7 @@
 use crate::record::Phase;
 use crate::record::Source;
 use crate::slot_tracker::OrderState;
-use crate::slot_tracker::Watch;
+use crate::slot_tracker::TrackedSlot;
 use crate::slots::Slot;
 use crate::table::Row;
 
@@ -33,7 +33,7 @@
 
 /// What to do with a slot.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum SlotStep {
     /// Order the engine to load.
     Load,
     /// Record another load, then order it: an engine that ignores fencing numbers gets one order a
@@ -48,27 +48,27 @@
     /// Order the engine to unload.
     Unload(String),
     /// Nothing is loaded any more; keep count and memory.
-    Sleep(String),
+    Reserve(String),
     /// Give count and memory back.
     Free(String),
 }
 
 /// Decides the steps of one data centre's slots.
 #[derive(Debug)]
-pub struct Upkeep<'a> {
+pub struct SlotReconciler<'a> {
     /// Everything placement looks at.
-    pub scene: LoadPlanner<'a>,
+    pub planner: LoadPlanner<'a>,
     /// Keep-warm times.
-    pub warm: &'a KeepWarm,
+    pub keep_warm: &'a KeepWarm,
     /// This daemon and its start.
-    pub me: (&'a DaemonId, Incarnation),
+    pub daemon: (&'a DaemonId, Incarnation),
     /// Whether orders may go to engines that ignore fencing numbers.
-    pub valid: bool,
+    pub lease_valid: bool,
 }
 
-impl Upkeep<'_> {
+impl SlotReconciler<'_> {
     /// Returns the next step of `slot`, if any.
-    pub fn step(&self, id: SlotId, slot: &Slot, watch: &Watch) -> Option<Step> {
+    pub fn next_step(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
         if !self.may_order(slot) {
             return None;
         }
@@ -81,134 +81,137 @@
     }
 
     fn is_fencing(&self, slot: &Slot) -> bool {
-        self.scene.state.servers.get(&slot.server).is_some_and(|s| s.fencing)
+        self.planner.state.servers.get(&slot.server).is_some_and(|s| s.fencing)
     }
 
     fn may_order(&self, slot: &Slot) -> bool {
-        self.valid || self.is_fencing(slot)
+        self.lease_valid || self.is_fencing(slot)
     }
 
-    fn step_loading(&self, slot: &Slot, watch: &Watch) -> Option<Step> {
+    fn step_loading(&self, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
         if self.is_reported(slot) {
-            return Some(Step::Ready);
+            return Some(SlotStep::Ready);
         }
-        let own = slot.orderer.0 == *self.me.0 && slot.orderer.1 == self.me.1;
+        let own = slot.orderer.0 == *self.daemon.0 && slot.orderer.1 == self.daemon.1;
         match watch.order {
             Some(o) if o.action == OrderAction::Unload => emptied(o, "load given up")
-                .filter(|s| !self.paused(o) || matches!(s, Step::Free(_))),
+                .filter(|s| !self.paused(o) || matches!(s, SlotStep::Free(_))),
             Some(o) => self.step_ordered(slot, o),
-            None if own || self.is_fencing(slot) => Some(Step::Load),
-            None if self.is_gone(slot) => Some(Step::Unload("its orderer is gone".into())),
+            None if own || self.is_fencing(slot) => Some(SlotStep::Load),
+            None if self.is_orderer_gone(slot) => {
+                Some(SlotStep::Unload("its orderer is gone".into()))
+            }
             // Another daemon's order may still arrive at an engine that would not refuse it.
             None => None,
         }
     }
 
     /// Returns what follows an order to load that has shown no effect.
-    fn step_ordered(&self, slot: &Slot, order: OrderState) -> Option<Step> {
-        let waited = self.scene.now.saturating_sub(order.sent);
+    fn step_ordered(&self, slot: &Slot, order: OrderState) -> Option<SlotStep> {
+        let waited = self.planner.now.saturating_sub(order.sent_at);
         match order.answer {
-            Some(OrderAnswer::Refused) => Some(Step::Unload("the engine refused it".into())),
-            Some(OrderAnswer::Done) if self.is_absent(slot, order.known) => {
-                let again = if self.is_fencing(slot) { Step::Load } else { Step::Reload };
+            Some(OrderAnswer::Refused) => Some(SlotStep::Unload("the engine refused it".into())),
+            Some(OrderAnswer::Done) if self.is_absent(slot, order.updated_at) => {
+                let again = if self.is_fencing(slot) { SlotStep::Load } else { SlotStep::Reload };
                 Some(again)
             }
             // A lost answer on an engine that ignores fencing numbers: a second order could
             // arrive after the slot was emptied, so only a report resolves it.
             Some(OrderAnswer::Unknown) if self.is_fencing(slot) && waited >= ORDER_PAUSE => {
-                Some(Step::Load)
+                Some(SlotStep::Load)
             }
             // The engine started anew since: a connection to its old start carries nothing more.
             Some(OrderAnswer::Unknown) if self.is_restarted(slot, order) => {
-                Some(Step::Unload("the engine restarted".into()))
+                Some(SlotStep::Unload("the engine restarted".into()))
             }
             // A later order overtook it, or the lease went to another daemon, who will say so.
-            Some(OrderAnswer::Stale) if waited >= ORDER_PAUSE => Some(Step::Load),
+            Some(OrderAnswer::Stale) if waited >= ORDER_PAUSE => Some(SlotStep::Load),
             _ => None,
         }
     }
 
-    fn step_reserved(&self, id: SlotId, slot: &Slot, watch: &Watch) -> Option<Step> {
+    fn step_reserved(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
         let giving = self.giving(id, slot, watch);
         match watch.order {
             Some(o) if o.action == OrderAction::Unload => {
                 let reason = giving?;
                 match emptied(o, &reason) {
-                    Some(Step::Unload(_)) if !self.paused(o) => Some(Step::Unload(reason)),
-                    Some(Step::Free(_)) => Some(Step::Free(reason)),
+                    Some(SlotStep::Unload(_)) if !self.paused(o) => Some(SlotStep::Unload(reason)),
+                    Some(SlotStep::Free(_)) => Some(SlotStep::Free(reason)),
                     _ => None,
                 }
             }
             // Woken without a record, which only engines that fence allow.
             Some(o) if giving.is_none() => {
                 if self.is_reported(slot) {
-                    return Some(Step::Ready);
+                    return Some(SlotStep::Ready);
                 }
                 self.step_ordered(slot, o)
             }
-            _ => giving.map(Step::Unload),
+            _ => giving.map(SlotStep::Unload),
         }
     }
 
-    fn step_loaded(&self, id: SlotId, slot: &Slot, watch: &Watch) -> Option<Step> {
-        if self.is_absent(slot, watch.used) {
-            return Some(Step::Sleep("the engine no longer reports it".into()));
+    fn step_loaded(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
+        if self.is_absent(slot, watch.last_used) {
+            return Some(SlotStep::Reserve("the engine no longer reports it".into()));
         }
         if let Some(reason) = self.giving(id, slot, watch) {
-            return Some(Step::Drain(reason));
+            return Some(SlotStep::Drain(reason));
         }
-        if watch.active > 0 || self.scene.demand.total(&slot.model).is_some() {
+        if watch.active > 0 || self.planner.demand.total(&slot.model).is_some() {
             return None;
         }
-        if self.scene.is_adapter_base(slot) {
+        if self.planner.is_adapter_base(slot) {
             return None;
         }
-        let row = self.scene.state.table.row(&slot.model)?;
+        let row = self.planner.state.table.row(&slot.model)?;
         // A load that nobody used was for its checkpoint, or for callers who have gone.
         let keep = if watch.served == 0 { UNUSED_KEEP } else { self.keep(row, slot) };
-        let idle = self.scene.now.saturating_sub(watch.used);
+        let idle = self.planner.now.saturating_sub(watch.last_used);
         (idle >= keep)
-            .then(|| Step::Drain(format!("idle {}s, kept {}s", idle.as_secs(), keep.as_secs())))
+            .then(|| SlotStep::Drain(format!("idle {}s, kept {}s", idle.as_secs(), keep.as_secs())))
     }
 
     fn keep(&self, row: &Row, slot: &Slot) -> Duration {
         // The next start reads what this unload leaves in the server's memory or on its disk.
-        let cold = self.scene.rates.expected(row.load_mib, Source::Disk);
-        let member = self.scene.fleet.get(&slot.server);
+        let cold = self.planner.rates.expected(row.load_mib, Source::Disk);
+        let member = self.planner.fleet.get(&slot.server);
         let whole = member.map_or(1, |m| m.host.memory_mib.max(1));
         let share = slot.memory_mib as f64 / whole as f64;
-        self.warm.keep_time(&row.name, cold, row.idle_price * share)
+        self.keep_warm.keep_time(&row.name, cold, row.idle_price * share)
     }
 
-    fn step_draining(&self, id: SlotId, slot: &Slot, watch: &Watch) -> Option<Step> {
+    fn step_draining(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
         let giving = self.giving(id, slot, watch);
         if let Some(o) = watch.order.filter(|o| o.action == OrderAction::Unload) {
             return match (o.answer, giving) {
-                (Some(OrderAnswer::Done), Some(reason)) => Some(Step::Free(reason)),
-                (Some(OrderAnswer::Done), None) => Some(Step::Sleep("unloaded".into())),
-                (Some(OrderAnswer::Busy), None) => Some(Step::Retain),
+                (Some(OrderAnswer::Done), Some(reason)) => Some(SlotStep::Free(reason)),
+                (Some(OrderAnswer::Done), None) => Some(SlotStep::Reserve("unloaded".into())),
+                (Some(OrderAnswer::Busy), None) => Some(SlotStep::Retain),
                 (None, _) => None,
                 (Some(_), _) if self.paused(o) => None,
-                (Some(_), _) => Some(Step::Unload("ordered again".into())),
+                (Some(_), _) => Some(SlotStep::Unload("ordered again".into())),
             };
         }
-        let wanted = self.scene.demand.total(&slot.model).is_some();
+        let wanted = self.planner.demand.total(&slot.model).is_some();
         if giving.is_none() && wanted {
-            return Some(Step::Retain);
+            return Some(SlotStep::Retain);
         }
-        let drained = watch.drained.is_some_and(|at| self.scene.now >= at + DRAIN_GRACE);
+        let drained = watch.drain_began.is_some_and(|at| self.planner.now >= at + DRAIN_GRACE);
         let idle = watch.active == 0;
-        (drained && idle).then(|| Step::Unload("drained".into()))
+        (drained && idle).then(|| SlotStep::Unload("drained".into()))
     }
 
     /// Returns whether the last order is too young to be given again.
     fn paused(&self, order: OrderState) -> bool {
-        self.scene.now < order.sent + ORDER_PAUSE
+        self.planner.now < order.sent_at + ORDER_PAUSE
     }
 
     /// Returns why the slot must be given back, if it must.
-    fn giving(&self, id: SlotId, slot: &Slot, watch: &Watch) -> Option<String> {
-        let Some(row) = self.scene.state.table.row(&slot.model).filter(|r| r.is_loaded()) else {
+    fn giving(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<String> {
+        let Some(row) = self.planner.state.table.row(&slot.model).filter(|r| r.is_loadable())
+        else {
             return Some("not in the table".into());
         };
         if self.rank(id, slot) >= row.replicas as usize {
@@ -217,21 +220,21 @@
         if slot.memory_mib != row.memory_mib && slot.phase != Phase::Loaded {
             return Some("its memory changed".into());
         }
-        if self.scene.fleet.get(&slot.server).is_some_and(|m| m.leaving) {
+        if self.planner.fleet.get(&slot.server).is_some_and(|m| m.leaving) {
             return Some("the server leaves".into());
         }
-        watch.giving.then(|| "another model needs the memory".into())
+        watch.evicting.then(|| "another model needs the memory".into())
     }
 
     /// Returns how many slots of the model come before this one when the table's count shrinks.
     fn rank(&self, id: SlotId, slot: &Slot) -> usize {
         let key = |id: SlotId, s: &Slot| (rank_of(s.phase), id);
         let own = key(id, slot);
-        self.scene.state.slots_of(&slot.model).filter(|(i, s)| key(*i, s) < own).count()
+        self.planner.state.slots_of(&slot.model).filter(|(i, s)| key(*i, s) < own).count()
     }
 
     fn reported(&self, slot: &Slot) -> Option<&ModelReport> {
-        let (_, report) = self.scene.fleet.get(&slot.server)?.report.as_ref()?;
+        let (_, report) = self.planner.fleet.get(&slot.server)?.report.as_ref()?;
         report.model(&slot.model)
     }
 
@@ -243,13 +246,13 @@
     }
 
     fn is_restarted(&self, slot: &Slot, order: OrderState) -> bool {
-        let server = self.scene.state.servers.get(&slot.server);
+        let server = self.planner.state.servers.get(&slot.server);
         server.is_some_and(|s| s.incarnation > order.incarnation)
     }
 
     /// Returns whether a report that is surely younger than `since` does not name the model.
     fn is_absent(&self, slot: &Slot, since: Duration) -> bool {
-        let member = self.scene.fleet.get(&slot.server);
+        let member = self.planner.fleet.get(&slot.server);
         let report = member.and_then(|m| m.report.as_ref());
         report.is_some_and(|(at, report)| {
             *at > since + REPORT_LAG && report.model(&slot.model).is_none()
@@ -257,12 +260,12 @@
     }
 
     /// Returns whether the daemon that gave the slot's last order cannot have one under way.
-    pub fn is_gone(&self, slot: &Slot) -> bool {
+    pub fn is_orderer_gone(&self, slot: &Slot) -> bool {
         let (daemon, incarnation) = &slot.orderer;
-        let writer = self.scene.state.writers.get(daemon);
+        let writer = self.planner.state.writers.get(daemon);
         let replaced = writer.is_some_and(|w| w.incarnation > *incarnation);
-        let listed = self.scene.fleet.get(daemon).is_some();
-        replaced || (self.scene.fleet.has_host_list() && !listed)
+        let listed = self.planner.fleet.get(daemon).is_some();
+        replaced || (self.planner.fleet.has_host_list() && !listed)
     }
 }
 
@@ -276,11 +279,11 @@
 }
 
 /// Returns what follows an order to unload a slot that is given back.
-fn emptied(order: OrderState, reason: &str) -> Option<Step> {
+fn emptied(order: OrderState, reason: &str) -> Option<SlotStep> {
     match order.answer {
-        Some(OrderAnswer::Done) => Some(Step::Free(reason.into())),
+        Some(OrderAnswer::Done) => Some(SlotStep::Free(reason.into())),
         Some(OrderAnswer::Unknown | OrderAnswer::Busy | OrderAnswer::Stale) => {
-            Some(Step::Unload(reason.into()))
+            Some(SlotStep::Unload(reason.into()))
         }
         _ => None,
     }
--- a/lib/src/slot_tracker.rs
+++ b/lib/src/slot_tracker.rs
@@ -24,7 +24,7 @@
     /// What was ordered.
     pub action: OrderAction,
     /// When it was sent.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// The slot's ticket then.
     pub ticket: Position,
     /// The order's fencing number.
@@ -34,61 +34,61 @@
     /// The answer, once there is one.
     pub answer: Option<OrderAnswer>,
     /// When the answer came; before, when the order was sent.
-    pub known: Duration,
+    pub updated_at: Duration,
 }
 
 /// Knowledge about one slot.
 #[derive(Clone, Debug)]
-pub struct Watch {
+pub struct TrackedSlot {
     /// When it last had a request, or became loaded.
-    pub used: Duration,
+    pub last_used: Duration,
     /// Requests begun, as last reported.
     pub served: u64,
     /// Requests in progress, as last reported.
     pub active: u32,
     /// When it began to drain.
-    pub drained: Option<Duration>,
+    pub drain_began: Option<Duration>,
     /// When its load began.
-    pub began: Duration,
+    pub load_began: Duration,
     /// The last order.
     pub order: Option<OrderState>,
     /// Whether the engine reported it loaded after the last order to load.
     pub loaded: bool,
     /// Whether the slot is to be given back once it is empty.
-    pub giving: bool,
+    pub evicting: bool,
     /// The slot's phase when it was last looked at.
     pub phase: Phase,
     /// The slot's ticket when it was last looked at.
     pub ticket: Position,
 }
 
-impl Watch {
+impl TrackedSlot {
     /// Returns whether a reserved slot was loaded without a record, as is done while the log is down.
     ///
     /// A slot that the log has just moved from loaded to reserved is none: its watch may not have
     /// followed yet, and what was loaded then is unloaded now.
-    pub fn is_woken(&self) -> bool {
+    pub fn is_unlogged_load(&self) -> bool {
         let ordered = self.order.is_some_and(|o| o.action == OrderAction::Load);
         self.loaded && ordered && self.phase == Phase::Reserved
     }
 
     /// Follows what the log says of the slot.
-    pub fn follow(&mut self, now: Duration, slot: &Slot) {
+    pub fn update_from_log(&mut self, now: Duration, slot: &Slot) {
         if self.ticket != slot.ticket {
             // A new load was allowed; orders and reports of the one before say nothing of it.
             self.ticket = slot.ticket;
             self.order = None;
             self.loaded = false;
-            self.began = now;
+            self.load_began = now;
         }
         if self.phase == slot.phase {
             return;
         }
         self.phase = slot.phase;
-        self.drained = None;
+        self.drain_began = None;
         match slot.phase {
             Phase::Draining => {
-                self.drained = Some(now);
+                self.drain_began = Some(now);
                 self.order = None;
             }
             Phase::Reserved => {
@@ -102,39 +102,39 @@
 
 /// Slots of the data centres that this daemon leads.
 #[derive(Debug, Default)]
-pub struct Watches {
-    slots: BTreeMap<SlotId, Watch>,
+pub struct SlotTracker {
+    slots: BTreeMap<SlotId, TrackedSlot>,
     /// Backend servers with an unanswered order, and when it was sent.
     busy: BTreeMap<ServerId, Duration>,
     /// When each model was last used here, which outlasts its slots.
     last: BTreeMap<ModelName, Duration>,
 }
 
-impl Watches {
+impl SlotTracker {
     /// Returns the watch of `slot`, which starts at `now` where there was none.
-    pub fn entry(&mut self, now: Duration, slot: SlotId) -> &mut Watch {
-        self.slots.entry(slot).or_insert_with(|| Watch {
-            used: now,
+    pub fn get_or_insert(&mut self, now: Duration, slot: SlotId) -> &mut TrackedSlot {
+        self.slots.entry(slot).or_insert_with(|| TrackedSlot {
+            last_used: now,
             served: 0,
             active: 0,
-            drained: None,
-            began: now,
+            drain_began: None,
+            load_began: now,
             order: None,
             loaded: false,
-            giving: false,
+            evicting: false,
             phase: Phase::Reserved,
             ticket: 0,
         })
     }
 
     /// Returns the watch of `slot`.
-    pub fn get(&self, slot: SlotId) -> Option<&Watch> {
+    pub fn get(&self, slot: SlotId) -> Option<&TrackedSlot> {
         self.slots.get(&slot)
     }
 
     /// Iterates over the slots with an order whose end is not seen yet.
-    pub fn ordered_slots(&self) -> impl Iterator<Item = SlotId> {
-        let ordered = |w: &Watch| w.order.is_some() && w.phase != Phase::Loaded;
+    pub fn slots_with_order(&self) -> impl Iterator<Item = SlotId> {
+        let ordered = |w: &TrackedSlot| w.order.is_some() && w.phase != Phase::Loaded;
         self.slots.iter().filter(move |(_, w)| ordered(w)).map(|(id, _)| *id)
     }
 
@@ -144,26 +144,26 @@
     }
 
     /// Returns whether an order to `server` is unanswered.
-    pub fn is_busy(&self, now: Duration, server: &str) -> bool {
+    pub fn has_order_inflight(&self, now: Duration, server: &str) -> bool {
         self.busy.get(server).is_some_and(|sent| now < *sent + ANSWER_BOUND)
     }
 
     /// Notes that an order is sent.
-    pub fn ordered(&mut self, now: Duration, order: &Order) {
+    pub fn record_order(&mut self, now: Duration, order: &Order) {
         self.busy.insert(order.server.clone(), now);
         let Order { action, slot, ticket, fence, incarnation, .. } = *order;
-        let watch = self.entry(now, slot);
+        let watch = self.get_or_insert(now, slot);
         watch.order = Some(OrderState {
             action,
-            sent: now,
+            sent_at: now,
             ticket,
             fence,
             incarnation,
             answer: None,
-            known: now,
+            updated_at: now,
         });
         if action == OrderAction::Load {
-            watch.began = now;
+            watch.load_began = now;
             watch.loaded = false;
         }
     }
@@ -182,7 +182,7 @@
             watch.order = None;
         } else {
             state.answer = Some(answer);
-            state.known = now;
+            state.updated_at = now;
         }
     }
 
--- a/lib/src/slots.rs
+++ b/lib/src/slots.rs
@@ -106,7 +106,7 @@
     }
 
     /// Iterates over the slots that are loading or draining.
-    pub fn moving(&self) -> impl Iterator<Item = (SlotId, &Slot)> {
+    pub fn transitioning(&self) -> impl Iterator<Item = (SlotId, &Slot)> {
         self.pick(Some(&self.moving))
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Changes a slot; its model and backend server stay.
-    pub fn change(&mut self, id: SlotId, change: impl FnOnce(&mut Slot)) {
+    pub fn update(&mut self, id: SlotId, change: impl FnOnce(&mut Slot)) {
         let Some(slot) = self.all.get_mut(&id) else {
             return;
         };
--- a/lib/src/snapshot.rs
+++ b/lib/src/snapshot.rs
@@ -38,11 +38,11 @@
 
 /// Joins parts that several daemons may have written at once.
 #[derive(Debug, Default)]
-pub struct Collector {
+pub struct SnapshotAssembler {
     pending: BTreeMap<(Offset, u64), Pending>,
 }
 
-impl Collector {
+impl SnapshotAssembler {
     /// Takes a part; returns the state once all its parts are there and their hash agrees.
     ///
     /// Parts of different snapshots do not mix: they are joined by offset and hash. A duplicate is
--- a/lib/src/sse.rs
+++ b/lib/src/sse.rs
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// The caller is gone or stopped reading.
-    pub fn event(&mut self, data: &str) -> io::Result<()> {
+    pub fn write_event(&mut self, data: &str) -> io::Result<()> {
         // "data: " before and an empty line after.
         let length = data.len() + 8;
         let chunk = format!("{length:x}\r\ndata: {data}\n\n\r\n");
@@ -135,8 +135,8 @@
     /// # Errors
     ///
     /// The caller is gone or stopped reading.
-    pub fn done(mut self) -> io::Result<()> {
-        self.event(DONE)?;
+    pub fn finish(mut self) -> io::Result<()> {
+        self.write_event(DONE)?;
         self.end()
     }
 
--- a/lib/src/table.rs
+++ b/lib/src/table.rs
@@ -13,7 +13,7 @@
 /// What a row names.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum RowKind {
     /// A model that a backend server loads from a checkpoint.
     Model,
     /// An adapter that is loaded beside its base model.
@@ -30,7 +30,7 @@
     /// Name that requests use. Invariant: not empty, unique in a table.
     pub name: ModelName,
     /// What the row names.
-    pub kind: Kind,
+    pub kind: RowKind,
     /// Base model of an adapter or version; empty for others.
     pub base: ModelName,
     /// Share of the weight store and of the queue under pressure. Invariant: at least 1.
@@ -54,14 +54,14 @@
 
 impl Row {
     /// Returns whether a replica of this row is loaded onto a backend server.
-    pub fn is_loaded(&self) -> bool {
-        self.kind != Kind::Service
+    pub fn is_loadable(&self) -> bool {
+        self.kind != RowKind::Service
     }
 }
 
 /// A row and the place of the edit that set it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Versioned {
+pub struct VersionedRow {
     /// The row.
     pub row: Row,
     /// Position of the accepted edit. Invariant: grows with every accepted change of the row.
@@ -93,12 +93,12 @@
 /// The table in force at one place of the log.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Table {
-    rows: BTreeMap<ModelName, Versioned>,
+    rows: BTreeMap<ModelName, VersionedRow>,
 }
 
 impl Table {
     /// Creates a table of rows with their versions.
-    pub fn from_rows(rows: impl IntoIterator<Item = Versioned>) -> Self {
+    pub fn from_rows(rows: impl IntoIterator<Item = VersionedRow>) -> Self {
         Self { rows: rows.into_iter().map(|v| (v.row.name.clone(), v)).collect() }
     }
 
@@ -108,12 +108,12 @@
     }
 
     /// Returns the row named `name` with its version.
-    pub fn versioned(&self, name: &str) -> Option<&Versioned> {
+    pub fn versioned_row(&self, name: &str) -> Option<&VersionedRow> {
         self.rows.get(name)
     }
 
     /// Iterates over the rows in the order of their names.
-    pub fn iter(&self) -> impl Iterator<Item = &Versioned> {
+    pub fn iter(&self) -> impl Iterator<Item = &VersionedRow> {
         self.rows.values()
     }
 
@@ -121,7 +121,7 @@
     ///
     /// Racing edits of one row are decided here: the first in the log wins, and every later one
     /// that was based on the same version conflicts, the same for every reader.
-    pub fn conflict<'a>(&self, edit: &'a Edit) -> Option<&'a ModelName> {
+    pub fn find_conflict<'a>(&self, edit: &'a Edit) -> Option<&'a ModelName> {
         edit.changes
             .iter()
             .find(|c| self.rows.get(&c.name).map_or(0, |v| v.version) != c.base)
@@ -136,7 +136,7 @@
             match &change.row {
                 Some(row) => {
                     let row = row.clone();
-                    rows.insert(change.name.clone(), Versioned { row, version });
+                    rows.insert(change.name.clone(), VersionedRow { row, version });
                 }
                 None => {
                     rows.remove(&change.name);
--- a/lib/src/table_file.rs
+++ b/lib/src/table_file.rs
@@ -6,8 +6,8 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-use crate::table::Kind;
 use crate::table::Row;
+use crate::table::RowKind;
 
 /// The header line, in the order of the columns.
 pub const COLUMNS: [&str; 11] = [
@@ -86,16 +86,16 @@
         }
     }
 
-    fn kind(&mut self, column: usize) -> Kind {
+    fn kind(&mut self, column: usize) -> RowKind {
         match self.text(column).as_str() {
-            "model" => Kind::Model,
-            "adapter" => Kind::Adapter,
-            "version" => Kind::Version,
-            "service" => Kind::Service,
+            "model" => RowKind::Model,
+            "adapter" => RowKind::Adapter,
+            "version" => RowKind::Version,
+            "service" => RowKind::Service,
             other => {
                 let message = format!("`{other}` is not model, adapter, version or service");
                 self.fault(column, message);
-                Kind::Model
+                RowKind::Model
             }
         }
     }
@@ -132,7 +132,7 @@
         if !row.base.is_empty() && !is_name(&row.base) {
             self.fault(2, "a base is a name of letters, digits and . _ - / @ :");
         }
-        if row.kind == Kind::Adapter && row.base.is_empty() {
+        if row.kind == RowKind::Adapter && row.base.is_empty() {
             self.fault(2, "an adapter needs the name of its base model");
         }
         row
@@ -193,10 +193,10 @@
     out.push('\n');
     for r in rows {
         let kind = match r.kind {
-            Kind::Model => "model",
-            Kind::Adapter => "adapter",
-            Kind::Version => "version",
-            Kind::Service => "service",
+            RowKind::Model => "model",
+            RowKind::Adapter => "adapter",
+            RowKind::Version => "version",
+            RowKind::Service => "service",
         };
         let repeat = if r.repeat { "yes" } else { "no" };
         let line = format!(
--- a/lib/src/trace.rs
+++ b/lib/src/trace.rs
@@ -111,7 +111,7 @@
     }
 
     /// Writes an event. A full disk ends the trace, not the daemon.
-    pub fn write(&mut self, at: Duration, event: &Event) {
+    pub fn write_event(&mut self, at: Duration, event: &Event) {
         let line = TraceLine::Event(TimedEvent { at, event: event.clone() });
         let _full = self.line(&line);
     }
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -25,7 +25,7 @@
 
 /// The waiting queue with a channel for each request in it.
 #[derive(Debug)]
-pub struct WaitingRoom {
+pub struct WaitQueue {
     inner: Mutex<Inner>,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-impl WaitingRoom {
+impl WaitQueue {
     /// Creates a room for `bound` requests of each model.
     pub fn new(bound: usize) -> Self {
         let queue = Queue::new(bound);
@@ -123,7 +123,7 @@
     }
 
     /// Returns whether requests wait for `model`; a newcomer must not overtake them.
-    pub fn is_waited(&self, model: &str) -> bool {
+    pub fn has_waiters(&self, model: &str) -> bool {
         self.inner().queue.first(model).is_some()
     }
 
--- a/lib/src/workers.rs
+++ b/lib/src/workers.rs
@@ -9,8 +9,8 @@
 
 use smol_str::SmolStr;
 
-use crate::control_thread::Errand;
-use crate::control_thread::Outputs;
+use crate::control_thread::ControlOutputs;
+use crate::control_thread::OrderTask;
 use crate::engine_control::EngineControl;
 use crate::event::Event;
 use crate::host::OrderAnswer;
@@ -31,7 +31,7 @@
 
 /// The platform and the engines, as traits.
 #[derive(Clone, Debug)]
-pub struct Borders {
+pub struct PlatformClients {
     /// The log service.
     pub log: Arc<dyn LogService>,
     /// The host list.
@@ -45,7 +45,11 @@
 /// # Errors
 ///
 /// The system gives no thread.
-pub fn start(node: &Arc<Node>, borders: &Borders, socket: UdpSocket) -> io::Result<Outputs> {
+pub fn start(
+    node: &Arc<Node>,
+    borders: &PlatformClients,
+    socket: UdpSocket,
+) -> io::Result<ControlOutputs> {
     let (appends, entries) = flume::unbounded();
     let (polls, asked) = flume::unbounded();
     let (orders, errands) = flume::unbounded();
@@ -61,7 +65,7 @@
     }
     let hosts = Arc::clone(&borders.hosts);
     spawn("hosts", node, move |node| watch_hosts(node, hosts.as_ref()))?;
-    Ok(Outputs { appends, polls, orders, socket })
+    Ok(ControlOutputs { appends, polls, orders, socket })
 }
 
 /// Starts a named thread with a small stack.
@@ -100,7 +104,7 @@
     }
 }
 
-fn order(node: &Node, engine: &dyn EngineControl, errands: &flume::Receiver<Errand>) {
+fn order(node: &Node, engine: &dyn EngineControl, errands: &flume::Receiver<OrderTask>) {
     for (addr, order, until) in errands {
         // The process may have been paused since the decision; the lease is looked at again just
         // before the write.
--- a/lib/tests/test_failures.rs
+++ b/lib/tests/test_failures.rs
@@ -3,7 +3,7 @@
 use comfreymux_lib::event::DecisionKind;
 use comfreymux_lib::record::Phase;
 use comfreymux_lib::record::Source;
-use comfreymux_lib::routing_view::View;
+use comfreymux_lib::routing_view::RoutingView;
 use comfreymux_lib::table::Row;
 use comfreymux_testutils::rows;
 use comfreymux_tools::fake_engine::FakeEngine;
@@ -38,7 +38,7 @@
     world.run(seconds(4), STEP).unwrap();
     assert_eq!(holder(&world, "a"), "d1");
     let control = world.daemons["d1"].control.as_ref().unwrap();
-    assert!(View::of(control, seconds(4)).ready);
+    assert!(RoutingView::new(control, seconds(4)).ready);
 }
 
 #[test]
--- a/lib/tests/test_fold.rs
+++ b/lib/tests/test_fold.rs
@@ -16,7 +16,7 @@
 use comfreymux_lib::record::Settlement;
 use comfreymux_lib::record::Source;
 use comfreymux_lib::record::StoredResponse;
-use comfreymux_lib::replicated_state::CLAIM_TICKS;
+use comfreymux_lib::replicated_state::CLAIM_TTL_TICKS;
 use comfreymux_lib::replicated_state::State;
 use comfreymux_lib::snapshot;
 use comfreymux_lib::table::Edit;
@@ -199,7 +199,7 @@
     let second = log.bid("d2", renewed).unwrap();
     assert_eq!(log.freed("d1", slot, fence, true), Err(Rejection::NotHolder));
     log.freed("d2", slot, second, true).unwrap();
-    assert_eq!(log.state.taken_mib("e1"), 0);
+    assert_eq!(log.state.memory_used("e1"), 0);
 }
 
 #[test]
@@ -228,11 +228,11 @@
     let release = Settlement { key: 7, verdict: Verdict::DidNotRun, answer: None };
     log.put("d1", Record::Settle(release)).unwrap();
     log.put("d1", Record::Claim(7)).unwrap();
-    for tick in 2..=CLAIM_TICKS {
+    for tick in 2..=CLAIM_TTL_TICKS {
         log.put("d1", Record::Tick(tick)).unwrap();
     }
     assert!(log.state.claim(7).is_some());
-    log.put("d1", Record::Tick(CLAIM_TICKS + 1)).unwrap();
+    log.put("d1", Record::Tick(CLAIM_TTL_TICKS + 1)).unwrap();
     assert!(log.state.claim(7).is_none());
 }
 
@@ -253,7 +253,7 @@
     assert!(good.len() > 2);
     let mut bad = good.clone();
     bad[1].hash ^= 1;
-    let mut collector = snapshot::Collector::default();
+    let mut collector = snapshot::SnapshotAssembler::default();
     let mut found = None;
     for part in bad.iter().zip(good.iter().rev()).flat_map(|(b, g)| [b, g]) {
         found = collector.add(part).or(found);
--- a/lib/tests/test_outages.rs
+++ b/lib/tests/test_outages.rs
@@ -32,7 +32,7 @@
     rig.apply("d1", "first", &[rows::model("hem"), rows::model("resize")]);
     rig.await_view("d2", "the table", |v| v.table.row("hem").is_some());
     assert_eq!(complete(&rig.url("d1", CHAT), "hem", false, 1).unwrap().0, 200);
-    rig.await_view("d2", "the replica", |v| !v.places("hem").is_empty());
+    rig.await_view("d2", "the replica", |v| !v.replicas_of("hem").is_empty());
     rig
 }
 
@@ -41,7 +41,7 @@
     // The log is down for longer than a lease. Loaded models are served by every daemon.
     let rig = rig();
     rig.log.set_faults(down());
-    rig.await_view("d1", "the outage", |v| !v.logged);
+    rig.await_view("d1", "the outage", |v| !v.log_up);
     for daemon in ["d1", "d2"] {
         assert_eq!(complete(&rig.url(daemon, CHAT), "hem", false, 1).unwrap().0, 200);
     }
@@ -53,7 +53,7 @@
     let mut rig = rig();
     rig.log.set_faults(down());
     rig.add_daemon("d3", "qc-c", &[]);
-    rig.await_view("d3", "the table", |v| !v.places("hem").is_empty());
+    rig.await_view("d3", "the table", |v| !v.replicas_of("hem").is_empty());
     assert_eq!(complete(&rig.url("d3", CHAT), "hem", false, 1).unwrap().0, 200);
     let daemons = ["d1", "d3"].map(|d| rig.daemons[d].node().state().unwrap());
     assert_eq!(daemons[0].hash(), daemons[1].hash());
@@ -104,7 +104,7 @@
     rig.await_view("d3", "the table", |v| v.table.row("hem").is_some());
     rig.apply("d1", "second", &[rows::model("hem"), rows::model("quote")]);
     rig.await_view("d3", "the edit", |v| v.table.row("quote").is_some());
-    assert!(!rig.daemons["d3"].node().view.load().logged);
+    assert!(!rig.daemons["d3"].node().view.load().log_up);
 }
 
 #[test]
--- a/lib/tests/test_queue.rs
+++ b/lib/tests/test_queue.rs
@@ -9,7 +9,7 @@
 use comfreymux_lib::queue::QueueRefusal;
 use comfreymux_lib::queue::Waiter;
 use comfreymux_lib::queue::WaiterKey;
-use comfreymux_lib::wait_queue::WaitingRoom;
+use comfreymux_lib::wait_queue::WaitQueue;
 use proptest::prelude::*;
 
 fn seconds(n: u64) -> Duration {
@@ -72,7 +72,7 @@
 #[test]
 fn stop_refuses() {
     // A daemon stops while requests wait. All are refused at once, and so is whoever comes later.
-    let room = std::sync::Arc::new(WaitingRoom::new(9));
+    let room = std::sync::Arc::new(WaitQueue::new(9));
     let waiting = std::sync::Arc::clone(&room);
     let thread =
         std::thread::spawn(move || waiting.wait(seconds(0), waiter(5, 30), Duration::ZERO));
--- a/lib/tests/test_router.rs
+++ b/lib/tests/test_router.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::failure_backoff::Suspicion;
+use comfreymux_lib::failure_backoff::FailureBackoff;
 use comfreymux_lib::request_limits::RequestLimit;
 use comfreymux_lib::request_limits::RequestLimits;
 use comfreymux_lib::retry_budget::RetryBudget;
 use comfreymux_lib::router::RouteRequest;
 use comfreymux_lib::router::Router;
 use comfreymux_lib::routing_view::Replica;
-use comfreymux_lib::routing_view::View;
+use comfreymux_lib::routing_view::RoutingView;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table::RowChange;
@@ -21,7 +21,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn view(limit: u32, servers: &[(&str, &str)]) -> View {
+fn view(limit: u32, servers: &[(&str, &str)]) -> RoutingView {
     let row = Row { limit, ..rows::model("m") };
     let changes = vec![RowChange { name: "m".into(), base: 0, row: Some(row) }];
     let edit = Edit { id: "e".into(), author: "a".into(), changes };
@@ -30,7 +30,8 @@
         addr: ANY,
         centre: (*centre).into(),
     };
-    let mut view = View { table: Table::default().apply(&edit, 1), ..View::default() };
+    let mut view =
+        RoutingView { table: Table::default().apply(&edit, 1), ..RoutingView::default() };
     view.replicas.insert("m".into(), servers.iter().map(place).collect());
     view
 }
@@ -150,15 +151,15 @@
 
 #[test]
 fn suspicion_grows() {
-    let mut suspicion = Suspicion::default();
-    suspicion.failed(NOW);
-    assert!(!suspicion.holds(NOW));
-    suspicion.failed(NOW);
-    assert!(suspicion.holds(NOW) && !suspicion.holds(NOW + Duration::from_secs(1)));
-    suspicion.failed(NOW);
-    assert!(suspicion.holds(NOW + Duration::from_secs(1)));
+    let mut suspicion = FailureBackoff::default();
+    suspicion.record_failure(NOW);
+    assert!(!suspicion.is_active(NOW));
+    suspicion.record_failure(NOW);
+    assert!(suspicion.is_active(NOW) && !suspicion.is_active(NOW + Duration::from_secs(1)));
+    suspicion.record_failure(NOW);
+    assert!(suspicion.is_active(NOW + Duration::from_secs(1)));
     suspicion.answered();
-    assert!(!suspicion.holds(NOW));
+    assert!(!suspicion.is_active(NOW));
 }
 
 #[test]
--- a/lib/tests/test_serving.rs
+++ b/lib/tests/test_serving.rs
@@ -61,8 +61,8 @@
     // The balancer brings a caller's repeat of a booking to another daemon while the first is in
     // progress. Both callers get the answer, and the booking ran once.
     let rig = rig();
-    rig.await_view("d1", "the service", |v| !v.places("booking").is_empty());
-    rig.await_view("d2", "the service", |v| !v.places("booking").is_empty());
+    rig.await_view("d1", "the service", |v| !v.replicas_of("booking").is_empty());
+    rig.await_view("d2", "the service", |v| !v.replicas_of("booking").is_empty());
     rig.services["s1"].set_faults(comfreymux_testutils::service_standin::ServiceFaults {
         slow_ms: 300,
         ..Default::default()
@@ -103,7 +103,7 @@
     assert_eq!(complete(&url, "hem", true, 1).unwrap().0, 200);
     let loads = rig.engines["e1"].audit().loads;
     wait_for("the unload", || rig.engines["e1"].audit().models.is_empty());
-    rig.await_view("d1", "the replica's end", |v| v.places("hem").is_empty());
+    rig.await_view("d1", "the replica's end", |v| v.replicas_of("hem").is_empty());
     assert_eq!(complete(&url, "hem", true, 1).unwrap().0, 200);
     assert_eq!(rig.engines["e1"].audit().loads, loads + 1);
 }
--- a/lib/tests/test_settings.rs
+++ b/lib/tests/test_settings.rs
@@ -25,7 +25,7 @@
         ("keep-warm", "90s"),
     ];
     let settings = Settings::read(&texts(&needed)).unwrap();
-    assert_eq!(settings.policy, KeepWarmPolicy::Fixed(Duration::from_secs(90)));
+    assert_eq!(settings.keep_warm, KeepWarmPolicy::Fixed(Duration::from_secs(90)));
     assert_eq!(settings.idle_timeout, Duration::from_secs(10));
 }
 
--- a/lib/tests/test_verdicts.rs
+++ b/lib/tests/test_verdicts.rs
@@ -24,7 +24,7 @@
     for daemon in ["d1", "d2"] {
         rig.await_view(daemon, "the service", |v| {
             v.table.row("booking").is_some()
-                && !v.places("booking").is_empty()
+                && !v.replicas_of("booking").is_empty()
                 && v.daemons.len() == 2
         });
     }
--- a/lib/testutils/src/rig.rs
+++ b/lib/testutils/src/rig.rs
@@ -22,7 +22,7 @@
 use comfreymux_lib::settings::Settings;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
-use comfreymux_lib::workers::Borders;
+use comfreymux_lib::workers::PlatformClients;
 use serde_json::Value;
 use slog::Logger;
 use smol_str::SmolStr;
@@ -180,7 +180,7 @@
             ..host(HostRole::Entry, centre, sockets.peer_addr)
         };
         self.hosts.put(host);
-        let borders = Borders {
+        let borders = PlatformClients {
             log: Arc::new(HttpLog::new(settings.log_url.clone())),
             hosts: Arc::new(HttpHostList::new(settings.hosts_url.clone())),
             engine: Arc::new(HttpEngineControl),
@@ -225,7 +225,7 @@
         &self,
         daemon: &str,
         what: &str,
-        done: impl Fn(&comfreymux_lib::routing_view::View) -> bool,
+        done: impl Fn(&comfreymux_lib::routing_view::RoutingView) -> bool,
     ) {
         let node = self.daemons[daemon].node();
         wait_for(what, || done(&node.view.load()));
--- a/lib/testutils/src/rows.rs
+++ b/lib/testutils/src/rows.rs
@@ -1,13 +1,13 @@
 //! Table rows for tests and the demo.
 
-use comfreymux_lib::table::Kind;
 use comfreymux_lib::table::Row;
+use comfreymux_lib::table::RowKind;
 
 /// A model of 10 GB with one replica.
 pub fn model(name: &str) -> Row {
     Row {
         name: name.into(),
-        kind: Kind::Model,
+        kind: RowKind::Model,
         base: "".into(),
         weight: 1,
         limit: 8,
@@ -23,7 +23,7 @@
 /// A plain service whose calls may not be repeated.
 pub fn service(name: &str) -> Row {
     Row {
-        kind: Kind::Service,
+        kind: RowKind::Service,
         replicas: 0,
         memory_mib: 0,
         load_mib: 0,
--- a/tools/src/demo.rs
+++ b/tools/src/demo.rs
@@ -73,7 +73,7 @@
         rig.apply(DAEMONS[0], "demo-1", &[rows::model("hem"), rows::service("booking")]);
         for daemon in DAEMONS {
             rig.await_view(daemon, "the table", |v| {
-                v.table.row("hem").is_some() && !v.places("booking").is_empty()
+                v.table.row("hem").is_some() && !v.replicas_of("booking").is_empty()
             });
         }
         writeln!(
@@ -137,7 +137,7 @@
         writeln!(self.out, "two operators edit one row through two daemons at once")?;
         let base = |daemon: &str| {
             let view = self.rig.daemons[daemon].node().view.load_full();
-            view.table.versioned("hem").cloned()
+            view.table.versioned_row("hem").cloned()
         };
         let edits: Vec<_> = DAEMONS
             .iter()
--- a/tools/src/experiment.rs
+++ b/tools/src/experiment.rs
@@ -14,7 +14,7 @@
 use comfreymux_lib::queue::WaiterKey;
 use comfreymux_lib::router::RouteRequest;
 use comfreymux_lib::router::Router;
-use comfreymux_lib::routing_view::View;
+use comfreymux_lib::routing_view::RoutingView;
 use comfreymux_lib::table::Edit;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -82,7 +82,7 @@
     name: String,
     queue: Queue,
     router: Router,
-    view: View,
+    view: RoutingView,
     taken: (u64, Duration),
     waiting: BTreeMap<WaiterKey, Arrival>,
 }
@@ -149,7 +149,7 @@
                 name,
                 queue: Queue::new(QUEUE),
                 router: Router::new(centre, seed + i as u64),
-                view: View::default(),
+                view: RoutingView::default(),
                 taken: (0, Duration::ZERO),
                 waiting: BTreeMap::new(),
             });
@@ -208,7 +208,7 @@
         };
         let taken = (control.state().offset, world_now);
         if front.taken.0 != taken.0 || world_now >= front.taken.1 + VIEW_AGE {
-            front.view = View::of(control, now);
+            front.view = RoutingView::new(control, now);
             front.taken = taken;
         }
     }
--- a/tools/src/relay.rs
+++ b/tools/src/relay.rs
@@ -53,7 +53,7 @@
     let mut reader = StreamReader::new(exchange.send(to, &call).map_err(failed)?.body);
     let mut writer = StreamWriter::start(request.into_writer(), &[])?;
     while let StreamEvent::Chunk(data) = reader.next_event().map_err(failed)? {
-        writer.event(&data)?;
+        writer.write_event(&data)?;
     }
-    writer.done()
+    writer.finish()
 }
--- a/tools/src/small.rs
+++ b/tools/src/small.rs
@@ -24,7 +24,7 @@
 
 /// Returns an event that sets one row, based on the row in force.
 pub fn edit(world: &World, id: &str, row: Row) -> Event {
-    let base = world.head.table.versioned(&row.name).map_or(0, |v| v.version);
+    let base = world.head.table.versioned_row(&row.name).map_or(0, |v| v.version);
     let changes = vec![RowChange { name: row.name.clone(), base, row: Some(row) }];
     Event::Edit(Edit { id: id.into(), author: "test".into(), changes })
 }
--- a/tools/src/workload.rs
+++ b/tools/src/workload.rs
@@ -5,8 +5,8 @@
 use comfreymux_lib::ids::CentreId;
 use comfreymux_lib::ids::ModelName;
 use comfreymux_lib::record::Source;
-use comfreymux_lib::table::Kind;
 use comfreymux_lib::table::Row;
+use comfreymux_lib::table::RowKind;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -131,7 +131,7 @@
         for i in 0..self.adapters {
             let base = format!("model-{:02}", i % (self.models / 4));
             table.push(Row {
-                kind: Kind::Adapter,
+                kind: RowKind::Adapter,
                 base: base.into(),
                 memory_mib: ADAPTER_MIB,
                 load_mib: ADAPTER_MIB,
