--- a/cli/src/daemon.rs
+++ b/cli/src/daemon.rs
@@ -60,7 +60,7 @@
 
 fn main() -> ExitCode {
     let flags = Comfreymuxd::from_env_or_exit();
-    let settings = match Settings::read(&flags) {
+    let settings = match Settings::from_source(&flags) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{:?}", miette::Report::new(error));
--- a/lib/benches/slopes.rs
+++ b/lib/benches/slopes.rs
@@ -24,7 +24,7 @@
 use comfreymux_lib::record::ServerFacts;
 use comfreymux_lib::record::Settlement;
 use comfreymux_lib::record::Source;
-use comfreymux_lib::replicated_state::State;
+use comfreymux_lib::replicated_state::ReplicatedState;
 use comfreymux_lib::routing_view::RoutingView;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
@@ -177,7 +177,7 @@
 }
 
 fn measure_fold(claims: u64) {
-    let mut state = State::default();
+    let mut state = ReplicatedState::default();
     let before = usage(std::process::id()).resident_mib;
     let batch = 10;
     let began = Instant::now();
--- a/lib/src/chat.rs
+++ b/lib/src/chat.rs
@@ -209,7 +209,7 @@
 
 fn end_with(mut writer: StreamWriter, refused: &RequestRefusal, job: &CallerRequest) {
     let data = refused.to_json(&job.id).to_string();
-    let _gone = writer.write_event(&data).and_then(|()| writer.end());
+    let _gone = writer.write_event(&data).and_then(|()| writer.close());
 }
 
 /// Logs and counts a refusal.
@@ -222,7 +222,7 @@
 
 /// Notes what the head of an answer says of its replica.
 pub fn record_response(node: &Node, job: &CallerRequest, route: &Route, reply: &ServerResponse) {
-    node.router().answered(node.now(), &route.server, job.model(), reply.active);
+    node.router().record_answer(node.now(), &route.server, job.model(), reply.active);
 }
 
 /// Reads a whole answer.
--- a/lib/src/claim_outcomes.rs
+++ b/lib/src/claim_outcomes.rs
@@ -47,7 +47,7 @@
     }
 
     /// Notes how it ended, and tells everybody who waits for it.
-    pub fn end(&self, now: Duration, key: ClaimKey, end: &ClaimOutcome) {
+    pub fn finish(&self, now: Duration, key: ClaimKey, end: &ClaimOutcome) {
         let mut lines = self.lines();
         let line = lines.entry(key).or_default();
         line.end = Some((now, end.clone()));
--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -37,7 +37,7 @@
 use crate::record::Entry;
 use crate::record::Phase;
 use crate::record::Record;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::slot_tracker::SlotTracker;
 use crate::slot_tracker::TrackedSlot;
 use crate::table::Edit;
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct Controller {
     pub(crate) settings: ControlSettings,
-    pub(crate) state: State,
+    pub(crate) state: ReplicatedState,
     pub(crate) appender: Appender,
     pub(crate) authority: LeaseAuthority,
     pub(crate) demand: Demand,
@@ -108,7 +108,7 @@
         let id = settings.id.clone();
         let incarnation = settings.incarnation;
         Self {
-            state: State::default(),
+            state: ReplicatedState::default(),
             appender: Appender::new(id.clone(), incarnation, settings.append_gap),
             authority: LeaseAuthority::default(),
             demand: Demand::default(),
@@ -136,7 +136,7 @@
     }
 
     /// Returns the log's state as far as it was read.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
@@ -220,7 +220,7 @@
     /// Takes over a whole state, read from a snapshot or a peer.
     ///
     /// Ignored unless it is ahead of what was read.
-    pub fn install(&mut self, now: Duration, state: State) -> Vec<Effect> {
+    pub fn install(&mut self, now: Duration, state: ReplicatedState) -> Vec<Effect> {
         if state.offset <= self.state.offset {
             return Vec::new();
         }
@@ -389,13 +389,13 @@
 
     /// Answers the edits that the log has decided.
     fn answer_edits(&mut self) {
-        for (edit, answer) in self.edits.decided(&self.state) {
+        for (edit, answer) in self.edits.take_decided(&self.state) {
             self.effects.push(Effect::Edited(edit, answer));
         }
     }
 
     fn take_hints(&mut self, now: Duration, daemon: DaemonId, hints: Vec<Hint>) {
-        if self.hints.take(now, daemon, hints) {
+        if self.hints.update(now, daemon, hints) {
             self.effects.push(Effect::Publish);
         }
     }
@@ -433,7 +433,7 @@
             watch.active = line.active;
             if begun || line.active > 0 {
                 watch.last_used = now;
-                if let Some(gap) = self.watches.used(now, &model) {
+                if let Some(gap) = self.watches.record_use(now, &model) {
                     self.keep_warm.record_gap(&model, gap);
                 }
             }
@@ -444,7 +444,7 @@
         if answer == OrderAnswer::Unknown {
             self.fleet.record_failure(now, &order.server);
         }
-        self.watches.answered(now, order, answer);
+        self.watches.record_answer(now, order, answer);
         if answer == OrderAnswer::Stale {
             self.log_decision(
                 DecisionKind::Reject,
--- a/lib/src/control_thread.rs
+++ b/lib/src/control_thread.rs
@@ -26,7 +26,7 @@
 use crate::peer_message::MAX_DATAGRAM;
 use crate::peer_message::MAX_LINES;
 use crate::record::Entry;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::routing_view::RoutingView;
 use crate::trace::TraceWriter;
 use crate::wire;
@@ -96,7 +96,7 @@
     /// Runs until the daemon ends.
     pub fn run(mut self, inputs: &flume::Receiver<ControlInput>) {
         while let Ok(input) = inputs.recv() {
-            if matches!(input, ControlInput::End) {
+            if matches!(input, ControlInput::Shutdown) {
                 return;
             }
             self.take(input);
@@ -125,7 +125,7 @@
                 let _gone = sender.send(self.entries(from));
             }
             ControlInput::PeerOffset(peer, offset, hash) => self.note_peer(peer, offset, hash),
-            ControlInput::End => {}
+            ControlInput::Shutdown => {}
         }
         self.node.applied_offset.store(self.control.state().offset, Ordering::Relaxed);
     }
@@ -328,7 +328,7 @@
     }
 
     /// Returns the daemons to tell: `all` of this data centre, and with news the lease holders.
-    fn targets(&self, state: &State, busy: bool, all: bool) -> Vec<SocketAddr> {
+    fn targets(&self, state: &ReplicatedState, busy: bool, all: bool) -> Vec<SocketAddr> {
         let centre: &CentreId = &self.node.settings.centre;
         let holders: Vec<_> = state.leases.values().map(|l| &l.daemon).collect();
         self.control
--- a/lib/src/control_tick.rs
+++ b/lib/src/control_tick.rs
@@ -184,7 +184,7 @@
             .map(|m| m.host.id.clone())
             .collect();
         for id in due {
-            self.fleet.polled(now, &id);
+            self.fleet.record_poll(now, &id);
             self.effects.push(Effect::Poll(id));
         }
     }
@@ -195,7 +195,7 @@
             return LOADING_POLL;
         }
         let empty = slots().all(|(_, s)| s.phase == Phase::Reserved);
-        let factor = if empty && member.report.is_some() { EMPTY_POLL_FACTOR } else { 1 };
+        let factor = if empty && member.last_report.is_some() { EMPTY_POLL_FACTOR } else { 1 };
         self.settings.poll_interval * factor
     }
 
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -188,7 +188,7 @@
 
     /// Stops gracefully: refuses new work, lets requests in progress end, gives up the lease.
     ///
-    /// Returns whether every request in progress ended by itself within the `drain_timeout` setting.
+    /// Returns whether every request in progress ended by itself within the `drain` setting.
     pub fn stop(self) -> bool {
         let node = &self.node;
         node.stopping.store(true, Ordering::Relaxed);
@@ -207,7 +207,7 @@
 
     /// Ends the daemon's threads without waiting for anything, as a crash would.
     pub fn abort(self) {
-        self.node.send(ControlInput::End);
+        self.node.send(ControlInput::Shutdown);
         self.server.unblock();
         // A thread that panicked has said so on standard error already.
         let _panicked = self.control.join();
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -112,7 +112,7 @@
         FailureKind::Unreachable | FailureKind::Stalled => {
             node.router().record_failure(now, &route.server)
         }
-        FailureKind::Refused => node.router().answered(now, &route.server, job.model(), None),
+        FailureKind::Refused => node.router().record_answer(now, &route.server, job.model(), None),
         FailureKind::Truncated | FailureKind::ServerError | FailureKind::WrongAttempt => {}
     }
     let reason = format!("{} {}: {}", failure.verdict, failure.kind.as_str(), failure.detail);
@@ -148,7 +148,7 @@
     if history.failures >= MAX_FAILURES {
         return Err(refused("attempts-used-up", failure.detail.clone()));
     }
-    if !node.retry_budget().take() {
+    if !node.retry_budget().take_retry() {
         return Err(refused("retry-budget-used-up", failure.detail.clone()));
     }
     Ok(())
@@ -208,9 +208,9 @@
     let view = node.view.load();
     let cold = view.replicas_of(job.model()).is_empty() && !view.loading.contains(job.model());
     if cold && job.row.is_loadable() {
-        return node.load_rates().expected(job.row.load_mib, Source::Memory);
+        return node.load_rates().expected_time(job.row.load_mib, Source::Memory);
     }
-    let ahead = node.waiting.ahead(waiter);
+    let ahead = node.waiting.count_ahead(waiter);
     node.wait_estimator().expected_wait(now, job.model(), job.priority, ahead)
 }
 
@@ -224,7 +224,7 @@
     let cold = node.view.load().replicas_of(job.model()).is_empty();
     let retry = match refusal {
         QueueRefusal::Stopping => Duration::ZERO,
-        _ if cold => node.load_rates().expected(job.row.load_mib, Source::Disk),
+        _ if cold => node.load_rates().expected_time(job.row.load_mib, Source::Disk),
         _ => {
             let now = node.now();
             let back = node.wait_estimator().retry_after(now, job.model(), job.priority, expected);
--- a/lib/src/engine_control.rs
+++ b/lib/src/engine_control.rs
@@ -25,7 +25,7 @@
     /// # Errors
     ///
     /// The engine did not answer.
-    fn report(&self, addr: SocketAddr) -> Result<ServerReport, ReportError>;
+    fn fetch_report(&self, addr: SocketAddr) -> Result<ServerReport, ReportError>;
 
     /// Gives an order. A load goes on after the answer and shows in the reports.
     fn send_order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer;
@@ -36,7 +36,7 @@
 pub struct HttpEngineControl;
 
 impl EngineControl for HttpEngineControl {
-    fn report(&self, addr: SocketAddr) -> Result<ServerReport, ReportError> {
+    fn fetch_report(&self, addr: SocketAddr) -> Result<ServerReport, ReportError> {
         let response = minreq::get(format!("http://{addr}/report"))
             .with_timeout(TIMEOUT_S)
             .with_follow_redirects(false)
--- a/lib/src/failure_backoff.rs
+++ b/lib/src/failure_backoff.rs
@@ -27,7 +27,7 @@
     }
 
     /// Notes an answer.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.failures = 0;
     }
 
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -21,7 +21,7 @@
     /// Whether the host list or the host itself says that it leaves.
     pub leaving: bool,
     /// Last report and when it came.
-    pub report: Option<(Duration, ServerReport)>,
+    pub last_report: Option<(Duration, ServerReport)>,
     /// When the last report was asked for.
     pub polled_at: Option<Duration>,
     suspicion: FailureBackoff,
@@ -30,7 +30,13 @@
 impl HostState {
     fn new(host: Host) -> Self {
         let leaving = host.leaving;
-        Self { host, leaving, report: None, polled_at: None, suspicion: FailureBackoff::default() }
+        Self {
+            host,
+            leaving,
+            last_report: None,
+            polled_at: None,
+            suspicion: FailureBackoff::default(),
+        }
     }
 
     /// Returns whether the host failed several times and is left alone for now.
@@ -83,7 +89,7 @@
     }
 
     /// Notes that a report of `id` is being asked for.
-    pub fn polled(&mut self, now: Duration, id: &str) {
+    pub fn record_poll(&mut self, now: Duration, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
             member.polled_at = Some(now);
         }
@@ -93,8 +99,8 @@
     pub fn record_report(&mut self, now: Duration, id: &str, report: ServerReport) {
         if let Some(member) = self.members.get_mut(id) {
             member.leaving |= report.leaving;
-            member.suspicion.answered();
-            member.report = Some((now, report));
+            member.suspicion.record_answer();
+            member.last_report = Some((now, report));
         }
     }
 
--- a/lib/src/fold.rs
+++ b/lib/src/fold.rs
@@ -30,7 +30,7 @@
 use crate::replicated_state::HistoryEntry;
 use crate::replicated_state::Lease;
 use crate::replicated_state::MAX_HISTORY;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::replicated_state::WRITER_TTL_TICKS;
 use crate::replicated_state::WriterState;
 use crate::slots::Slot;
@@ -91,7 +91,7 @@
 ///
 /// An offset below `state.offset` was applied before and is ignored; a gap above it means that
 /// records expired unread, and the caller must start from a snapshot instead.
-pub fn apply(state: &mut State, offset: Offset, entry: &Entry) -> Vec<Outcome> {
+pub fn apply(state: &mut ReplicatedState, offset: Offset, entry: &Entry) -> Vec<Outcome> {
     debug_assert!(offset >= state.offset, "entries are applied in order");
     state.offset = offset + 1;
     if !is_new(state, entry) {
@@ -109,7 +109,7 @@
 /// An append whose answer was lost may stand in the log twice, the second time after later
 /// entries of the same writer. A writer has one append under way at a time, so every number up to
 /// the last one seen is old.
-fn is_new(state: &mut State, entry: &Entry) -> bool {
+fn is_new(state: &mut ReplicatedState, entry: &Entry) -> bool {
     let this =
         WriterState { incarnation: entry.incarnation, sequence: entry.sequence, tick: state.tick };
     let last = state.writers.get(&entry.writer);
@@ -122,7 +122,7 @@
 }
 
 fn apply_record(
-    state: &mut State,
+    state: &mut ReplicatedState,
     entry: &Entry,
     at: Position,
     record: &Record,
@@ -150,7 +150,7 @@
     }
 }
 
-fn apply_edit(state: &mut State, at: Position, edit: &Edit) -> Result<(), Rejection> {
+fn apply_edit(state: &mut ReplicatedState, at: Position, edit: &Edit) -> Result<(), Rejection> {
     if state.edit(&edit.id).is_some() {
         return Err(Rejection::Duplicate);
     }
@@ -172,7 +172,7 @@
     Ok(())
 }
 
-fn apply_server(state: &mut State, facts: &ServerFacts) -> Result<(), Rejection> {
+fn apply_server(state: &mut ReplicatedState, facts: &ServerFacts) -> Result<(), Rejection> {
     if let Some(old) = state.servers.get(&facts.id) {
         if old.incarnation >= facts.incarnation {
             return Err(Rejection::Stale);
@@ -184,7 +184,11 @@
     Ok(())
 }
 
-fn apply_gone(state: &mut State, server: &ServerId, incarnation: u64) -> Result<(), Rejection> {
+fn apply_gone(
+    state: &mut ReplicatedState,
+    server: &ServerId,
+    incarnation: u64,
+) -> Result<(), Rejection> {
     let known = state.servers.get(server).ok_or(Rejection::Stale)?;
     if known.incarnation > incarnation {
         return Err(Rejection::Stale);
@@ -199,7 +203,7 @@
 ///
 /// An order to load that its sender still holds reaches the new start as well. An engine that
 /// ignores fencing numbers would carry it out, so there the slot stays until the order is resolved.
-fn drop_slots(state: &mut State, server: &ServerId, fencing: bool) {
+fn drop_slots(state: &mut ReplicatedState, server: &ServerId, fencing: bool) {
     let stays = |slot: &Slot| !fencing && slot.phase.is_loading();
     let gone: Vec<SlotId> =
         state.slots.on_server(server).filter(|(_, s)| !stays(s)).map(|(id, _)| id).collect();
@@ -208,7 +212,12 @@
     }
 }
 
-fn apply_bid(state: &mut State, entry: &Entry, at: Position, bid: &Bid) -> Result<(), Rejection> {
+fn apply_bid(
+    state: &mut ReplicatedState,
+    entry: &Entry,
+    at: Position,
+    bid: &Bid,
+) -> Result<(), Rejection> {
     // A holder that renewed after the bidder's last look keeps the lease: the bidder's clock may
     // have run while it read nothing.
     let renewed = state.leases.get(&bid.centre).map_or(0, |l| l.renewed);
@@ -227,7 +236,7 @@
     Ok(())
 }
 
-fn apply_renew(state: &mut State, entry: &Entry, at: Position) -> Result<(), Rejection> {
+fn apply_renew(state: &mut ReplicatedState, entry: &Entry, at: Position) -> Result<(), Rejection> {
     let mut held = 0;
     for lease in state.leases.values_mut() {
         if lease.daemon == entry.writer && lease.incarnation == entry.incarnation {
@@ -246,7 +255,7 @@
 }
 
 fn apply_intent(
-    state: &mut State,
+    state: &mut ReplicatedState,
     entry: &Entry,
     at: Position,
     intent: &Intent,
@@ -284,7 +293,7 @@
 }
 
 fn apply_phase(
-    state: &mut State,
+    state: &mut ReplicatedState,
     entry: &Entry,
     at: Position,
     change: &PhaseChange,
@@ -311,7 +320,7 @@
     Ok(())
 }
 
-fn apply_freed(state: &mut State, entry: &Entry, freed: &Freed) -> Result<(), Rejection> {
+fn apply_freed(state: &mut ReplicatedState, entry: &Entry, freed: &Freed) -> Result<(), Rejection> {
     let slot = state.slots.get(freed.slot).ok_or(Rejection::NoSlot)?;
     let server = state.servers.get(&slot.server).ok_or(Rejection::ServerReplaced)?;
     let lease = state.leases.get(&server.centre).ok_or(Rejection::NotHolder)?;
@@ -325,7 +334,7 @@
     Ok(())
 }
 
-fn apply_claim(state: &mut State, entry: &Entry, key: ClaimKey) -> Result<(), Rejection> {
+fn apply_claim(state: &mut ReplicatedState, entry: &Entry, key: ClaimKey) -> Result<(), Rejection> {
     if state.claims.contains_key(&key) {
         return Err(Rejection::Claimed);
     }
@@ -341,7 +350,7 @@
 }
 
 fn apply_settle(
-    state: &mut State,
+    state: &mut ReplicatedState,
     entry: &Entry,
     settlement: &Settlement,
 ) -> Result<(), Rejection> {
@@ -359,7 +368,7 @@
 }
 
 /// Advances the log's clock and forgets what is older than it keeps.
-fn apply_tick(state: &mut State, tick: u64) -> Result<(), Rejection> {
+fn apply_tick(state: &mut ReplicatedState, tick: u64) -> Result<(), Rejection> {
     if tick != state.tick + 1 {
         return Err(Rejection::Stale);
     }
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -156,7 +156,7 @@
 fn serve_service(node: &Node, id: &SmolStr, mut request: Request) {
     let read = RequestOptions::parse(node, &request, node.now()).and_then(|wishes| {
         let body = caller_request::read_body(node, &mut request)?;
-        services::read(node, id.clone(), &request, wishes, body)
+        services::parse_request(node, id.clone(), &request, wishes, body)
     });
     match read {
         Ok(job) => services::serve(node, &job, request),
--- a/lib/src/hints.rs
+++ b/lib/src/hints.rs
@@ -17,7 +17,7 @@
 
 impl HintTable {
     /// Replaces a daemon's hints; returns whether they differ from before.
-    pub fn take(&mut self, now: Duration, daemon: DaemonId, hints: Vec<Hint>) -> bool {
+    pub fn update(&mut self, now: Duration, daemon: DaemonId, hints: Vec<Hint>) -> bool {
         let changed = self.daemons.get(&daemon).is_none_or(|(_, old)| *old != hints);
         self.daemons.insert(daemon, (now, hints));
         changed
--- a/lib/src/load_planner.rs
+++ b/lib/src/load_planner.rs
@@ -21,7 +21,7 @@
 use crate::load_rates::LoadRates;
 use crate::record::Phase;
 use crate::record::Source;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::slot_tracker::SlotTracker;
 use crate::slots::Slot;
 use crate::table::Row;
@@ -46,7 +46,7 @@
     /// The data centre whose backend servers may be chosen.
     pub centre: &'a str,
     /// The log's state.
-    pub state: &'a State,
+    pub state: &'a ReplicatedState,
     /// The hosts.
     pub fleet: &'a Fleet,
     /// Waiting requests.
@@ -152,14 +152,14 @@
         }
         let member = self.fleet.get(&place.server)?;
         let local = member.host.centre == self.centre && member.is_usable(self.now);
-        let far = member.report.is_some() && source_on(member, row) == Source::Remote;
+        let far = member.last_report.is_some() && source_on(member, row) == Source::Remote;
         let (source, reason) = (Source::Remote, FETCH.into());
         let wake = PlanStep::Wake { slot, source, reason };
         (local && far && !self.is_giving(slot)).then_some(wake)
     }
 
     fn prime_anew(&self, row: &Row) -> Option<PlanStep> {
-        let reported = self.local().all(|m| m.report.is_some());
+        let reported = self.local().all(|m| m.last_report.is_some());
         if !reported || self.best_source(row) != Source::Remote {
             return None;
         }
@@ -196,7 +196,7 @@
 
     fn urgency(&self, row: &Row, total: DemandTotal) -> f64 {
         let source = self.best_source(row);
-        let time = self.rates.expected(row.load_mib, source);
+        let time = self.rates.expected_time(row.load_mib, source);
         f64::from(total.weight) * f64::from(row.weight) / time.as_secs_f64()
     }
 
@@ -305,7 +305,7 @@
 
     fn candidate<'b>(&self, member: &'b HostState, row: &Row) -> Candidate<'b> {
         let source = source_on(member, row);
-        let time = self.rates.expected(row.load_mib, source);
+        let time = self.rates.expected_time(row.load_mib, source);
         let factor = if member.host.fencing { 1.0 } else { UNFENCED };
         Candidate { member, source, time: time.mul_f64(factor) }
     }
@@ -384,7 +384,7 @@
 }
 
 fn source_on(member: &HostState, row: &Row) -> Source {
-    member.report.as_ref().map_or(Source::Remote, |(_, report)| report.source(&row.name))
+    member.last_report.as_ref().map_or(Source::Remote, |(_, report)| report.source(&row.name))
 }
 
 fn name_of(source: Source) -> &'static str {
--- a/lib/src/load_rates.rs
+++ b/lib/src/load_rates.rs
@@ -29,7 +29,7 @@
 
 impl LoadRates {
     /// Returns the expected time to load `size` from `source`.
-    pub fn expected(&self, size: Mebibytes, source: Source) -> Duration {
+    pub fn expected_time(&self, size: Mebibytes, source: Source) -> Duration {
         FIXED + Duration::from_secs_f64(size as f64 / self.rate(source))
     }
 
--- a/lib/src/log_reader.rs
+++ b/lib/src/log_reader.rs
@@ -15,7 +15,7 @@
 use crate::peer_client;
 use crate::record::Entry;
 use crate::record::Record;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::snapshot::SnapshotAssembler;
 use crate::wire;
 
@@ -76,7 +76,7 @@
     fn recover(&mut self, oldest: Offset) {
         let mut collector = SnapshotAssembler::default();
         let mut at = oldest;
-        let mut newest: Option<State> = None;
+        let mut newest: Option<ReplicatedState> = None;
         loop {
             let entries = match self.log.read(at, Duration::ZERO) {
                 Ok(entries) if !entries.is_empty() => entries,
@@ -87,7 +87,7 @@
                 for record in decode_entry(&bytes).records {
                     if let Record::Snapshot(part) = record
                         && part.at >= oldest
-                        && let Some(state) = collector.add(&part)
+                        && let Some(state) = collector.add_part(&part)
                     {
                         newest = Some(state);
                     }
--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -30,7 +30,7 @@
 use crate::load_rates::LoadRates;
 use crate::metrics::Metrics;
 use crate::record::Entry;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::request_limits::RequestLimits;
 use crate::retry_budget::RetryBudget;
 use crate::router::Router;
@@ -46,19 +46,19 @@
     /// An event for the control state machine.
     Event(Event),
     /// A whole state, from a snapshot or a peer.
-    InstallState(Box<State>),
+    InstallState(Box<ReplicatedState>),
     /// A request wants to run and may not be repeated.
     Claim(ClaimKey, flume::Sender<ClaimAnswer>),
     /// An operator's edit.
     Edit(Edit, flume::Sender<EditAnswer>),
     /// Somebody wants the state.
-    GetState(flume::Sender<State>),
+    GetState(flume::Sender<ReplicatedState>),
     /// A peer wants entries from this offset on.
     GetEntries(Offset, flume::Sender<Option<Vec<(Offset, Entry)>>>),
     /// A peer has read the log to this offset; its state's hash at a checkpoint.
     PeerOffset(SmolStr, Offset, (Offset, u64)),
     /// The daemon ends.
-    End,
+    Shutdown,
 }
 
 impl fmt::Debug for ControlInput {
@@ -194,7 +194,7 @@
         }
         let now = self.now();
         let view = self.view.load();
-        self.waiting.pump(now, |model| self.router().free_capacity(now, &view, model));
+        self.waiting.wake_ready(now, |model| self.router().free_capacity(now, &view, model));
     }
 
     /// Returns whether the daemon takes no new work.
@@ -208,7 +208,7 @@
     }
 
     /// Asks the control thread for the state.
-    pub fn state(&self) -> Option<State> {
+    pub fn state(&self) -> Option<ReplicatedState> {
         let (sender, receiver) = flume::bounded(1);
         self.send(ControlInput::GetState(sender));
         receiver.recv_timeout(Duration::from_secs(5)).ok()
--- a/lib/src/peer_client.rs
+++ b/lib/src/peer_client.rs
@@ -14,7 +14,7 @@
 use crate::peer_message::read_message;
 use crate::peer_message::write_message;
 use crate::record::Entry;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::wire::MAX_MESSAGE;
 
 /// Longest wait for a connection.
@@ -59,7 +59,7 @@
 }
 
 /// Returns a peer's whole state.
-pub fn fetch_state(node: &Node, addr: SocketAddr) -> Option<State> {
+pub fn fetch_state(node: &Node, addr: SocketAddr) -> Option<ReplicatedState> {
     match ask(node, addr, &PeerQuery::State, Duration::ZERO) {
         Ok(PeerReply::State(state)) => Some(*state),
         Ok(_) | Err(_) => None,
--- a/lib/src/peer_message.rs
+++ b/lib/src/peer_message.rs
@@ -16,7 +16,7 @@
 use crate::ids::Offset;
 use crate::record::Entry;
 use crate::record::StoredResponse;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::verdict::Verdict;
 use crate::wire;
 
@@ -57,7 +57,7 @@
     /// Entries in the order of their offsets.
     Entries(Vec<(Offset, Entry)>),
     /// The whole state.
-    State(Box<State>),
+    State(Box<ReplicatedState>),
     /// How a claimed request ended.
     Outcome(WireOutcome),
     /// It is not known here.
--- a/lib/src/pending_claims.rs
+++ b/lib/src/pending_claims.rs
@@ -14,7 +14,7 @@
 use crate::record::Record;
 use crate::record::Settlement;
 use crate::replicated_state::Claim;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::verdict::Verdict;
 
 /// A claim that the log has not decided after this time is refused.
@@ -68,7 +68,7 @@
         &mut self,
         now: Duration,
         key: ClaimKey,
-        state: &State,
+        state: &ReplicatedState,
         log_up: bool,
     ) -> ClaimStep {
         if let Some(claim) = state.claim(key) {
@@ -93,7 +93,12 @@
     /// Takes what the log decided about a claim of this daemon.
     ///
     /// A claim that was granted after its request had given up is released.
-    pub fn on_decided(&mut self, key: ClaimKey, outcome: Outcome, state: &State) -> ClaimDecision {
+    pub fn on_decided(
+        &mut self,
+        key: ClaimKey,
+        outcome: Outcome,
+        state: &ReplicatedState,
+    ) -> ClaimDecision {
         let Some(wanted) = self.wanted.remove(&key) else {
             return ClaimDecision::Nothing;
         };
@@ -113,7 +118,7 @@
     }
 
     /// Withdraws a request that sent nothing; returns the settlement where it was granted already.
-    pub fn cancel(&mut self, key: ClaimKey, state: &State) -> Option<Settlement> {
+    pub fn cancel(&mut self, key: ClaimKey, state: &ReplicatedState) -> Option<Settlement> {
         if let Some(wanted) = self.wanted.get_mut(&key) {
             wanted.cancelled = true;
             return None;
@@ -142,7 +147,10 @@
     /// Looks all claims up again after a state was taken over whole.
     ///
     /// Returns the answers, and the records that must be appended again.
-    pub fn resync(&mut self, state: &State) -> (Vec<(ClaimKey, ClaimAnswer)>, Vec<Record>) {
+    pub fn resync(
+        &mut self,
+        state: &ReplicatedState,
+    ) -> (Vec<(ClaimKey, ClaimAnswer)>, Vec<Record>) {
         let mut answers = Vec::new();
         let mut records = Vec::new();
         let keys: Vec<ClaimKey> = self.wanted.keys().copied().collect();
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -81,7 +81,7 @@
     ///
     /// A full queue displaces its least important request, the latest deadline first among equals,
     /// if the new one is more important.
-    pub fn enter(&mut self, now: Duration, waiter: Waiter, expected: Duration) -> EnqueueResult {
+    pub fn enqueue(&mut self, now: Duration, waiter: Waiter, expected: Duration) -> EnqueueResult {
         if now + expected > waiter.deadline {
             return EnqueueResult::Refused(QueueRefusal::TooLate);
         }
@@ -112,7 +112,7 @@
     }
 
     /// Removes a request; returns whether it was still waiting.
-    pub fn leave(&mut self, key: WaiterKey) -> bool {
+    pub fn remove(&mut self, key: WaiterKey) -> bool {
         let Some(waiter) = self.waiters.remove(key) else {
             return false;
         };
@@ -138,7 +138,7 @@
         let late: Vec<WaiterKey> =
             self.waiters.iter().filter(|(_, w)| w.deadline <= now).map(|(k, _)| k).collect();
         for key in &late {
-            self.leave(*key);
+            self.remove(*key);
         }
         late
     }
--- a/lib/src/replicated_state.rs
+++ b/lib/src/replicated_state.rs
@@ -82,7 +82,7 @@
 
 /// State that the fold computes. Two daemons at the same offset have equal states.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct State {
+pub struct ReplicatedState {
     /// Offset of the next entry to read.
     pub offset: Offset,
     /// The operators' table.
@@ -123,7 +123,7 @@
 /// Ticks after which a silent writer is forgotten.
 pub const WRITER_TTL_TICKS: u64 = 3 * 24 * 60;
 
-impl State {
+impl ReplicatedState {
     /// Returns the slots of `model`, with their identities.
     pub fn slots_of<'a>(&'a self, model: &'a str) -> impl Iterator<Item = (SlotId, &'a Slot)> + 'a {
         self.slots.of_model(model)
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -24,7 +24,7 @@
     }
 
     /// Takes a retry from the budget; returns whether there was one.
-    pub fn take(&mut self) -> bool {
+    pub fn take_retry(&mut self) -> bool {
         let allowed = self.tokens >= 1.0;
         if allowed {
             self.tokens -= 1.0;
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -179,7 +179,7 @@
     }
 
     /// Notes an answer and what it said of the replica's load.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Duration,
         server: &ServerId,
--- a/lib/src/services.rs
+++ b/lib/src/services.rs
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// The path names no plain service of the table.
-pub fn read(
+pub fn parse_request(
     node: &Node,
     id: SmolStr,
     request: &Request,
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -185,7 +185,7 @@
     /// # Errors
     ///
     /// Names every setting that is missing or not allowed.
-    pub fn read(source: &dyn FlagSource) -> Result<Self, SettingsError> {
+    pub fn from_source(source: &dyn FlagSource) -> Result<Self, SettingsError> {
         let mut r = Reader { source, faults: Vec::new() };
         let settings = Self::read_all(&mut r);
         match settings {
--- a/lib/src/slot_reconciler.rs
+++ b/lib/src/slot_reconciler.rs
@@ -175,7 +175,7 @@
 
     fn keep(&self, row: &Row, slot: &Slot) -> Duration {
         // The next start reads what this unload leaves in the server's memory or on its disk.
-        let cold = self.planner.rates.expected(row.load_mib, Source::Disk);
+        let cold = self.planner.rates.expected_time(row.load_mib, Source::Disk);
         let member = self.planner.fleet.get(&slot.server);
         let whole = member.map_or(1, |m| m.host.memory_mib.max(1));
         let share = slot.memory_mib as f64 / whole as f64;
@@ -234,7 +234,7 @@
     }
 
     fn reported(&self, slot: &Slot) -> Option<&ModelReport> {
-        let (_, report) = self.planner.fleet.get(&slot.server)?.report.as_ref()?;
+        let (_, report) = self.planner.fleet.get(&slot.server)?.last_report.as_ref()?;
         report.model(&slot.model)
     }
 
@@ -253,7 +253,7 @@
     /// Returns whether a report that is surely younger than `since` does not name the model.
     fn is_absent(&self, slot: &Slot, since: Duration) -> bool {
         let member = self.planner.fleet.get(&slot.server);
-        let report = member.and_then(|m| m.report.as_ref());
+        let report = member.and_then(|m| m.last_report.as_ref());
         report.is_some_and(|(at, report)| {
             *at > since + REPORT_LAG && report.model(&slot.model).is_none()
         })
--- a/lib/src/slot_tracker.rs
+++ b/lib/src/slot_tracker.rs
@@ -169,7 +169,7 @@
     }
 
     /// Notes the answer to the order that is under way; an answer to an older one is ignored.
-    pub fn answered(&mut self, now: Duration, order: &Order, answer: OrderAnswer) {
+    pub fn record_answer(&mut self, now: Duration, order: &Order, answer: OrderAnswer) {
         self.busy.remove(&order.server);
         let Some(watch) = self.slots.get_mut(&order.slot) else {
             return;
@@ -187,7 +187,7 @@
     }
 
     /// Notes a use of `model`; returns the time since the one before.
-    pub fn used(&mut self, now: Duration, model: &ModelName) -> Option<Duration> {
+    pub fn record_use(&mut self, now: Duration, model: &ModelName) -> Option<Duration> {
         let last = self.last.insert(model.clone(), now);
         last.map(|last| now.saturating_sub(last))
     }
--- a/lib/src/snapshot.rs
+++ b/lib/src/snapshot.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::Offset;
 use crate::record::SnapshotPart;
-use crate::replicated_state::State;
+use crate::replicated_state::ReplicatedState;
 use crate::wire;
 
 /// Bytes of one part.
@@ -13,7 +13,7 @@
 const MAX_SNAPSHOT: usize = 256 * 1024 * 1024;
 
 /// Splits a state into the parts of a snapshot.
-pub fn split(state: &State) -> Vec<SnapshotPart> {
+pub fn split(state: &ReplicatedState) -> Vec<SnapshotPart> {
     let bytes = wire::encode(state);
     let hash = xxhash_rust::xxh3::xxh3_64(&bytes);
     let chunks = bytes.chunks(PART);
@@ -47,7 +47,7 @@
     ///
     /// Parts of different snapshots do not mix: they are joined by offset and hash. A duplicate is
     /// harmless, and a damaged snapshot is dropped whole.
-    pub fn add(&mut self, part: &SnapshotPart) -> Option<State> {
+    pub fn add_part(&mut self, part: &SnapshotPart) -> Option<ReplicatedState> {
         let key = (part.at, part.hash);
         let pending =
             self.pending.entry(key).or_insert_with(|| Pending { parts: BTreeMap::new(), size: 0 });
@@ -65,7 +65,7 @@
         if xxhash_rust::xxh3::xxh3_64(&bytes) != part.hash {
             return None;
         }
-        let state: State = wire::decode(&bytes).ok()?;
+        let state: ReplicatedState = wire::decode(&bytes).ok()?;
         (state.offset == part.at).then_some(state)
     }
 }
--- a/lib/src/sse.rs
+++ b/lib/src/sse.rs
@@ -137,7 +137,7 @@
     /// The caller is gone or stopped reading.
     pub fn finish(mut self) -> io::Result<()> {
         self.write_event(DONE)?;
-        self.end()
+        self.close()
     }
 
     /// Ends the response without an end marker, after an error event.
@@ -145,7 +145,7 @@
     /// # Errors
     ///
     /// The caller is gone or stopped reading.
-    pub fn end(mut self) -> io::Result<()> {
+    pub fn close(mut self) -> io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()
     }
--- a/lib/src/unary.rs
+++ b/lib/src/unary.rs
@@ -128,7 +128,7 @@
     let kept = end.answer.clone().filter(|a| a.body.len() <= KEPT_BODY);
     let settlement = Settlement { key, verdict: end.verdict, answer: kept };
     node.send(ControlInput::Event(Event::Settle(settlement)));
-    node.outcomes.end(node.now(), key, &end);
+    node.outcomes.finish(node.now(), key, &end);
     result.map(|answer| Given { answer, replayed: false })
 }
 
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -31,7 +31,7 @@
 
 impl Inner {
     fn wake(&mut self, key: WaiterKey, wake: Wake) {
-        self.queue.leave(key);
+        self.queue.remove(key);
         if let Some(sender) = self.senders.remove(&key) {
             // A waiter that gave up has dropped its side.
             let _gone = sender.send(wake);
@@ -68,7 +68,7 @@
             if inner.stopping {
                 return Err(QueueRefusal::Stopping);
             }
-            match inner.queue.enter(now, waiter, expected) {
+            match inner.queue.enqueue(now, waiter, expected) {
                 EnqueueResult::Refused(refusal) => return Err(refusal),
                 EnqueueResult::Queued(key, displaced) => {
                     inner.senders.insert(key, sender);
@@ -85,7 +85,7 @@
         }
         let mut inner = self.inner();
         inner.senders.remove(&key);
-        if inner.queue.leave(key) {
+        if inner.queue.remove(key) {
             return Err(QueueRefusal::Expired);
         }
         // It got its turn at the very moment of its deadline.
@@ -93,7 +93,7 @@
     }
 
     /// Wakes requests for which `room` gives places, and refuses those whose deadline has come.
-    pub fn pump(&self, now: Duration, mut room: impl FnMut(&ModelName) -> u32) {
+    pub fn wake_ready(&self, now: Duration, mut room: impl FnMut(&ModelName) -> u32) {
         let mut inner = self.inner();
         for key in inner.queue.expire(now) {
             inner.wake(key, Err(QueueRefusal::Expired));
@@ -118,7 +118,7 @@
     }
 
     /// Returns how many requests would get their turn before `waiter`.
-    pub fn ahead(&self, waiter: &Waiter) -> usize {
+    pub fn count_ahead(&self, waiter: &Waiter) -> usize {
         self.inner().queue.ahead(waiter)
     }
 
--- a/lib/src/workers.rs
+++ b/lib/src/workers.rs
@@ -97,7 +97,7 @@
 
 fn poll(node: &Node, engine: &dyn EngineControl, asked: &flume::Receiver<(SmolStr, SocketAddr)>) {
     for (server, addr) in asked {
-        let report = engine.report(addr).ok();
+        let report = engine.fetch_report(addr).ok();
         if !node.send(ControlInput::Event(Event::Report(server, report))) {
             return;
         }
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -9,7 +9,7 @@
 use comfreymux_lib::pending_claims::PendingClaims;
 use comfreymux_lib::record::Settlement;
 use comfreymux_lib::replicated_state::Claim;
-use comfreymux_lib::replicated_state::State;
+use comfreymux_lib::replicated_state::ReplicatedState;
 use comfreymux_lib::verdict::Verdict;
 
 const NOW: Duration = Duration::from_secs(1);
@@ -18,8 +18,8 @@
     PendingClaims::new("d1".into(), 1)
 }
 
-fn claimed_by(daemon: &str) -> State {
-    let mut state = State::default();
+fn claimed_by(daemon: &str) -> ReplicatedState {
+    let mut state = ReplicatedState::default();
     state.claims.insert(7, Claim { daemon: daemon.into(), incarnation: 1, tick: 0, end: None });
     state
 }
@@ -29,7 +29,7 @@
     // The log is slow; the request is refused as not sent. Then the claim takes effect after all:
     // it must be released, not run.
     let mut desk = desk();
-    assert_eq!(desk.request(NOW, 7, &State::default(), true), ClaimStep::Append(7));
+    assert_eq!(desk.request(NOW, 7, &ReplicatedState::default(), true), ClaimStep::Append(7));
     assert_eq!(desk.cancel_overdue(NOW + CLAIM_TIMEOUT), [7]);
     let decided = desk.on_decided(7, Ok(1), &claimed_by("d1"));
     let release = Settlement { key: 7, verdict: Verdict::DidNotRun, answer: None };
@@ -39,7 +39,7 @@
 #[test]
 fn log_down() {
     let mut desk = desk();
-    let step = desk.request(NOW, 7, &State::default(), false);
+    let step = desk.request(NOW, 7, &ReplicatedState::default(), false);
     assert_eq!(step, ClaimStep::Answer(ClaimAnswer::LogDown));
 }
 
@@ -47,7 +47,7 @@
 fn same_daemon() {
     // A caller sends a booking twice to one daemon before the log has decided the first.
     let mut desk = desk();
-    let state = State::default();
+    let state = ReplicatedState::default();
     assert_eq!(desk.request(NOW, 7, &state, true), ClaimStep::Append(7));
     let taken = ClaimStep::Answer(ClaimAnswer::Taken("d1".into()));
     assert_eq!(desk.request(NOW, 7, &state, true), taken);
@@ -73,7 +73,7 @@
     // The daemon fell behind what the log keeps and took over a snapshot while two claims were
     // under way: one stands in it, the other does not.
     let mut desk = desk();
-    let empty = State::default();
+    let empty = ReplicatedState::default();
     assert_eq!(desk.request(NOW, 7, &empty, true), ClaimStep::Append(7));
     assert_eq!(desk.request(NOW, 8, &empty, true), ClaimStep::Append(8));
     let (answers, records) = desk.resync(&claimed_by("d1"));
--- a/lib/tests/test_fold.rs
+++ b/lib/tests/test_fold.rs
@@ -17,7 +17,7 @@
 use comfreymux_lib::record::Source;
 use comfreymux_lib::record::StoredResponse;
 use comfreymux_lib::replicated_state::CLAIM_TTL_TICKS;
-use comfreymux_lib::replicated_state::State;
+use comfreymux_lib::replicated_state::ReplicatedState;
 use comfreymux_lib::snapshot;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
@@ -29,7 +29,7 @@
 
 #[derive(Default)]
 struct Log {
-    state: State,
+    state: ReplicatedState,
     sequences: std::collections::BTreeMap<String, u64>,
 }
 
@@ -256,7 +256,7 @@
     let mut collector = snapshot::SnapshotAssembler::default();
     let mut found = None;
     for part in bad.iter().zip(good.iter().rev()).flat_map(|(b, g)| [b, g]) {
-        found = collector.add(part).or(found);
+        found = collector.add_part(part).or(found);
     }
     assert_eq!(found.unwrap().hash(), log.state.hash());
 }
--- a/lib/tests/test_overload.rs
+++ b/lib/tests/test_overload.rs
@@ -86,7 +86,7 @@
         let now = self.now;
         self.running.retain(|end| *end > now);
         while let Some(key) = self.queue.first("m").filter(|_| self.running.len() < LIMIT) {
-            self.queue.leave(key);
+            self.queue.remove(key);
             let asked = self.waiting.remove(&key).unwrap();
             self.pace.record_dequeue(now, &"m".into(), asked.priority);
             self.running.push(now + RUN);
@@ -105,7 +105,7 @@
         let waiter = Waiter { model: "m".into(), priority, deadline: self.now + DEADLINE };
         let ahead = self.queue.ahead(&waiter);
         let expected = self.pace.expected_wait(self.now, "m", priority, ahead);
-        let refused = match self.queue.enter(self.now, waiter, expected) {
+        let refused = match self.queue.enqueue(self.now, waiter, expected) {
             EnqueueResult::Queued(key, displaced) => {
                 self.waiting.insert(key, asked);
                 displaced.and_then(|key| self.waiting.remove(&key))
--- a/lib/tests/test_queue.rs
+++ b/lib/tests/test_queue.rs
@@ -21,7 +21,7 @@
 }
 
 fn enter(queue: &mut Queue, priority: u8, deadline: u64) -> WaiterKey {
-    match queue.enter(seconds(0), waiter(priority, deadline), Duration::ZERO) {
+    match queue.enqueue(seconds(0), waiter(priority, deadline), Duration::ZERO) {
         EnqueueResult::Queued(key, None) => key,
         other => panic!("{other:?}"),
     }
@@ -35,7 +35,7 @@
     let valuable = enter(&mut queue, 9, 60);
     for expected in [valuable, soon, late] {
         assert_eq!(queue.first("m"), Some(expected));
-        assert!(queue.leave(expected));
+        assert!(queue.remove(expected));
     }
     assert_eq!(queue.first("m"), None);
 }
@@ -47,16 +47,16 @@
     let mut queue = Queue::new(2);
     enter(&mut queue, 1, 10);
     let least = enter(&mut queue, 1, 20);
-    let entered = queue.enter(seconds(0), waiter(1, 5), Duration::ZERO);
+    let entered = queue.enqueue(seconds(0), waiter(1, 5), Duration::ZERO);
     assert!(matches!(entered, EnqueueResult::Refused(QueueRefusal::Full)));
-    let entered = queue.enter(seconds(0), waiter(9, 60), Duration::ZERO);
+    let entered = queue.enqueue(seconds(0), waiter(9, 60), Duration::ZERO);
     assert!(matches!(entered, EnqueueResult::Queued(_, Some(key)) if key == least));
 }
 
 #[test]
 fn hopeless_refused() {
     let mut queue = Queue::new(2);
-    let entered = queue.enter(seconds(1), waiter(5, 3), seconds(4));
+    let entered = queue.enqueue(seconds(1), waiter(5, 3), seconds(4));
     assert!(matches!(entered, EnqueueResult::Refused(QueueRefusal::TooLate)));
 }
 
@@ -119,7 +119,7 @@
                 0 | 1 => {
                     came += 1;
                     let deadline = now.as_secs() + time;
-                    match queue.enter(now, waiter(priority, deadline), Duration::ZERO) {
+                    match queue.enqueue(now, waiter(priority, deadline), Duration::ZERO) {
                         EnqueueResult::Queued(key, displaced) => {
                             waiting.push(key);
                             if let Some(displaced) = displaced {
@@ -132,7 +132,7 @@
                 }
                 2 => {
                     if let Some(key) = queue.first("m") {
-                        prop_assert!(queue.leave(key));
+                        prop_assert!(queue.remove(key));
                         waiting.retain(|k| *k != key);
                         out += 1;
                     }
--- a/lib/tests/test_router.rs
+++ b/lib/tests/test_router.rs
@@ -68,7 +68,7 @@
     let view = view(9, &[("e1", "a"), ("e2", "a")]);
     let mut router = Router::new("a".into(), 1);
     router.record_failure(NOW, &"e1".into());
-    router.answered(NOW, &"e1".into(), &"m".into(), None);
+    router.record_answer(NOW, &"e1".into(), &"m".into(), None);
     router.record_failure(NOW, &"e1".into());
     let chosen = |router: &mut Router| {
         let servers = (0..8).map(|_| router.choose(NOW, &view, wish(None)).unwrap().server);
@@ -105,7 +105,7 @@
     let view = view(4, &[("e1", "a")]);
     let mut router = Router::new("a".into(), 1);
     let route = router.choose(NOW, &view, wish(None)).unwrap();
-    router.answered(NOW, &route.server, &"m".into(), Some(4));
+    router.record_answer(NOW, &route.server, &"m".into(), Some(4));
     assert!(router.choose(NOW, &view, wish(None)).is_none());
     assert_eq!(router.free_capacity(NOW, &view, "m"), 0);
     assert!(router.choose(NOW + Duration::from_secs(3), &view, wish(None)).is_some());
@@ -118,7 +118,7 @@
     let view = view(4, &[("e1", "a")]);
     let mut router = Router::new("a".into(), 1);
     let route = router.choose(NOW, &view, wish(None)).unwrap();
-    router.answered(NOW, &route.server, &"m".into(), Some(4));
+    router.record_answer(NOW, &route.server, &"m".into(), Some(4));
     router.record_end(&route.server, &"m".into());
     assert_eq!(router.free_capacity(NOW, &view, "m"), 1);
 }
@@ -143,7 +143,7 @@
     let retries = (0..1000)
         .filter(|_| {
             budget.record_first();
-            budget.take()
+            budget.take_retry()
         })
         .count();
     assert!((100..=160).contains(&retries), "{retries}");
@@ -158,7 +158,7 @@
     assert!(suspicion.is_active(NOW) && !suspicion.is_active(NOW + Duration::from_secs(1)));
     suspicion.record_failure(NOW);
     assert!(suspicion.is_active(NOW + Duration::from_secs(1)));
-    suspicion.answered();
+    suspicion.record_answer();
     assert!(!suspicion.is_active(NOW));
 }
 
--- a/lib/tests/test_settings.rs
+++ b/lib/tests/test_settings.rs
@@ -24,7 +24,7 @@
         ("hosts", "http://127.0.0.1:7001"),
         ("keep-warm", "90s"),
     ];
-    let settings = Settings::read(&texts(&needed)).unwrap();
+    let settings = Settings::from_source(&texts(&needed)).unwrap();
     assert_eq!(settings.keep_warm, KeepWarmPolicy::Fixed(Duration::from_secs(90)));
     assert_eq!(settings.idle_timeout, Duration::from_secs(10));
 }
@@ -39,7 +39,7 @@
         ("idle-timeout", "10"),
         ("queue", "0"),
     ];
-    let error = Settings::read(&texts(&wrong)).unwrap_err();
+    let error = Settings::from_source(&texts(&wrong)).unwrap_err();
     let flags: Vec<&str> = error.faults.iter().map(|f| f.flag).collect();
     assert_eq!(flags, ["id", "centre", "listen", "log", "hosts", "idle-timeout", "queue"]);
     assert!(error.faults[3].to_string().contains("COMFREYMUX_LOG"));
--- a/lib/testutils/src/rig.rs
+++ b/lib/testutils/src/rig.rs
@@ -172,7 +172,7 @@
         ];
         all.0.extend(given.map(|(k, v)| (k.to_owned(), v)));
         all.0.extend(texts.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())));
-        let settings = Settings::read(&all).expect("good settings");
+        let settings = Settings::from_source(&all).expect("good settings");
         self.starts += 1;
         let host = Host {
             incarnation: self.starts,
--- a/tools/src/experiment.rs
+++ b/tools/src/experiment.rs
@@ -188,7 +188,7 @@
             priority: arrival.priority,
             deadline: WARM_UP + deadline(arrival),
         };
-        match front.queue.enter(self.world.now, waiter, Duration::ZERO) {
+        match front.queue.enqueue(self.world.now, waiter, Duration::ZERO) {
             EnqueueResult::Queued(key, displaced) => {
                 front.waiting.insert(key, arrival.clone());
                 if displaced.and_then(|key| front.waiting.remove(&key)).is_some() {
@@ -295,7 +295,7 @@
                 if !self.begin(daemon, &arrival) {
                     break;
                 }
-                self.fronts[daemon].queue.leave(key);
+                self.fronts[daemon].queue.remove(key);
                 self.fronts[daemon].waiting.remove(&key);
                 let came = WARM_UP + Duration::from_millis(arrival.at_ms);
                 let wait = now.saturating_sub(came);
--- a/tools/src/world.rs
+++ b/tools/src/world.rs
@@ -32,7 +32,7 @@
 use comfreymux_lib::load_rates::LoadRates;
 use comfreymux_lib::record::Entry;
 use comfreymux_lib::record::Source;
-use comfreymux_lib::replicated_state::State;
+use comfreymux_lib::replicated_state::ReplicatedState;
 use comfreymux_lib::table::Edit;
 use comfreymux_testutils::faults::take;
 
@@ -77,7 +77,7 @@
     /// Engines by name, with their data centres.
     pub engines: BTreeMap<ServerId, (CentreId, FakeEngine)>,
     /// The fold of the whole log.
-    pub head: State,
+    pub head: ReplicatedState,
     /// Claims granted, with the daemon.
     pub granted: Vec<(ClaimKey, DaemonId)>,
     /// Answers to claims that were not granted.
@@ -114,7 +114,7 @@
             weather: Weather::default(),
             daemons: BTreeMap::new(),
             engines: BTreeMap::new(),
-            head: State::default(),
+            head: ReplicatedState::default(),
             granted: Vec::new(),
             refused: Vec::new(),
             edited: Vec::new(),
@@ -447,7 +447,7 @@
         }
         let engine = self.engines.get(&order.server);
         let source = engine.map_or(Source::Remote, |(_, e)| e.source(&order.model));
-        let time = self.rates.expected(order.load_mib, source);
+        let time = self.rates.expected_time(order.load_mib, source);
         if source != Source::Remote {
             return time;
         }
