--- a/cli/src/daemon.rs
+++ b/cli/src/daemon.rs
@@ -82,14 +82,15 @@
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|e| miette::miette!("no signals: {e}"))?;
     let sockets = Sockets::open(settings.listen_addr, settings.peer_addr)?;
-    let borders = PlatformClients {
+    let clients = PlatformClients {
         log: Arc::new(HttpLog::new(settings.log_url.clone())),
         hosts: Arc::new(HttpHostList::new(settings.hosts_url.clone())),
         engine: Arc::new(HttpEngineControl),
     };
-    let exchange = Arc::new(HttpBackendClient::new(settings.idle_timeout));
+    let backend_client = Arc::new(HttpBackendClient::new(settings.idle_timeout));
     let log = logging::to_stderr();
-    let daemon = Daemon::start(settings, incarnation_now(), sockets, &borders, exchange, log)?;
+    let daemon =
+        Daemon::start(settings, incarnation_now(), sockets, &clients, backend_client, log)?;
     while signals.pending().next().is_none() && !daemon.node().is_stopping() {
         std::thread::sleep(LOOK);
     }
--- a/lib/src/backend_client.rs
+++ b/lib/src/backend_client.rs
@@ -118,15 +118,15 @@
 
 impl Failure {
     /// A failure after bytes may have been written.
-    pub fn may_have_run(fault: FailureKind, detail: impl Into<String>) -> Self {
-        Self { verdict: Verdict::MayHaveRun, kind: fault, detail: detail.into() }
+    pub fn may_have_run(kind: FailureKind, detail: impl Into<String>) -> Self {
+        Self { verdict: Verdict::MayHaveRun, kind: kind, detail: detail.into() }
     }
 
     /// A failure of reading an answer.
     pub fn from_read_error(error: &io::Error) -> Self {
         let silent = matches!(error.kind(), io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock);
-        let fault = if silent { FailureKind::Stalled } else { FailureKind::Truncated };
-        Self::may_have_run(fault, error.to_string())
+        let kind = if silent { FailureKind::Stalled } else { FailureKind::Truncated };
+        Self::may_have_run(kind, error.to_string())
     }
 }
 
@@ -137,7 +137,11 @@
     /// # Errors
     ///
     /// Says whether the request may have run.
-    fn send(&self, addr: SocketAddr, call: &ServerRequest) -> Result<ServerResponse, Failure>;
+    fn send(
+        &self,
+        addr: SocketAddr,
+        server_request: &ServerRequest,
+    ) -> Result<ServerResponse, Failure>;
 }
 
 /// Requests over HTTP.
@@ -162,19 +166,25 @@
 }
 
 impl BackendClient for HttpBackendClient {
-    fn send(&self, addr: SocketAddr, call: &ServerRequest) -> Result<ServerResponse, Failure> {
-        let url = format!("http://{addr}{}", call.path);
+    fn send(
+        &self,
+        addr: SocketAddr,
+        server_request: &ServerRequest,
+    ) -> Result<ServerResponse, Failure> {
+        let url = format!("http://{addr}{}", server_request.path);
         let mut request = self
             .agent
-            .request(&call.method, &url)
-            .set("content-type", &call.content_type)
-            .set(ATTEMPT_HEADER, &call.attempt_id)
-            .set(PRIORITY_HEADER, &call.priority.to_string());
-        if call.resume_from > 0 {
-            request = request.set(RESUME_HEADER, &call.resume_from.to_string());
+            .request(&server_request.method, &url)
+            .set("content-type", &server_request.content_type)
+            .set(ATTEMPT_HEADER, &server_request.attempt_id)
+            .set(PRIORITY_HEADER, &server_request.priority.to_string());
+        if server_request.resume_from > 0 {
+            request = request.set(RESUME_HEADER, &server_request.resume_from.to_string());
         }
-        match request.send_bytes(&call.body) {
-            Ok(response) | Err(ureq::Error::Status(_, response)) => read_head(response, call),
+        match request.send_bytes(&server_request.body) {
+            Ok(response) | Err(ureq::Error::Status(_, response)) => {
+                read_head(response, server_request)
+            }
             Err(ureq::Error::Transport(error)) => Err(read_transport(&error)),
         }
     }
@@ -200,20 +210,24 @@
     }
 }
 
-fn read_head(response: ureq::Response, call: &ServerRequest) -> Result<ServerResponse, Failure> {
+fn read_head(
+    response: ureq::Response,
+    server_request: &ServerRequest,
+) -> Result<ServerResponse, Failure> {
     if let Some(word) = response.header(REFUSED_HEADER) {
-        let fault = match word {
+        let kind = match word {
             REFUSED_LEAVING => FailureKind::Leaving,
             REFUSED_NOT_LOADED => FailureKind::NotLoaded,
             _ => FailureKind::Refused,
         };
         let verdict = Verdict::DidNotRun;
-        return Err(Failure { verdict, kind: fault, detail: word.to_owned() });
+        return Err(Failure { verdict, kind: kind, detail: word.to_owned() });
     }
     // An answer that came late or on a crossed connection belongs to another request.
     let echoed = response.header(ATTEMPT_HEADER);
-    if echoed != Some(call.attempt_id.as_str()) {
-        let detail = format!("expected {}, got {}", call.attempt_id, echoed.unwrap_or("none"));
+    if echoed != Some(server_request.attempt_id.as_str()) {
+        let detail =
+            format!("expected {}, got {}", server_request.attempt_id, echoed.unwrap_or("none"));
         return Err(Failure::may_have_run(FailureKind::WrongAttempt, detail));
     }
     Ok(ServerResponse {
--- a/lib/src/caller_request.rs
+++ b/lib/src/caller_request.rs
@@ -58,12 +58,12 @@
 }
 
 impl CallerRequest {
-    /// Creates a job for `row` from a request; the path is the request's own.
+    /// Creates the request for `row` from a request; the path is the request's own.
     pub fn new(
         node: &Node,
         id: SmolStr,
         request: &Request,
-        wishes: RequestOptions,
+        options: RequestOptions,
         row: Row,
         body: Vec<u8>,
     ) -> Self {
@@ -73,11 +73,11 @@
             method: request.method().to_string(),
             path: request.url().to_owned(),
             content_type: header_of(request, "Content-Type").unwrap_or_default().to_owned(),
-            priority: wishes.priority.map_or(row.priority, |p| p.min(row.priority)),
+            priority: options.priority.map_or(row.priority, |p| p.min(row.priority)),
             arrived: node.now(),
-            deadline: wishes.deadline,
+            deadline: options.deadline,
             prefix: None,
-            idempotency_key: wishes.idempotency_key,
+            idempotency_key: options.idempotency_key,
             row,
             body,
         }
--- a/lib/src/chat.rs
+++ b/lib/src/chat.rs
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct ChatRequest {
     /// The request.
-    pub job: CallerRequest,
+    pub caller_request: CallerRequest,
     /// Whether the answer is streamed.
     pub stream: bool,
 }
@@ -61,7 +61,7 @@
         node: &Node,
         id: SmolStr,
         request: &Request,
-        wishes: RequestOptions,
+        options: RequestOptions,
         body: Vec<u8>,
     ) -> Result<Self, RequestRefusal> {
         let chat: ChatBody<'_> = serde_json::from_slice(&body)
@@ -75,20 +75,31 @@
         let messages = chat.messages.get().as_bytes();
         let prefix = xxh3_64(&messages[..messages.len().min(PREFIX)]);
         let stream = chat.stream;
-        let job = CallerRequest::new(node, id, request, wishes, row, body);
+        let caller_request = CallerRequest::new(node, id, request, options, row, body);
         let content_type = "application/json".into();
-        let job = CallerRequest { path: PATH.into(), content_type, prefix: Some(prefix), ..job };
-        Ok(Self { job, stream })
+        let caller_request = CallerRequest {
+            path: PATH.into(),
+            content_type,
+            prefix: Some(prefix),
+            ..caller_request
+        };
+        Ok(Self { caller_request, stream })
     }
 
     /// Serves the completion.
     pub fn serve(&self, node: &Node, request: Request) {
         // A claimed answer is kept for repeats, so it is not streamed.
-        if self.stream && self.job.claim_key().is_none() {
-            Streaming { node, job: &self.job, request: Some(request), writer: None, sent: 0 }
-                .serve();
+        if self.stream && self.caller_request.claim_key().is_none() {
+            Streaming {
+                node,
+                caller_request: &self.caller_request,
+                request: Some(request),
+                writer: None,
+                sent: 0,
+            }
+            .serve();
         } else {
-            unary::serve(node, &self.job, request);
+            unary::serve(node, &self.caller_request, request);
         }
     }
 }
@@ -96,7 +107,7 @@
 /// A stream on its way to the caller.
 struct Streaming<'a> {
     node: &'a Node,
-    job: &'a CallerRequest,
+    caller_request: &'a CallerRequest,
     request: Option<Request>,
     writer: Option<StreamWriter>,
     /// Chunks that the caller has; another attempt goes on after them.
@@ -111,26 +122,38 @@
 
 impl Streaming<'_> {
     fn serve(mut self) {
-        let (node, job) = (self.node, self.job);
-        let result = dispatch(node, job, |route, call| self.attempt(route, call));
+        let (node, caller_request) = (self.node, self.caller_request);
+        let result = dispatch(node, caller_request, |route, server_request| {
+            self.attempt(route, server_request)
+        });
         node.metrics.relayed(self.sent);
         match result {
             Ok(whole) => self.finish(whole),
             Err(DispatchError::Refused(refused)) => self.refuse(&refused),
             Err(DispatchError::CallerGone) => {
-                node.log_routing(&job.id, job.model(), "cancel", "", "the caller is gone");
+                node.log_routing(
+                    &caller_request.id,
+                    caller_request.model(),
+                    "cancel",
+                    "",
+                    "the caller is gone",
+                );
             }
         }
     }
 
-    fn attempt(&mut self, route: &Route, call: &ServerRequest) -> Result<Whole, AttemptError> {
-        let call = ServerRequest { resume_from: self.sent, ..call.clone() };
-        let reply = self.node.exchange.send(route.addr, &call)?;
-        record_response(self.node, self.job, route, &reply);
-        if reply.status != 200 {
-            return Ok(Whole::Answered(read_answer(reply)?));
+    fn attempt(
+        &mut self,
+        route: &Route,
+        server_request: &ServerRequest,
+    ) -> Result<Whole, AttemptError> {
+        let server_request = ServerRequest { resume_from: self.sent, ..server_request.clone() };
+        let response = self.node.backend_client.send(route.addr, &server_request)?;
+        record_response(self.node, self.caller_request, route, &response);
+        if response.status != 200 {
+            return Ok(Whole::Answered(read_answer(response)?));
         }
-        let mut reader = StreamReader::new(reply.body);
+        let mut reader = StreamReader::new(response.body);
         loop {
             match reader.next_event()? {
                 StreamEvent::Chunk(data) => self.relay(&data)?,
@@ -154,22 +177,22 @@
     fn start(&mut self) -> Result<StreamWriter, AttemptError> {
         let request = self.request.take().ok_or(AttemptError::CallerGone)?;
         let now = self.node.now();
-        self.node.metrics.first_byte(now.saturating_sub(self.job.arrived));
-        let headers = [format!("{REQUEST_ID_HEADER}: {}", self.job.id)];
+        self.node.metrics.first_byte(now.saturating_sub(self.caller_request.arrived));
+        let headers = [format!("{REQUEST_ID_HEADER}: {}", self.caller_request.id)];
         StreamWriter::start(request.into_writer(), &headers)
             .map_err(|_gone| AttemptError::CallerGone)
     }
 
     fn finish(mut self, whole: Whole) {
-        let (node, job) = (self.node, self.job);
-        node.metrics.answered(job.model(), Verdict::Ran);
+        let (node, caller_request) = (self.node, self.caller_request);
+        node.metrics.answered(caller_request.model(), Verdict::Ran);
         match (whole, self.request.take(), self.writer.take()) {
             (Whole::Answered(answer), Some(request), _) => {
-                unary::send_response(request, job, &answer, false);
+                unary::send_response(request, caller_request, &answer, false);
             }
             // A stream may be whole without a chunk.
             (Whole::Streamed, Some(request), None) => {
-                let headers = [format!("{REQUEST_ID_HEADER}: {}", job.id)];
+                let headers = [format!("{REQUEST_ID_HEADER}: {}", caller_request.id)];
                 let writer = StreamWriter::start(request.into_writer(), &headers);
                 let _gone = writer.and_then(StreamWriter::finish);
             }
@@ -180,12 +203,18 @@
                 end_with(
                     writer,
                     &RequestRefusal::permanent(502, "faulted", "the stream broke off"),
-                    job,
+                    caller_request,
                 );
             }
             (_, None, None) => {}
         }
-        node.log_routing(&job.id, job.model(), "done", "", format!("chunks={}", self.sent));
+        node.log_routing(
+            &caller_request.id,
+            caller_request.model(),
+            "done",
+            "",
+            format!("chunks={}", self.sent),
+        );
     }
 
     /// Tells the caller that no more comes.
@@ -193,36 +222,41 @@
     /// What was sent stays with the caller; the last event names the condition, and there is no end
     /// marker, so that a broken stream is never taken for a whole one.
     fn refuse(mut self, refused: &RequestRefusal) {
-        let (node, job) = (self.node, self.job);
-        record_refusal(node, job, refused);
+        let (node, caller_request) = (self.node, self.caller_request);
+        record_refusal(node, caller_request, refused);
         match (self.request.take(), self.writer.take()) {
-            (Some(request), _) => reply::send_refusal(request, &job.id, refused),
+            (Some(request), _) => reply::send_refusal(request, &caller_request.id, refused),
             (None, Some(writer)) => {
                 // Chunks were sent, so the request did run in part.
                 let partial = RequestRefusal { verdict: Verdict::MayHaveRun, ..refused.clone() };
-                end_with(writer, &partial, job);
+                end_with(writer, &partial, caller_request);
             }
             (None, None) => {}
         }
     }
 }
 
-fn end_with(mut writer: StreamWriter, refused: &RequestRefusal, job: &CallerRequest) {
-    let data = refused.to_json(&job.id).to_string();
+fn end_with(mut writer: StreamWriter, refused: &RequestRefusal, caller_request: &CallerRequest) {
+    let data = refused.to_json(&caller_request.id).to_string();
     let _gone = writer.write_event(&data).and_then(|()| writer.close());
 }
 
 /// Logs and counts a refusal.
-pub fn record_refusal(node: &Node, job: &CallerRequest, refused: &RequestRefusal) {
+pub fn record_refusal(node: &Node, caller_request: &CallerRequest, refused: &RequestRefusal) {
     node.metrics.refused(refused.code);
-    node.metrics.answered(job.model(), refused.verdict);
+    node.metrics.answered(caller_request.model(), refused.verdict);
     let reason = format!("{} {}: {}", refused.verdict, refused.code, refused.message);
-    node.log_routing(&job.id, job.model(), "refuse", "", reason);
+    node.log_routing(&caller_request.id, caller_request.model(), "refuse", "", reason);
 }
 
 /// Notes what the head of an answer says of its replica.
-pub fn record_response(node: &Node, job: &CallerRequest, route: &Route, reply: &ServerResponse) {
-    node.router().record_answer(node.now(), &route.server, job.model(), reply.active);
+pub fn record_response(
+    node: &Node,
+    caller_request: &CallerRequest,
+    route: &Route,
+    response: &ServerResponse,
+) {
+    node.router().record_answer(node.now(), &route.server, caller_request.model(), response.active);
 }
 
 /// Reads a whole answer.
@@ -230,11 +264,11 @@
 /// # Errors
 ///
 /// The body was cut short or silent, or the backend server failed while it ran the request.
-pub fn read_answer(mut reply: ServerResponse) -> Result<StoredResponse, AttemptError> {
+pub fn read_answer(mut response: ServerResponse) -> Result<StoredResponse, AttemptError> {
     let mut body = Vec::new();
-    std::io::Read::read_to_end(&mut reply.body, &mut body)
+    std::io::Read::read_to_end(&mut response.body, &mut body)
         .map_err(|e| Failure::from_read_error(&e))?;
-    let (status, content_type) = (reply.status, reply.content_type);
+    let (status, content_type) = (response.status, response.content_type);
     if status >= 500 {
         let detail = format!("status {status}: {}", String::from_utf8_lossy(&body));
         return Err(Failure::may_have_run(FailureKind::ServerError, detail).into());
--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -75,7 +75,7 @@
     pub(crate) fleet: Fleet,
     pub(crate) rates: LoadRates,
     pub(crate) keep_warm: KeepWarm,
-    pub(crate) watches: SlotTracker,
+    pub(crate) slot_tracker: SlotTracker,
     pub(crate) effects: Vec<Effect>,
     /// When the log's current tick was read.
     pub(crate) last_tick: Duration,
@@ -115,7 +115,7 @@
             fleet: Fleet::default(),
             rates: LoadRates::default(),
             keep_warm: KeepWarm::new(settings.keep_warm),
-            watches: SlotTracker::default(),
+            slot_tracker: SlotTracker::default(),
             effects: Vec::new(),
             last_tick: Duration::ZERO,
             snapshot_offset: 0,
@@ -167,7 +167,7 @@
         }
         self.local_slots()
             .into_iter()
-            .filter(|id| self.watches.get(*id).is_some_and(TrackedSlot::is_unlogged_load))
+            .filter(|id| self.slot_tracker.get(*id).is_some_and(TrackedSlot::is_unlogged_load))
             .filter_map(|id| self.state.slots.get(id))
             .filter(|s| s.phase != Phase::Loaded && s.phase != Phase::Draining)
             .map(|s| Hint { model: s.model.clone(), server: s.server.clone() })
@@ -427,13 +427,13 @@
             let Some(line) = report.model(&model) else {
                 continue;
             };
-            let watch = self.watches.get_or_insert(now, id);
-            let begun = line.served != watch.served;
-            watch.served = line.served;
-            watch.active = line.active;
+            let tracked = self.slot_tracker.get_or_insert(now, id);
+            let begun = line.served != tracked.served;
+            tracked.served = line.served;
+            tracked.active = line.active;
             if begun || line.active > 0 {
-                watch.last_used = now;
-                if let Some(gap) = self.watches.record_use(now, &model) {
+                tracked.last_used = now;
+                if let Some(gap) = self.slot_tracker.record_use(now, &model) {
                     self.keep_warm.record_gap(&model, gap);
                 }
             }
@@ -444,7 +444,7 @@
         if answer == OrderAnswer::Unknown {
             self.fleet.record_failure(now, &order.server);
         }
-        self.watches.record_answer(now, order, answer);
+        self.slot_tracker.record_answer(now, order, answer);
         if answer == OrderAnswer::Stale {
             self.log_decision(
                 DecisionKind::Reject,
--- a/lib/src/control_slots.rs
+++ b/lib/src/control_slots.rs
@@ -34,10 +34,12 @@
             if self.is_freeing(id) {
                 continue;
             }
-            self.watches.get_or_insert(now, id).update_from_log(now, &slot);
+            self.slot_tracker.get_or_insert(now, id).update_from_log(now, &slot);
             let step = {
-                let upkeep = self.upkeep(now);
-                self.watches.get(id).and_then(|watch| upkeep.next_step(id, &slot, watch))
+                let reconciler = self.reconciler(now);
+                self.slot_tracker
+                    .get(id)
+                    .and_then(|tracked| reconciler.next_step(id, &slot, tracked))
             };
             if let Some(step) = step {
                 self.take_step(now, id, &slot, step);
@@ -51,13 +53,13 @@
         let local =
             |s: &Slot| self.state.servers.get(&s.server).is_some_and(|f| f.centre == *centre);
         let moving = self.state.slots.transitioning().filter(|(_, s)| local(s)).map(|(id, _)| id);
-        let mut ids: Vec<SlotId> = moving.chain(self.watches.slots_with_order()).collect();
+        let mut ids: Vec<SlotId> = moving.chain(self.slot_tracker.slots_with_order()).collect();
         ids.sort_unstable();
         ids.dedup();
         ids
     }
 
-    fn scene(&self, now: Duration) -> LoadPlanner<'_> {
+    fn planner(&self, now: Duration) -> LoadPlanner<'_> {
         LoadPlanner {
             now,
             centre: &self.settings.centre,
@@ -65,13 +67,13 @@
             fleet: &self.fleet,
             demand: &self.demand,
             rates: &self.rates,
-            watches: &self.watches,
+            slot_tracker: &self.slot_tracker,
         }
     }
 
-    fn upkeep(&self, now: Duration) -> SlotReconciler<'_> {
+    fn reconciler(&self, now: Duration) -> SlotReconciler<'_> {
         SlotReconciler {
-            planner: self.scene(now),
+            planner: self.planner(now),
             keep_warm: &self.keep_warm,
             daemon: (&self.settings.id, self.settings.incarnation),
             lease_valid: self.authority.is_valid(now),
@@ -111,11 +113,11 @@
     }
 
     fn note_ready(&mut self, now: Duration, id: SlotId, slot: &Slot) {
-        let watch = self.watches.get_or_insert(now, id);
-        if !watch.loaded {
-            watch.loaded = true;
-            watch.last_used = now;
-            let took = now.saturating_sub(watch.load_began);
+        let tracked = self.slot_tracker.get_or_insert(now, id);
+        if !tracked.loaded {
+            tracked.loaded = true;
+            tracked.last_used = now;
+            let took = now.saturating_sub(tracked.load_began);
             if let (Phase::Loading(source), Some(row)) =
                 (slot.phase, self.state.table.row(&slot.model))
             {
@@ -132,7 +134,7 @@
         let Some(fence) = self.held_fence() else {
             return;
         };
-        let orderer_gone = self.upkeep(now).is_orderer_gone(slot);
+        let orderer_gone = self.reconciler(now).is_orderer_gone(slot);
         let record = Record::Freed(Freed { slot: id, fence, orderer_gone });
         if self.appender.push_unique(record) {
             self.log_decision(DecisionKind::Free, &slot.model, &slot.server, reason);
@@ -151,7 +153,7 @@
         if self.stopping {
             return;
         }
-        for plan in self.scene(now).plan_loads() {
+        for plan in self.planner(now).plan_loads() {
             match plan {
                 PlanStep::Place { model, server, source, reason } => {
                     self.place(now, model, server, source, reason);
@@ -208,7 +210,7 @@
             return;
         }
         let fencing = self.state.servers.get(&slot.server).is_some_and(|s| s.fencing);
-        let ordered = self.watches.get(id).and_then(|w| w.order);
+        let ordered = self.slot_tracker.get(id).and_then(|w| w.order);
         let again = ordered.is_none_or(|o| o.action != OrderAction::Load);
         if fencing && again && self.order(now, id, OrderAction::Load) {
             self.log_decision(
@@ -224,9 +226,9 @@
         let Some(slot) = self.state.slots.get(id).cloned() else {
             return;
         };
-        let watch = self.watches.get_or_insert(now, id);
-        if !watch.evicting {
-            watch.evicting = true;
+        let tracked = self.slot_tracker.get_or_insert(now, id);
+        if !tracked.evicting {
+            tracked.evicting = true;
             self.log_decision(DecisionKind::Drain, &slot.model, &slot.server, reason);
         }
     }
@@ -247,7 +249,7 @@
         let (Some(lease), Some(slot)) = (self.held_fence(), self.state.slots.get(id)) else {
             return false;
         };
-        if self.watches.has_order_inflight(now, &slot.server) || self.is_freeing(id) {
+        if self.slot_tracker.has_order_inflight(now, &slot.server) || self.is_freeing(id) {
             return false;
         }
         let Some(server) = self.state.servers.get(&slot.server) else {
@@ -270,7 +272,7 @@
         // An engine that ignores fencing numbers must get no order after the lease's end; one that
         // heeds them refuses it itself.
         let until = if server.fencing { None } else { self.authority.valid_until() };
-        self.watches.record_order(now, &order);
+        self.slot_tracker.record_order(now, &order);
         self.effects.push(Effect::Order(order, until));
         true
     }
--- a/lib/src/control_tick.rs
+++ b/lib/src/control_tick.rs
@@ -75,7 +75,7 @@
     pub(crate) fn replace_hosts(&mut self, now: Duration, hosts: Vec<Host>) {
         self.fleet.replace(hosts);
         self.servers_checked = None;
-        self.watches.retain(|id| self.state.slots.contains(id));
+        self.slot_tracker.retain(|id| self.state.slots.contains(id));
         self.observe_centres(now);
         self.effects.push(Effect::Publish);
     }
@@ -138,7 +138,7 @@
         }
         self.logged_fence = fence;
         self.servers_checked = None;
-        self.watches = SlotTracker::default();
+        self.slot_tracker = SlotTracker::default();
     }
 
     /// Writes to the log which backend servers there are.
@@ -201,7 +201,7 @@
 
     fn is_loading(&self, id: SlotId, slot: &Slot) -> bool {
         let woken = || {
-            self.watches.get(id).is_some_and(|w| {
+            self.slot_tracker.get(id).is_some_and(|w| {
                 !w.loaded && w.order.is_some_and(|o| o.action == OrderAction::Load)
             })
         };
@@ -232,7 +232,7 @@
         }
         self.local_slots()
             .into_iter()
-            .filter(|id| self.watches.get(*id).is_some_and(|w| w.active == 0))
+            .filter(|id| self.slot_tracker.get(*id).is_some_and(|w| w.active == 0))
             .filter_map(|id| self.state.slots.get(id))
             .filter(|s| matches!(s.phase, Phase::Loaded | Phase::Draining))
             .map(|s| s.model.clone())
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -137,8 +137,8 @@
         settings: Settings,
         incarnation: Incarnation,
         sockets: Sockets,
-        borders: &PlatformClients,
-        exchange: Arc<dyn BackendClient>,
+        clients: &PlatformClients,
+        backend_client: Arc<dyn BackendClient>,
         log: Logger,
     ) -> Result<Self, StartError> {
         let control = ControlSettings {
@@ -156,13 +156,13 @@
             .transpose()
             .map_err(StartError::Trace)?;
         let (sender, inputs) = flume::unbounded();
-        let node = Arc::new(Node::new(settings, incarnation, sender, exchange, log));
+        let node = Arc::new(Node::new(settings, incarnation, sender, backend_client, log));
         let controller = Controller::new(control);
         let Sockets { server, peers, addr, .. } = sockets;
-        let shell = (|| {
+        let control_thread = (|| {
             let socket = peers.start(&node)?;
-            let outputs = workers::start(&node, borders, socket)?;
-            let log = Arc::clone(&borders.log);
+            let outputs = workers::start(&node, clients, socket)?;
+            let log = Arc::clone(&clients.log);
             workers::spawn("log-reader", &node, move |node| log_reader::run(node, log.as_ref()))?;
             Ok(ControlThread::new(Arc::clone(&node), controller, outputs, trace))
         })()
@@ -172,7 +172,7 @@
         let spawn = |name: &str, run: Box<dyn FnOnce() + Send>| {
             thread::Builder::new().name(name.into()).spawn(run).map_err(StartError::System)
         };
-        let control = spawn("control", Box::new(move || shell.run(&inputs)))?;
+        let control = spawn("control", Box::new(move || control_thread.run(&inputs)))?;
         let (accepting, accepted) = (Arc::clone(&node), Arc::clone(&server));
         let accept = spawn("accept", Box::new(move || gateway::run(&accepting, &accepted)))?;
         slog::info!(node.log, "start"; "peer" => node.settings.peer_addr.to_string(),
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -64,59 +64,70 @@
 /// The request is refused, or its caller is gone.
 pub fn dispatch<T>(
     node: &Node,
-    job: &CallerRequest,
+    caller_request: &CallerRequest,
     mut attempt: impl FnMut(&Route, &ServerRequest) -> Result<T, AttemptError>,
 ) -> Result<T, DispatchError> {
     let mut history =
         History { attempts: 0, failures: 0, verdict: Verdict::DidNotRun, tried: Vec::new() };
     node.retry_budget().record_first();
     loop {
-        let route = find_route(node, job, &mut history).map_err(DispatchError::Refused)?;
-        let call = call_of(job, history.attempts);
+        let route =
+            find_route(node, caller_request, &mut history).map_err(DispatchError::Refused)?;
+        let server_request = server_request_for(caller_request, history.attempts);
         history.attempts += 1;
-        node.log_routing(&job.id, job.model(), "route", &route.server, route.reason);
-        let result = attempt(&route, &call);
-        node.router().record_end(&route.server, job.model());
+        node.log_routing(
+            &caller_request.id,
+            caller_request.model(),
+            "route",
+            &route.server,
+            route.reason,
+        );
+        let result = attempt(&route, &server_request);
+        node.router().record_end(&route.server, caller_request.model());
         node.wake_waiting();
         let failure = match result {
             Ok(value) => return Ok(value),
             Err(AttemptError::CallerGone) => return Err(DispatchError::CallerGone),
             Err(AttemptError::Failed(failure)) => failure,
         };
-        note_failure(node, job, &route, &failure);
+        note_failure(node, caller_request, &route, &failure);
         history.verdict = history.verdict.and(failure.verdict);
         history.failures += u32::from(failure.verdict != Verdict::DidNotRun);
         history.tried.push(route.server);
-        may_retry(node, job, &history, &failure).map_err(DispatchError::Refused)?;
+        may_retry(node, caller_request, &history, &failure).map_err(DispatchError::Refused)?;
         node.metrics.retried();
     }
 }
 
-fn call_of(job: &CallerRequest, attempt: u32) -> ServerRequest {
+fn server_request_for(caller_request: &CallerRequest, attempt: u32) -> ServerRequest {
     ServerRequest {
-        method: job.method.clone(),
-        path: job.path.clone(),
-        content_type: job.content_type.clone(),
-        body: job.body.clone(),
-        attempt_id: format!("{}.{attempt}", job.id),
+        method: caller_request.method.clone(),
+        path: caller_request.path.clone(),
+        content_type: caller_request.content_type.clone(),
+        body: caller_request.body.clone(),
+        attempt_id: format!("{}.{attempt}", caller_request.id),
         resume_from: 0,
-        priority: job.priority,
+        priority: caller_request.priority,
     }
 }
 
-fn note_failure(node: &Node, job: &CallerRequest, route: &Route, failure: &Failure) {
+fn note_failure(node: &Node, caller_request: &CallerRequest, route: &Route, failure: &Failure) {
     let now = node.now();
     match failure.kind {
         FailureKind::Leaving => node.router().mark_leaving(now, &route.server),
-        FailureKind::NotLoaded => node.router().mark_missing(now, &route.server, job.model()),
+        FailureKind::NotLoaded => {
+            node.router().mark_missing(now, &route.server, caller_request.model())
+        }
         FailureKind::Unreachable | FailureKind::Stalled => {
             node.router().record_failure(now, &route.server)
         }
-        FailureKind::Refused => node.router().record_answer(now, &route.server, job.model(), None),
+        FailureKind::Refused => {
+            node.router().record_answer(now, &route.server, caller_request.model(), None)
+        }
         FailureKind::Truncated | FailureKind::ServerError | FailureKind::WrongAttempt => {}
     }
     let reason = format!("{} {}: {}", failure.verdict, failure.kind.as_str(), failure.detail);
-    node.log_routing(&job.id, job.model(), "fail", &route.server, reason);
+    node.log_routing(&caller_request.id, caller_request.model(), "fail", &route.server, reason);
 }
 
 /// Decides whether another attempt is allowed.
@@ -125,7 +136,7 @@
 /// before running costs the backend server nothing and needs no budget.
 fn may_retry(
     node: &Node,
-    job: &CallerRequest,
+    caller_request: &CallerRequest,
     history: &History,
     failure: &Failure,
 ) -> Result<(), RequestRefusal> {
@@ -136,7 +147,7 @@
         message,
         retry_after: Some(COME_BACK),
     };
-    if history.verdict != Verdict::DidNotRun && !job.row.repeat {
+    if history.verdict != Verdict::DidNotRun && !caller_request.row.repeat {
         let message = format!("the request may have run: {}", failure.detail);
         return Err(RequestRefusal { retry_after: None, ..refused("may-have-run", message) });
     }
@@ -157,7 +168,7 @@
 /// Returns a replica with room, after waiting for one if need be.
 fn find_route(
     node: &Node,
-    job: &CallerRequest,
+    caller_request: &CallerRequest,
     history: &mut History,
 ) -> Result<Route, RequestRefusal> {
     let began = node.now();
@@ -165,37 +176,63 @@
     loop {
         let now = node.now();
         let view = node.view.load_full();
-        let wish = RouteRequest { model: job.model(), prefix: job.prefix, tried: &history.tried };
-        let overtakes = !woken && node.waiting.has_waiters(job.model());
-        let route = if overtakes { None } else { node.router().choose(now, &view, wish) };
+        let route_request = RouteRequest {
+            model: caller_request.model(),
+            prefix: caller_request.prefix,
+            tried: &history.tried,
+        };
+        let overtakes = !woken && node.waiting.has_waiters(caller_request.model());
+        let route = if overtakes { None } else { node.router().choose(now, &view, route_request) };
         if let Some(route) = route {
             if woken {
-                node.wait_estimator().record_dequeue(now, job.model(), job.priority);
-                node.metrics.waited(job.model(), now.saturating_sub(began));
+                node.wait_estimator().record_dequeue(
+                    now,
+                    caller_request.model(),
+                    caller_request.priority,
+                );
+                node.metrics.waited(caller_request.model(), now.saturating_sub(began));
             }
             return Ok(route);
         }
-        if !history.tried.is_empty() && node.router().free_capacity(now, &view, job.model()) > 0 {
+        if !history.tried.is_empty()
+            && node.router().free_capacity(now, &view, caller_request.model()) > 0
+        {
             // Every replica with room was tried; what refused before may not do so after a pause.
             history.tried.clear();
             std::thread::sleep(PAUSE);
-            if node.now() >= job.deadline {
-                return Err(refuse(node, job, history, QueueRefusal::Expired, COME_BACK));
+            if node.now() >= caller_request.deadline {
+                return Err(refuse(
+                    node,
+                    caller_request,
+                    history,
+                    QueueRefusal::Expired,
+                    COME_BACK,
+                ));
             }
             continue;
         }
-        if !job.row.is_loadable() && view.replicas_of(job.model()).is_empty() {
-            let message = format!("no backend server answers for {}", job.model());
+        if !caller_request.row.is_loadable() && view.replicas_of(caller_request.model()).is_empty()
+        {
+            let message = format!("no backend server answers for {}", caller_request.model());
             return Err(RequestRefusal::retryable(503, "no-server", message, COME_BACK));
         }
-        let waiter =
-            Waiter { model: job.model().clone(), priority: job.priority, deadline: job.deadline };
+        let waiter = Waiter {
+            model: caller_request.model().clone(),
+            priority: caller_request.priority,
+            deadline: caller_request.deadline,
+        };
         if !woken {
-            node.log_routing(&job.id, job.model(), "wait", "", "no replica has room");
+            node.log_routing(
+                &caller_request.id,
+                caller_request.model(),
+                "wait",
+                "",
+                "no replica has room",
+            );
         }
-        let expected = expected_wait(node, now, job, &waiter);
+        let expected = expected_wait(node, now, caller_request, &waiter);
         let turn = node.waiting.wait(now, waiter, expected);
-        turn.map_err(|r| refuse(node, job, history, r, expected))?;
+        turn.map_err(|r| refuse(node, caller_request, history, r, expected))?;
         woken = true;
     }
 }
@@ -204,30 +241,41 @@
 ///
 /// For a cold model it is the least that a load can take; for others it follows from the pace of the
 /// queue.
-fn expected_wait(node: &Node, now: Duration, job: &CallerRequest, waiter: &Waiter) -> Duration {
+fn expected_wait(
+    node: &Node,
+    now: Duration,
+    caller_request: &CallerRequest,
+    waiter: &Waiter,
+) -> Duration {
     let view = node.view.load();
-    let cold = view.replicas_of(job.model()).is_empty() && !view.loading.contains(job.model());
-    if cold && job.row.is_loadable() {
-        return node.load_rates().expected_time(job.row.load_mib, Source::Memory);
+    let cold = view.replicas_of(caller_request.model()).is_empty()
+        && !view.loading.contains(caller_request.model());
+    if cold && caller_request.row.is_loadable() {
+        return node.load_rates().expected_time(caller_request.row.load_mib, Source::Memory);
     }
     let ahead = node.waiting.count_ahead(waiter);
-    node.wait_estimator().expected_wait(now, job.model(), job.priority, ahead)
+    node.wait_estimator().expected_wait(now, caller_request.model(), caller_request.priority, ahead)
 }
 
 fn refuse(
     node: &Node,
-    job: &CallerRequest,
+    caller_request: &CallerRequest,
     history: &History,
     refusal: QueueRefusal,
     expected: Duration,
 ) -> RequestRefusal {
-    let cold = node.view.load().replicas_of(job.model()).is_empty();
+    let cold = node.view.load().replicas_of(caller_request.model()).is_empty();
     let retry = match refusal {
         QueueRefusal::Stopping => Duration::ZERO,
-        _ if cold => node.load_rates().expected_time(job.row.load_mib, Source::Disk),
+        _ if cold => node.load_rates().expected_time(caller_request.row.load_mib, Source::Disk),
         _ => {
             let now = node.now();
-            let back = node.wait_estimator().retry_after(now, job.model(), job.priority, expected);
+            let back = node.wait_estimator().retry_after(
+                now,
+                caller_request.model(),
+                caller_request.priority,
+                expected,
+            );
             back.max(COME_BACK)
         }
     };
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -24,7 +24,7 @@
     pub last_report: Option<(Duration, ServerReport)>,
     /// When the last report was asked for.
     pub polled_at: Option<Duration>,
-    suspicion: FailureBackoff,
+    backoff: FailureBackoff,
 }
 
 impl HostState {
@@ -35,13 +35,13 @@
             leaving,
             last_report: None,
             polled_at: None,
-            suspicion: FailureBackoff::default(),
+            backoff: FailureBackoff::default(),
         }
     }
 
     /// Returns whether the host failed several times and is left alone for now.
     pub fn is_suspected(&self, now: Duration) -> bool {
-        self.suspicion.is_active(now)
+        self.backoff.is_active(now)
     }
 
     /// Returns whether new work may go there.
@@ -99,7 +99,7 @@
     pub fn record_report(&mut self, now: Duration, id: &str, report: ServerReport) {
         if let Some(member) = self.members.get_mut(id) {
             member.leaving |= report.leaving;
-            member.suspicion.record_answer();
+            member.backoff.record_answer();
             member.last_report = Some((now, report));
         }
     }
@@ -107,7 +107,7 @@
     /// Notes that a connection or report failed.
     pub fn record_failure(&mut self, now: Duration, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
-            member.suspicion.record_failure(now);
+            member.backoff.record_failure(now);
         }
     }
 }
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -143,9 +143,9 @@
 }
 
 fn serve_chat(node: &Node, id: &SmolStr, mut request: Request) {
-    let read = RequestOptions::parse(node, &request, node.now()).and_then(|wishes| {
+    let read = RequestOptions::parse(node, &request, node.now()).and_then(|options| {
         let body = caller_request::read_body(node, &mut request)?;
-        ChatRequest::parse(node, id.clone(), &request, wishes, body)
+        ChatRequest::parse(node, id.clone(), &request, options, body)
     });
     match read {
         Ok(chat) => chat.serve(node, request),
@@ -154,12 +154,12 @@
 }
 
 fn serve_service(node: &Node, id: &SmolStr, mut request: Request) {
-    let read = RequestOptions::parse(node, &request, node.now()).and_then(|wishes| {
+    let read = RequestOptions::parse(node, &request, node.now()).and_then(|options| {
         let body = caller_request::read_body(node, &mut request)?;
-        services::parse_request(node, id.clone(), &request, wishes, body)
+        services::parse_request(node, id.clone(), &request, options, body)
     });
     match read {
-        Ok(job) => services::serve(node, &job, request),
+        Ok(caller_request) => services::serve(node, &caller_request, request),
         Err(refused) => refuse(node, id, request, &refused),
     }
 }
--- a/lib/src/load_planner.rs
+++ b/lib/src/load_planner.rs
@@ -54,7 +54,7 @@
     /// Loading speeds.
     pub rates: &'a LoadRates,
     /// Slots of this data centre.
-    pub watches: &'a SlotTracker,
+    pub slot_tracker: &'a SlotTracker,
 }
 
 /// A planned step towards a loaded replica.
@@ -236,7 +236,7 @@
     /// Returns whether a slot serves or will soon do so.
     fn is_warm(&self, id: SlotId, slot: &Slot) -> bool {
         let phase = matches!(slot.phase, Phase::Loading(_) | Phase::Loaded);
-        let woken = self.watches.get(id).and_then(|w| w.order).is_some_and(|o| {
+        let woken = self.slot_tracker.get(id).and_then(|w| w.order).is_some_and(|o| {
             o.action == crate::host::OrderAction::Load && slot.phase == Phase::Reserved
         });
         let leaving = self.fleet.get(&slot.server).is_some_and(|m| m.leaving);
@@ -261,7 +261,7 @@
     }
 
     fn is_giving(&self, slot: SlotId) -> bool {
-        self.watches.get(slot).is_some_and(|w| w.evicting)
+        self.slot_tracker.get(slot).is_some_and(|w| w.evicting)
     }
 
     fn plan_place(
@@ -347,7 +347,7 @@
                 return hold("memory is being freed");
             }
             let idle = on_server().filter(|(id, s)| self.is_idle(*id, s)).min_by_key(|(id, s)| {
-                let used = self.watches.get(*id).map(|w| w.last_used);
+                let used = self.slot_tracker.get(*id).map(|w| w.last_used);
                 (s.phase != Phase::Reserved, used)
             });
             if let Some((slot, _)) = idle {
@@ -367,7 +367,7 @@
         }
         match slot.phase {
             Phase::Reserved => true,
-            Phase::Loaded => self.watches.get(id).is_some_and(|w| w.active == 0),
+            Phase::Loaded => self.slot_tracker.get(id).is_some_and(|w| w.active == 0),
             Phase::Loading(_) | Phase::Draining => false,
         }
     }
--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -87,7 +87,7 @@
     /// To the control thread.
     pub control: flume::Sender<ControlInput>,
     /// Requests to backend servers.
-    pub exchange: Arc<dyn BackendClient>,
+    pub backend_client: Arc<dyn BackendClient>,
     /// Metrics.
     pub metrics: Metrics,
     /// Latest decisions.
@@ -103,7 +103,7 @@
     router: Mutex<Router>,
     limits: Mutex<RequestLimits>,
     budget: Mutex<RetryBudget>,
-    pace: Mutex<WaitEstimator>,
+    wait_estimator: Mutex<WaitEstimator>,
     requests: AtomicU64,
 }
 
@@ -117,7 +117,7 @@
         settings: Settings,
         incarnation: Incarnation,
         control: flume::Sender<ControlInput>,
-        exchange: Arc<dyn BackendClient>,
+        backend_client: Arc<dyn BackendClient>,
         log: Logger,
     ) -> Self {
         let centre = settings.centre.clone();
@@ -130,7 +130,7 @@
             router: Mutex::new(Router::new(centre, incarnation)),
             limits: Mutex::new(RequestLimits::new(settings.max_requests, settings.caller_requests)),
             budget: Mutex::default(),
-            pace: Mutex::default(),
+            wait_estimator: Mutex::default(),
             metrics: Metrics::new(),
             decision_log: DecisionLog::default(),
             stopping: AtomicBool::new(false),
@@ -140,7 +140,7 @@
             settings,
             incarnation,
             control,
-            exchange,
+            backend_client,
             log,
         }
     }
@@ -173,7 +173,7 @@
 
     /// Returns the pace of the queues, locked.
     pub fn wait_estimator(&self) -> MutexGuard<'_, WaitEstimator> {
-        lock(&self.pace)
+        lock(&self.wait_estimator)
     }
 
     /// Returns the learned loading speeds.
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -94,21 +94,21 @@
         &mut self,
         now: Duration,
         view: &RoutingView,
-        wish: RouteRequest<'_>,
+        route_request: RouteRequest<'_>,
     ) -> Option<Route> {
-        let limit = view.table.row(wish.model)?.limit;
+        let limit = view.table.row(route_request.model)?.limit;
         let usable: Vec<&Replica> = view
-            .replicas_of(wish.model)
+            .replicas_of(route_request.model)
             .iter()
-            .filter(|r| !wish.tried.contains(&r.server))
-            .filter(|r| self.is_usable(now, &r.server, wish.model))
-            .filter(|r| self.load(now, &r.server, wish.model) < limit)
+            .filter(|r| !route_request.tried.contains(&r.server))
+            .filter(|r| self.is_usable(now, &r.server, route_request.model))
+            .filter(|r| self.load(now, &r.server, route_request.model) < limit)
             .collect();
         let local: Vec<&Replica> =
             usable.iter().copied().filter(|r| r.centre == self.centre).collect();
         let near = if local.is_empty() { &usable } else { &local };
-        let (replica, reason) = self.pick(now, near, wish)?;
-        let key = (replica.server.clone(), ModelName::from(wish.model));
+        let (replica, reason) = self.pick(now, near, route_request)?;
+        let key = (replica.server.clone(), ModelName::from(route_request.model));
         self.loads.entry(key).or_default().own += 1;
         Some(Route { server: replica.server.clone(), addr: replica.addr, reason })
     }
@@ -127,15 +127,15 @@
         &mut self,
         now: Duration,
         places: &[&'r Replica],
-        wish: RouteRequest<'_>,
+        route_request: RouteRequest<'_>,
     ) -> Option<(&'r Replica, &'static str)> {
         match places {
             [] => return None,
             [only] => return Some((*only, "only replica with room")),
             _ => {}
         }
-        let load = |r: &Replica| self.load(now, &r.server, wish.model);
-        if let Some(prefix) = wish.prefix {
+        let load = |r: &Replica| self.load(now, &r.server, route_request.model);
+        if let Some(prefix) = route_request.prefix {
             let score = |r: &&&Replica| xxh3_64_with_seed(r.server.as_bytes(), prefix);
             let home = places.iter().max_by_key(score)?;
             let mean = places.iter().map(|r| load(r)).sum::<u32>() / places.len() as u32;
@@ -146,7 +146,7 @@
         // Two random choices: the lesser load, without all daemons running to the same server.
         let a = self.rng.random_range(0..places.len());
         let b = (a + self.rng.random_range(1..places.len())) % places.len();
-        let load = |i: usize| self.load(now, &places[i].server, wish.model);
+        let load = |i: usize| self.load(now, &places[i].server, route_request.model);
         let chosen = if load(a) <= load(b) { a } else { b };
         Some((places[chosen], "less loaded of two"))
     }
--- a/lib/src/services.rs
+++ b/lib/src/services.rs
@@ -22,7 +22,7 @@
     node: &Node,
     id: SmolStr,
     request: &Request,
-    wishes: RequestOptions,
+    options: RequestOptions,
     body: Vec<u8>,
 ) -> Result<CallerRequest, RequestRefusal> {
     let rest = request.url().strip_prefix(PREFIX).unwrap_or_default();
@@ -33,11 +33,11 @@
         let message = format!("the service `{name}` does not exist");
         return Err(RequestRefusal::permanent(404, "service_not_found", message));
     };
-    let job = CallerRequest::new(node, id, request, wishes, row, body);
-    Ok(CallerRequest { path: format!("/{path}"), ..job })
+    let caller_request = CallerRequest::new(node, id, request, options, row, body);
+    Ok(CallerRequest { path: format!("/{path}"), ..caller_request })
 }
 
 /// Serves a call of a plain service.
-pub fn serve(node: &Node, job: &CallerRequest, request: Request) {
-    unary::serve(node, job, request);
+pub fn serve(node: &Node, caller_request: &CallerRequest, request: Request) {
+    unary::serve(node, caller_request, request);
 }
--- a/lib/src/slot_reconciler.rs
+++ b/lib/src/slot_reconciler.rs
@@ -68,15 +68,15 @@
 
 impl SlotReconciler<'_> {
     /// Returns the next step of `slot`, if any.
-    pub fn next_step(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
+    pub fn next_step(&self, id: SlotId, slot: &Slot, tracked: &TrackedSlot) -> Option<SlotStep> {
         if !self.may_order(slot) {
             return None;
         }
         match slot.phase {
-            Phase::Loading(_) => self.step_loading(slot, watch),
-            Phase::Reserved => self.step_reserved(id, slot, watch),
-            Phase::Loaded => self.step_loaded(id, slot, watch),
-            Phase::Draining => self.step_draining(id, slot, watch),
+            Phase::Loading(_) => self.step_loading(slot, tracked),
+            Phase::Reserved => self.step_reserved(id, slot, tracked),
+            Phase::Loaded => self.step_loaded(id, slot, tracked),
+            Phase::Draining => self.step_draining(id, slot, tracked),
         }
     }
 
@@ -88,12 +88,12 @@
         self.lease_valid || self.is_fencing(slot)
     }
 
-    fn step_loading(&self, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
+    fn step_loading(&self, slot: &Slot, tracked: &TrackedSlot) -> Option<SlotStep> {
         if self.is_reported(slot) {
             return Some(SlotStep::Ready);
         }
         let own = slot.orderer.0 == *self.daemon.0 && slot.orderer.1 == self.daemon.1;
-        match watch.order {
+        match tracked.order {
             Some(o) if o.action == OrderAction::Unload => emptied(o, "load given up")
                 .filter(|s| !self.paused(o) || matches!(s, SlotStep::Free(_))),
             Some(o) => self.step_ordered(slot, o),
@@ -130,9 +130,9 @@
         }
     }
 
-    fn step_reserved(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
-        let giving = self.giving(id, slot, watch);
-        match watch.order {
+    fn step_reserved(&self, id: SlotId, slot: &Slot, tracked: &TrackedSlot) -> Option<SlotStep> {
+        let giving = self.giving(id, slot, tracked);
+        match tracked.order {
             Some(o) if o.action == OrderAction::Unload => {
                 let reason = giving?;
                 match emptied(o, &reason) {
@@ -152,14 +152,14 @@
         }
     }
 
-    fn step_loaded(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
-        if self.is_absent(slot, watch.last_used) {
+    fn step_loaded(&self, id: SlotId, slot: &Slot, tracked: &TrackedSlot) -> Option<SlotStep> {
+        if self.is_absent(slot, tracked.last_used) {
             return Some(SlotStep::Reserve("the engine no longer reports it".into()));
         }
-        if let Some(reason) = self.giving(id, slot, watch) {
+        if let Some(reason) = self.giving(id, slot, tracked) {
             return Some(SlotStep::Drain(reason));
         }
-        if watch.active > 0 || self.planner.demand.total(&slot.model).is_some() {
+        if tracked.active > 0 || self.planner.demand.total(&slot.model).is_some() {
             return None;
         }
         if self.planner.is_adapter_base(slot) {
@@ -167,8 +167,8 @@
         }
         let row = self.planner.state.table.row(&slot.model)?;
         // A load that nobody used was for its checkpoint, or for callers who have gone.
-        let keep = if watch.served == 0 { UNUSED_KEEP } else { self.keep(row, slot) };
-        let idle = self.planner.now.saturating_sub(watch.last_used);
+        let keep = if tracked.served == 0 { UNUSED_KEEP } else { self.keep(row, slot) };
+        let idle = self.planner.now.saturating_sub(tracked.last_used);
         (idle >= keep)
             .then(|| SlotStep::Drain(format!("idle {}s, kept {}s", idle.as_secs(), keep.as_secs())))
     }
@@ -182,9 +182,9 @@
         self.keep_warm.keep_time(&row.name, cold, row.idle_price * share)
     }
 
-    fn step_draining(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<SlotStep> {
-        let giving = self.giving(id, slot, watch);
-        if let Some(o) = watch.order.filter(|o| o.action == OrderAction::Unload) {
+    fn step_draining(&self, id: SlotId, slot: &Slot, tracked: &TrackedSlot) -> Option<SlotStep> {
+        let giving = self.giving(id, slot, tracked);
+        if let Some(o) = tracked.order.filter(|o| o.action == OrderAction::Unload) {
             return match (o.answer, giving) {
                 (Some(OrderAnswer::Done), Some(reason)) => Some(SlotStep::Free(reason)),
                 (Some(OrderAnswer::Done), None) => Some(SlotStep::Reserve("unloaded".into())),
@@ -198,8 +198,8 @@
         if giving.is_none() && wanted {
             return Some(SlotStep::Retain);
         }
-        let drained = watch.drain_began.is_some_and(|at| self.planner.now >= at + DRAIN_GRACE);
-        let idle = watch.active == 0;
+        let drained = tracked.drain_began.is_some_and(|at| self.planner.now >= at + DRAIN_GRACE);
+        let idle = tracked.active == 0;
         (drained && idle).then(|| SlotStep::Unload("drained".into()))
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// Returns why the slot must be given back, if it must.
-    fn giving(&self, id: SlotId, slot: &Slot, watch: &TrackedSlot) -> Option<String> {
+    fn giving(&self, id: SlotId, slot: &Slot, tracked: &TrackedSlot) -> Option<String> {
         let Some(row) = self.planner.state.table.row(&slot.model).filter(|r| r.is_loadable())
         else {
             return Some("not in the table".into());
@@ -223,7 +223,7 @@
         if self.planner.fleet.get(&slot.server).is_some_and(|m| m.leaving) {
             return Some("the server leaves".into());
         }
-        watch.evicting.then(|| "another model needs the memory".into())
+        tracked.evicting.then(|| "another model needs the memory".into())
     }
 
     /// Returns how many slots of the model come before this one when the table's count shrinks.
--- a/lib/src/slot_tracker.rs
+++ b/lib/src/slot_tracker.rs
@@ -152,8 +152,8 @@
     pub fn record_order(&mut self, now: Duration, order: &Order) {
         self.busy.insert(order.server.clone(), now);
         let Order { action, slot, ticket, fence, incarnation, .. } = *order;
-        let watch = self.get_or_insert(now, slot);
-        watch.order = Some(OrderState {
+        let tracked = self.get_or_insert(now, slot);
+        tracked.order = Some(OrderState {
             action,
             sent_at: now,
             ticket,
@@ -163,23 +163,23 @@
             updated_at: now,
         });
         if action == OrderAction::Load {
-            watch.load_began = now;
-            watch.loaded = false;
+            tracked.load_began = now;
+            tracked.loaded = false;
         }
     }
 
     /// Notes the answer to the order that is under way; an answer to an older one is ignored.
     pub fn record_answer(&mut self, now: Duration, order: &Order, answer: OrderAnswer) {
         self.busy.remove(&order.server);
-        let Some(watch) = self.slots.get_mut(&order.slot) else {
+        let Some(tracked) = self.slots.get_mut(&order.slot) else {
             return;
         };
         let this = |o: &OrderState| o.fence == order.fence && o.ticket == order.ticket;
-        let Some(state) = watch.order.as_mut().filter(|o| this(o)) else {
+        let Some(state) = tracked.order.as_mut().filter(|o| this(o)) else {
             return;
         };
         if answer == OrderAnswer::Unsent {
-            watch.order = None;
+            tracked.order = None;
         } else {
             state.answer = Some(answer);
             state.updated_at = now;
--- a/lib/src/unary.rs
+++ b/lib/src/unary.rs
@@ -44,22 +44,22 @@
 }
 
 /// Serves a request with one whole answer.
-pub fn serve(node: &Node, job: &CallerRequest, request: Request) {
-    let result = match job.claim_key() {
-        Some(key) => claim_and_run(node, job, key),
-        None => run(node, job).map(|answer| Given { answer, replayed: false }),
+pub fn serve(node: &Node, caller_request: &CallerRequest, request: Request) {
+    let result = match caller_request.claim_key() {
+        Some(key) => claim_and_run(node, caller_request, key),
+        None => run(node, caller_request).map(|answer| Given { answer, replayed: false }),
     };
     match result {
         Ok(given) => {
-            node.metrics.answered(job.model(), Verdict::Ran);
-            node.metrics.first_byte(node.now().saturating_sub(job.arrived));
+            node.metrics.answered(caller_request.model(), Verdict::Ran);
+            node.metrics.first_byte(node.now().saturating_sub(caller_request.arrived));
             let reason = if given.replayed { "replayed" } else { "answered" };
-            node.log_routing(&job.id, job.model(), "done", "", reason);
-            send_response(request, job, &given.answer, given.replayed);
+            node.log_routing(&caller_request.id, caller_request.model(), "done", "", reason);
+            send_response(request, caller_request, &given.answer, given.replayed);
         }
         Err(DispatchError::Refused(refused)) => {
-            record_refusal(node, job, &refused);
-            reply::send_refusal(request, &job.id, &refused);
+            record_refusal(node, caller_request, &refused);
+            reply::send_refusal(request, &caller_request.id, &refused);
         }
         Err(DispatchError::CallerGone) => {}
     }
@@ -68,38 +68,42 @@
 /// Sends a backend server's answer to the caller.
 pub fn send_response(
     request: Request,
-    job: &CallerRequest,
+    caller_request: &CallerRequest,
     answer: &StoredResponse,
     replayed: bool,
 ) {
     let mut response = reply::with_body(answer.status, &answer.content_type, answer.body.clone())
         .with_header(reply::header(VERDICT_HEADER, Verdict::Ran.as_str()))
-        .with_header(reply::header(REQUEST_ID_HEADER, &job.id));
+        .with_header(reply::header(REQUEST_ID_HEADER, &caller_request.id));
     if replayed {
         response.add_header(reply::header(REPLAYED_HEADER, "true"));
     }
     reply::send(request, response);
 }
 
-fn run(node: &Node, job: &CallerRequest) -> Result<StoredResponse, DispatchError> {
-    dispatch(node, job, |route, call| {
-        let reply = node.exchange.send(route.addr, call)?;
-        record_response(node, job, route, &reply);
-        read_answer(reply)
+fn run(node: &Node, caller_request: &CallerRequest) -> Result<StoredResponse, DispatchError> {
+    dispatch(node, caller_request, |route, server_request| {
+        let response = node.backend_client.send(route.addr, server_request)?;
+        record_response(node, caller_request, route, &response);
+        read_answer(response)
     })
 }
 
-fn claim_and_run(node: &Node, job: &CallerRequest, key: ClaimKey) -> Result<Given, DispatchError> {
+fn claim_and_run(
+    node: &Node,
+    caller_request: &CallerRequest,
+    key: ClaimKey,
+) -> Result<Given, DispatchError> {
     match ask_claim(node, key) {
-        ClaimAnswer::Granted => run_claimed(node, job, key),
+        ClaimAnswer::Granted => run_claimed(node, caller_request, key),
         ClaimAnswer::Ended(daemon, verdict, None) => {
-            fetch(node, job, key, &daemon).unwrap_or_else(|| Err(lost(verdict)))
+            fetch(node, caller_request, key, &daemon).unwrap_or_else(|| Err(lost(verdict)))
         }
         ClaimAnswer::Ended(_, verdict, Some(answer)) => {
             replay(ClaimOutcome { verdict, answer: Some(answer) })
         }
         ClaimAnswer::Taken(daemon) => {
-            fetch(node, job, key, &daemon).unwrap_or_else(|| Err(in_progress(&daemon)))
+            fetch(node, caller_request, key, &daemon).unwrap_or_else(|| Err(in_progress(&daemon)))
         }
         ClaimAnswer::LogDown => Err(claim_unknown()),
     }
@@ -114,8 +118,12 @@
     })
 }
 
-fn run_claimed(node: &Node, job: &CallerRequest, key: ClaimKey) -> Result<Given, DispatchError> {
-    let result = run(node, job);
+fn run_claimed(
+    node: &Node,
+    caller_request: &CallerRequest,
+    key: ClaimKey,
+) -> Result<Given, DispatchError> {
+    let result = run(node, caller_request);
     let end = match &result {
         Ok(answer) => ClaimOutcome { verdict: Verdict::Ran, answer: Some(answer.clone()) },
         Err(DispatchError::Refused(refused)) => {
@@ -135,11 +143,11 @@
 /// Asks the daemon that runs a request for its outcome; none where it cannot tell.
 fn fetch(
     node: &Node,
-    job: &CallerRequest,
+    caller_request: &CallerRequest,
     key: ClaimKey,
     daemon: &DaemonId,
 ) -> Option<Result<Given, DispatchError>> {
-    let wait = job.deadline.saturating_sub(node.now());
+    let wait = caller_request.deadline.saturating_sub(node.now());
     let end = if *daemon == node.settings.id {
         node.outcomes.wait(key, wait)
     } else {
--- a/lib/src/workers.rs
+++ b/lib/src/workers.rs
@@ -47,23 +47,23 @@
 /// The system gives no thread.
 pub fn start(
     node: &Arc<Node>,
-    borders: &PlatformClients,
+    clients: &PlatformClients,
     socket: UdpSocket,
 ) -> io::Result<ControlOutputs> {
     let (appends, entries) = flume::unbounded();
     let (polls, asked) = flume::unbounded();
-    let (orders, errands) = flume::unbounded();
-    let log = Arc::clone(&borders.log);
+    let (orders, tasks) = flume::unbounded();
+    let log = Arc::clone(&clients.log);
     spawn("append", node, move |node| append(node, log.as_ref(), &entries))?;
     for _ in 0..POLLERS {
-        let (engine, asked) = (Arc::clone(&borders.engine), asked.clone());
+        let (engine, asked) = (Arc::clone(&clients.engine), asked.clone());
         spawn("poll", node, move |node| poll(node, engine.as_ref(), &asked))?;
     }
     for _ in 0..ORDERERS {
-        let (engine, errands) = (Arc::clone(&borders.engine), errands.clone());
-        spawn("order", node, move |node| order(node, engine.as_ref(), &errands))?;
+        let (engine, tasks) = (Arc::clone(&clients.engine), tasks.clone());
+        spawn("order", node, move |node| order(node, engine.as_ref(), &tasks))?;
     }
-    let hosts = Arc::clone(&borders.hosts);
+    let hosts = Arc::clone(&clients.hosts);
     spawn("hosts", node, move |node| watch_hosts(node, hosts.as_ref()))?;
     Ok(ControlOutputs { appends, polls, orders, socket })
 }
@@ -104,8 +104,8 @@
     }
 }
 
-fn order(node: &Node, engine: &dyn EngineControl, errands: &flume::Receiver<OrderTask>) {
-    for (addr, order, until) in errands {
+fn order(node: &Node, engine: &dyn EngineControl, tasks: &flume::Receiver<OrderTask>) {
+    for (addr, order, until) in tasks {
         // The process may have been paused since the decision; the lease is looked at again just
         // before the write.
         let late = until.is_some_and(|until| node.now() >= until);
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -14,7 +14,7 @@
 
 const NOW: Duration = Duration::from_secs(1);
 
-fn desk() -> PendingClaims {
+fn claims() -> PendingClaims {
     PendingClaims::new("d1".into(), 1)
 }
 
@@ -28,55 +28,55 @@
 fn late_grant() {
     // The log is slow; the request is refused as not sent. Then the claim takes effect after all:
     // it must be released, not run.
-    let mut desk = desk();
-    assert_eq!(desk.request(NOW, 7, &ReplicatedState::default(), true), ClaimStep::Append(7));
-    assert_eq!(desk.cancel_overdue(NOW + CLAIM_TIMEOUT), [7]);
-    let decided = desk.on_decided(7, Ok(1), &claimed_by("d1"));
+    let mut claims = claims();
+    assert_eq!(claims.request(NOW, 7, &ReplicatedState::default(), true), ClaimStep::Append(7));
+    assert_eq!(claims.cancel_overdue(NOW + CLAIM_TIMEOUT), [7]);
+    let decided = claims.on_decided(7, Ok(1), &claimed_by("d1"));
     let release = Settlement { key: 7, verdict: Verdict::DidNotRun, answer: None };
     assert_eq!(decided, ClaimDecision::Release(release));
 }
 
 #[test]
 fn log_down() {
-    let mut desk = desk();
-    let step = desk.request(NOW, 7, &ReplicatedState::default(), false);
+    let mut claims = claims();
+    let step = claims.request(NOW, 7, &ReplicatedState::default(), false);
     assert_eq!(step, ClaimStep::Answer(ClaimAnswer::LogDown));
 }
 
 #[test]
 fn same_daemon() {
     // A caller sends a booking twice to one daemon before the log has decided the first.
-    let mut desk = desk();
+    let mut claims = claims();
     let state = ReplicatedState::default();
-    assert_eq!(desk.request(NOW, 7, &state, true), ClaimStep::Append(7));
+    assert_eq!(claims.request(NOW, 7, &state, true), ClaimStep::Append(7));
     let taken = ClaimStep::Answer(ClaimAnswer::Taken("d1".into()));
-    assert_eq!(desk.request(NOW, 7, &state, true), taken);
+    assert_eq!(claims.request(NOW, 7, &state, true), taken);
     assert_eq!(
-        desk.on_decided(7, Ok(1), &claimed_by("d1")),
+        claims.on_decided(7, Ok(1), &claimed_by("d1")),
         ClaimDecision::Answer(ClaimAnswer::Granted)
     );
-    assert_eq!(desk.on_decided(7, Ok(1), &claimed_by("d1")), ClaimDecision::Nothing);
+    assert_eq!(claims.on_decided(7, Ok(1), &claimed_by("d1")), ClaimDecision::Nothing);
 }
 
 #[test]
 fn old_start() {
     // A daemon restarts. A claim of its old start is not its own: what became of the request is
     // unknown, so it may neither be released nor run.
-    let mut desk = PendingClaims::new("d1".into(), 2);
-    assert_eq!(desk.cancel(7, &claimed_by("d1")), None);
+    let mut claims = PendingClaims::new("d1".into(), 2);
+    assert_eq!(claims.cancel(7, &claimed_by("d1")), None);
     let taken = ClaimStep::Answer(ClaimAnswer::Taken("d1".into()));
-    assert_eq!(desk.request(NOW, 7, &claimed_by("d1"), true), taken);
+    assert_eq!(claims.request(NOW, 7, &claimed_by("d1"), true), taken);
 }
 
 #[test]
 fn state_taken_over() {
     // The daemon fell behind what the log keeps and took over a snapshot while two claims were
     // under way: one stands in it, the other does not.
-    let mut desk = desk();
+    let mut claims = claims();
     let empty = ReplicatedState::default();
-    assert_eq!(desk.request(NOW, 7, &empty, true), ClaimStep::Append(7));
-    assert_eq!(desk.request(NOW, 8, &empty, true), ClaimStep::Append(8));
-    let (answers, records) = desk.resync(&claimed_by("d1"));
+    assert_eq!(claims.request(NOW, 7, &empty, true), ClaimStep::Append(7));
+    assert_eq!(claims.request(NOW, 8, &empty, true), ClaimStep::Append(8));
+    let (answers, records) = claims.resync(&claimed_by("d1"));
     assert_eq!(answers, [(7, ClaimAnswer::Granted)]);
     assert_eq!(records, [comfreymux_lib::record::Record::Claim(8)]);
 }
--- a/lib/tests/test_overload.rs
+++ b/lib/tests/test_overload.rs
@@ -40,7 +40,7 @@
 struct Replica {
     now: Duration,
     queue: Queue,
-    pace: WaitEstimator,
+    wait_estimator: WaitEstimator,
     running: Vec<Duration>,
     waiting: BTreeMap<WaiterKey, Asked>,
     /// Refused callers, by the time they were told to come back at.
@@ -53,7 +53,7 @@
         Self {
             now: Duration::ZERO,
             queue: Queue::new(256),
-            pace: WaitEstimator::default(),
+            wait_estimator: WaitEstimator::default(),
             running: Vec::new(),
             waiting: BTreeMap::new(),
             returning: BTreeMap::new(),
@@ -88,7 +88,7 @@
         while let Some(key) = self.queue.first("m").filter(|_| self.running.len() < LIMIT) {
             self.queue.remove(key);
             let asked = self.waiting.remove(&key).unwrap();
-            self.pace.record_dequeue(now, &"m".into(), asked.priority);
+            self.wait_estimator.record_dequeue(now, &"m".into(), asked.priority);
             self.running.push(now + RUN);
             self.tally.served += 1;
             self.tally.returned_served += u32::from(asked.again);
@@ -104,7 +104,7 @@
         let Asked { priority, again } = asked;
         let waiter = Waiter { model: "m".into(), priority, deadline: self.now + DEADLINE };
         let ahead = self.queue.ahead(&waiter);
-        let expected = self.pace.expected_wait(self.now, "m", priority, ahead);
+        let expected = self.wait_estimator.expected_wait(self.now, "m", priority, ahead);
         let refused = match self.queue.enqueue(self.now, waiter, expected) {
             EnqueueResult::Queued(key, displaced) => {
                 self.waiting.insert(key, asked);
@@ -121,7 +121,7 @@
         self.tally.at_once += 1;
         self.tally.valuable_refused += u32::from(refused.priority == VALUABLE);
         if !refused.again {
-            let back = self.pace.retry_after(self.now, "m", priority, expected);
+            let back = self.wait_estimator.retry_after(self.now, "m", priority, expected);
             let at = self.now + back.max(Duration::from_secs(1));
             self.returning.insert((at, self.tally.at_once), refused.priority);
         }
--- a/lib/tests/test_queue.rs
+++ b/lib/tests/test_queue.rs
@@ -72,16 +72,16 @@
 #[test]
 fn stop_refuses() {
     // A daemon stops while requests wait. All are refused at once, and so is whoever comes later.
-    let room = std::sync::Arc::new(WaitQueue::new(9));
-    let waiting = std::sync::Arc::clone(&room);
+    let queue = std::sync::Arc::new(WaitQueue::new(9));
+    let waiting = std::sync::Arc::clone(&queue);
     let thread =
         std::thread::spawn(move || waiting.wait(seconds(0), waiter(5, 30), Duration::ZERO));
-    while room.is_empty() {
+    while queue.is_empty() {
         std::thread::yield_now();
     }
-    room.close();
+    queue.close();
     assert_eq!(thread.join().unwrap(), Err(QueueRefusal::Stopping));
-    assert_eq!(room.wait(seconds(0), waiter(5, 30), Duration::ZERO), Err(QueueRefusal::Stopping));
+    assert_eq!(queue.wait(seconds(0), waiter(5, 30), Duration::ZERO), Err(QueueRefusal::Stopping));
 }
 
 #[test]
--- a/lib/tests/test_router.rs
+++ b/lib/tests/test_router.rs
@@ -36,7 +36,7 @@
     view
 }
 
-fn wish(prefix: Option<u64>) -> RouteRequest<'static> {
+fn route_request(prefix: Option<u64>) -> RouteRequest<'static> {
     RouteRequest { model: "m", prefix, tried: &[] }
 }
 
@@ -44,7 +44,7 @@
 fn near_first() {
     let view = view(2, &[("e1", "a"), ("e2", "b")]);
     let mut router = Router::new("a".into(), 1);
-    let mut next = || router.choose(NOW, &view, wish(None)).map(|r| r.server);
+    let mut next = || router.choose(NOW, &view, route_request(None)).map(|r| r.server);
     let chosen: Vec<_> = (0..5).map(|_| next()).collect();
     let expected = [Some("e1"), Some("e1"), Some("e2"), Some("e2"), None];
     assert_eq!(chosen, expected.map(|s| s.map(Into::into)));
@@ -57,7 +57,7 @@
     let mut router = Router::new("a".into(), 1);
     router.mark_leaving(NOW, &"e1".into());
     for _ in 0..8 {
-        assert_eq!(router.choose(NOW, &view, wish(None)).unwrap().server, "e2");
+        assert_eq!(router.choose(NOW, &view, route_request(None)).unwrap().server, "e2");
     }
 }
 
@@ -71,7 +71,8 @@
     router.record_answer(NOW, &"e1".into(), &"m".into(), None);
     router.record_failure(NOW, &"e1".into());
     let chosen = |router: &mut Router| {
-        let servers = (0..8).map(|_| router.choose(NOW, &view, wish(None)).unwrap().server);
+        let servers =
+            (0..8).map(|_| router.choose(NOW, &view, route_request(None)).unwrap().server);
         let found = servers.collect::<Vec<_>>().contains(&"e1".into());
         for server in ["e1", "e2"] {
             for _ in 0..8 {
@@ -90,10 +91,11 @@
     // Requests with one prompt beginning go to one server, until it has clearly more than others.
     let view = view(100, &[("e1", "a"), ("e2", "a"), ("e3", "a")]);
     let mut router = Router::new("a".into(), 1);
-    let home = router.choose(NOW, &view, wish(Some(5))).unwrap().server;
+    let home = router.choose(NOW, &view, route_request(Some(5))).unwrap().server;
     router.record_end(&home, &"m".into());
-    let chosen: Vec<_> =
-        (0..30).map(|_| router.choose(NOW, &view, wish(Some(5))).unwrap().server).collect();
+    let chosen: Vec<_> = (0..30)
+        .map(|_| router.choose(NOW, &view, route_request(Some(5))).unwrap().server)
+        .collect();
     assert_eq!(chosen[..2], [home.clone(), home.clone()]);
     let share = chosen.iter().filter(|s| **s == home).count();
     assert!((10..=14).contains(&share), "{share} of 30 at home");
@@ -104,11 +106,11 @@
     // An engine says that other daemons keep it busy; the router believes it over its own count.
     let view = view(4, &[("e1", "a")]);
     let mut router = Router::new("a".into(), 1);
-    let route = router.choose(NOW, &view, wish(None)).unwrap();
+    let route = router.choose(NOW, &view, route_request(None)).unwrap();
     router.record_answer(NOW, &route.server, &"m".into(), Some(4));
-    assert!(router.choose(NOW, &view, wish(None)).is_none());
+    assert!(router.choose(NOW, &view, route_request(None)).is_none());
     assert_eq!(router.free_capacity(NOW, &view, "m"), 0);
-    assert!(router.choose(NOW + Duration::from_secs(3), &view, wish(None)).is_some());
+    assert!(router.choose(NOW + Duration::from_secs(3), &view, route_request(None)).is_some());
 }
 
 #[test]
@@ -117,7 +119,7 @@
     // at once; the engine's word must not keep the queue waiting until it is old.
     let view = view(4, &[("e1", "a")]);
     let mut router = Router::new("a".into(), 1);
-    let route = router.choose(NOW, &view, wish(None)).unwrap();
+    let route = router.choose(NOW, &view, route_request(None)).unwrap();
     router.record_answer(NOW, &route.server, &"m".into(), Some(4));
     router.record_end(&route.server, &"m".into());
     assert_eq!(router.free_capacity(NOW, &view, "m"), 1);
@@ -151,15 +153,15 @@
 
 #[test]
 fn suspicion_grows() {
-    let mut suspicion = FailureBackoff::default();
-    suspicion.record_failure(NOW);
-    assert!(!suspicion.is_active(NOW));
-    suspicion.record_failure(NOW);
-    assert!(suspicion.is_active(NOW) && !suspicion.is_active(NOW + Duration::from_secs(1)));
-    suspicion.record_failure(NOW);
-    assert!(suspicion.is_active(NOW + Duration::from_secs(1)));
-    suspicion.record_answer();
-    assert!(!suspicion.is_active(NOW));
+    let mut backoff = FailureBackoff::default();
+    backoff.record_failure(NOW);
+    assert!(!backoff.is_active(NOW));
+    backoff.record_failure(NOW);
+    assert!(backoff.is_active(NOW) && !backoff.is_active(NOW + Duration::from_secs(1)));
+    backoff.record_failure(NOW);
+    assert!(backoff.is_active(NOW + Duration::from_secs(1)));
+    backoff.record_answer();
+    assert!(!backoff.is_active(NOW));
 }
 
 #[test]
@@ -187,7 +189,7 @@
         for (begin, n) in steps {
             if begin {
                 let room = router.free_capacity(NOW, &view, "m");
-                let route = router.choose(NOW, &view, wish(n.is_multiple_of(2).then_some(u64::from(n))));
+                let route = router.choose(NOW, &view, route_request(n.is_multiple_of(2).then_some(u64::from(n))));
                 prop_assert_eq!(room > 0, route.is_some());
                 open.extend(route.map(|r| r.server));
             } else if !open.is_empty() {
--- a/lib/testutils/src/rig.rs
+++ b/lib/testutils/src/rig.rs
@@ -180,14 +180,15 @@
             ..host(HostRole::Entry, centre, sockets.peer_addr)
         };
         self.hosts.put(host);
-        let borders = PlatformClients {
+        let clients = PlatformClients {
             log: Arc::new(HttpLog::new(settings.log_url.clone())),
             hosts: Arc::new(HttpHostList::new(settings.hosts_url.clone())),
             engine: Arc::new(HttpEngineControl),
         };
-        let exchange = Arc::new(HttpBackendClient::new(settings.idle_timeout));
+        let backend_client = Arc::new(HttpBackendClient::new(settings.idle_timeout));
         let logger = self.logger.clone();
-        let daemon = Daemon::start(settings, self.starts, sockets, &borders, exchange, logger);
+        let daemon =
+            Daemon::start(settings, self.starts, sockets, &clients, backend_client, logger);
         self.daemons.insert(id.into(), daemon.expect("a daemon"));
     }
 
--- a/tools/src/experiment.rs
+++ b/tools/src/experiment.rs
@@ -217,8 +217,8 @@
     fn begin(&mut self, daemon: usize, arrival: &Arrival) -> bool {
         let now = self.world.now;
         let front = &mut self.fronts[daemon];
-        let wish = RouteRequest { model: &arrival.model, prefix: None, tried: &[] };
-        let Some(route) = front.router.choose(now, &front.view, wish) else {
+        let route_request = RouteRequest { model: &arrival.model, prefix: None, tried: &[] };
+        let Some(route) = front.router.choose(now, &front.view, route_request) else {
             return false;
         };
         let engine = self.world.engines.get_mut(&route.server).map(|(_, e)| e);
--- a/tools/src/relay.rs
+++ b/tools/src/relay.rs
@@ -26,21 +26,25 @@
     let listener = gateway::listen(listen)?;
     println!("listening on {}", listener.local_addr()?);
     let server = Server::from_listener(listener, None).map_err(io::Error::other)?;
-    let exchange = Arc::new(HttpBackendClient::new(Duration::from_secs(10)));
+    let backend_client = Arc::new(HttpBackendClient::new(Duration::from_secs(10)));
     for request in server.incoming_requests() {
-        let exchange = Arc::clone(&exchange);
+        let backend_client = Arc::clone(&backend_client);
         thread::Builder::new().stack_size(256 * 1024).spawn(move || {
             // A stream that fails is missing at its caller.
-            let _failed = relay(exchange.as_ref(), to, request);
+            let _failed = relay(backend_client.as_ref(), to, request);
         })?;
     }
     Ok(())
 }
 
-fn relay(exchange: &dyn BackendClient, to: SocketAddr, mut request: Request) -> io::Result<()> {
+fn relay(
+    backend_client: &dyn BackendClient,
+    to: SocketAddr,
+    mut request: Request,
+) -> io::Result<()> {
     let mut body = Vec::new();
     request.as_reader().read_to_end(&mut body)?;
-    let call = ServerRequest {
+    let server_request = ServerRequest {
         method: "POST".into(),
         path: chat::PATH.into(),
         content_type: "application/json".into(),
@@ -50,7 +54,8 @@
         priority: 0,
     };
     let failed = |f: comfreymux_lib::backend_client::Failure| io::Error::other(f.detail);
-    let mut reader = StreamReader::new(exchange.send(to, &call).map_err(failed)?.body);
+    let mut reader =
+        StreamReader::new(backend_client.send(to, &server_request).map_err(failed)?.body);
     let mut writer = StreamWriter::start(request.into_writer(), &[])?;
     while let StreamEvent::Chunk(data) = reader.next_event().map_err(failed)? {
         writer.write_event(&data)?;
