--- a/lib/src/backend_client.rs
+++ b/lib/src/backend_client.rs
@@ -119,7 +119,7 @@
 impl Failure {
     /// A failure after bytes may have been written.
     pub fn may_have_run(kind: FailureKind, detail: impl Into<String>) -> Self {
-        Self { verdict: Verdict::MayHaveRun, kind: kind, detail: detail.into() }
+        Self { verdict: Verdict::MayHaveRun, kind, detail: detail.into() }
     }
 
     /// A failure of reading an answer.
@@ -221,7 +221,7 @@
             _ => FailureKind::Refused,
         };
         let verdict = Verdict::DidNotRun;
-        return Err(Failure { verdict, kind: kind, detail: word.to_owned() });
+        return Err(Failure { verdict, kind, detail: word.to_owned() });
     }
     // An answer that came late or on a crossed connection belongs to another request.
     let echoed = response.header(ATTEMPT_HEADER);
--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -198,7 +198,7 @@
             Event::LogRead => self.log_read(now),
             Event::LogFailed => {}
             Event::Appended { sequence, done } => {
-                self.appender.on_append_result(now, sequence, done)
+                self.appender.on_append_result(now, sequence, done);
             }
             Event::Hosts(hosts) => self.replace_hosts(now, hosts),
             Event::Report(server, report) => self.take_report(now, &server, report),
--- a/lib/src/control_tick.rs
+++ b/lib/src/control_tick.rs
@@ -127,7 +127,7 @@
         let centre = self.settings.centre.clone();
         match fence {
             Some(fence) => {
-                self.log_decision(DecisionKind::Lead, "", &centre, format!("fence={fence}"))
+                self.log_decision(DecisionKind::Lead, "", &centre, format!("fence={fence}"));
             }
             None => self.log_decision(
                 DecisionKind::Yield,
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -116,13 +116,13 @@
     match failure.kind {
         FailureKind::Leaving => node.router().mark_leaving(now, &route.server),
         FailureKind::NotLoaded => {
-            node.router().mark_missing(now, &route.server, caller_request.model())
+            node.router().mark_missing(now, &route.server, caller_request.model());
         }
         FailureKind::Unreachable | FailureKind::Stalled => {
-            node.router().record_failure(now, &route.server)
+            node.router().record_failure(now, &route.server);
         }
         FailureKind::Refused => {
-            node.router().record_answer(now, &route.server, caller_request.model(), None)
+            node.router().record_answer(now, &route.server, caller_request.model(), None);
         }
         FailureKind::Truncated | FailureKind::ServerError | FailureKind::WrongAttempt => {}
     }
--- a/lib/src/peer_message.rs
+++ b/lib/src/peer_message.rs
@@ -51,7 +51,7 @@
     Outcome(ClaimKey, u64),
 }
 
-/// The answer to an [`PeerQuery`].
+/// The answer to a [`PeerQuery`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerReply {
     /// Entries in the order of their offsets.
@@ -64,7 +64,7 @@
     Unknown,
 }
 
-/// An [`ClaimOutcome`] on the wire.
+/// A [`ClaimOutcome`] on the wire.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct WireOutcome {
     verdict: Verdict,
