--- a/cli/src/daemon.rs
+++ b/cli/src/daemon.rs
@@ -6,19 +6,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use comfreymux_lib::backend_client::HttpBackendClient;
 use comfreymux_lib::daemon::Daemon;
 use comfreymux_lib::daemon::Sockets;
 use comfreymux_lib::daemon::incarnation_now;
-use comfreymux_lib::engine::HttpEngine;
-use comfreymux_lib::exchange::HttpExchange;
+use comfreymux_lib::engine_control::HttpEngineControl;
 use comfreymux_lib::host_list::HttpHostList;
 use comfreymux_lib::log_service::HttpLog;
 use comfreymux_lib::logging;
 use comfreymux_lib::settings::ENV_PREFIX;
+use comfreymux_lib::settings::FlagSource;
 use comfreymux_lib::settings::Settings;
-use comfreymux_lib::settings::Source;
 use comfreymux_lib::settings::env_name;
-use comfreymux_lib::workers::Borders;
+use comfreymux_lib::workers::PlatformClients;
 use daemon_flags::Comfreymuxd;
 use signal_hook::consts::SIGINT;
 use signal_hook::consts::SIGTERM;
@@ -31,7 +31,7 @@
 /// Time between looks at the operators' order to drain.
 const LOOK: Duration = Duration::from_millis(100);
 
-impl Source for Comfreymuxd {
+impl FlagSource for Comfreymuxd {
     fn text(&self, flag: &str) -> Option<String> {
         let given = match flag {
             "id" => &self.id,
@@ -60,7 +60,7 @@
 
 fn main() -> ExitCode {
     let flags = Comfreymuxd::from_env_or_exit();
-    let settings = match Settings::read(&flags) {
+    let settings = match Settings::from_source(&flags) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{:?}", miette::Report::new(error));
@@ -81,15 +81,16 @@
 fn run(settings: Settings) -> miette::Result<bool> {
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|e| miette::miette!("no signals: {e}"))?;
-    let sockets = Sockets::open(settings.listen, settings.peer)?;
-    let borders = Borders {
-        log: Arc::new(HttpLog::new(settings.log.clone())),
-        hosts: Arc::new(HttpHostList::new(settings.hosts.clone())),
-        engine: Arc::new(HttpEngine),
+    let sockets = Sockets::open(settings.listen_addr, settings.peer_addr)?;
+    let clients = PlatformClients {
+        log: Arc::new(HttpLog::new(settings.log_url.clone())),
+        hosts: Arc::new(HttpHostList::new(settings.hosts_url.clone())),
+        engine: Arc::new(HttpEngineControl),
     };
-    let exchange = Arc::new(HttpExchange::new(settings.idle));
+    let backend_client = Arc::new(HttpBackendClient::new(settings.idle_timeout));
     let log = logging::to_stderr();
-    let daemon = Daemon::start(settings, incarnation_now(), sockets, &borders, exchange, log)?;
+    let daemon =
+        Daemon::start(settings, incarnation_now(), sockets, &clients, backend_client, log)?;
     while signals.pending().next().is_none() && !daemon.node().is_stopping() {
         std::thread::sleep(LOOK);
     }
--- a/lib/benches/slopes.rs
+++ b/lib/benches/slopes.rs
@@ -8,12 +8,12 @@
 
 use comfreymux_lib::control::ControlSettings;
 use comfreymux_lib::control::Controller;
-use comfreymux_lib::demand::Waiting;
+use comfreymux_lib::demand::WaitingRequests;
 use comfreymux_lib::event::Event;
 use comfreymux_lib::fold;
 use comfreymux_lib::host::Host;
-use comfreymux_lib::host::Role;
-use comfreymux_lib::keepwarm::Policy;
+use comfreymux_lib::host::HostRole;
+use comfreymux_lib::keep_warm::KeepWarmPolicy;
 use comfreymux_lib::peer_message::Digest;
 use comfreymux_lib::record::Bid;
 use comfreymux_lib::record::Entry;
@@ -24,12 +24,12 @@
 use comfreymux_lib::record::ServerFacts;
 use comfreymux_lib::record::Settlement;
 use comfreymux_lib::record::Source;
-use comfreymux_lib::state::State;
+use comfreymux_lib::replicated_state::ReplicatedState;
+use comfreymux_lib::routing_view::RoutingView;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table::RowChange;
 use comfreymux_lib::verdict::Verdict;
-use comfreymux_lib::view::View;
 use comfreymux_lib::wire;
 use comfreymux_testutils::rig::ANY;
 use comfreymux_testutils::rig::host;
@@ -123,19 +123,19 @@
         id: ME.into(),
         incarnation: 1,
         centre: centre(0),
-        gap: Duration::from_millis(20),
-        policy: Policy::Learned,
-        poll: Duration::from_secs(1),
+        append_gap: Duration::from_millis(20),
+        keep_warm: KeepWarmPolicy::Learned,
+        poll_interval: Duration::from_secs(1),
     });
     let hosts = (0..servers).map(|i| Host {
         id: format!("server-{i:05}").into(),
         memory_mib: 80_000,
         fencing: true,
-        ..host(Role::Engine, &centre(i), ANY)
+        ..host(HostRole::Engine, &centre(i), ANY)
     });
     let entries = (0..400).map(|i| Host {
         id: format!("daemon-{i:04}").into(),
-        ..host(Role::Entry, &centre(i), ANY)
+        ..host(HostRole::Entry, &centre(i), ANY)
     });
     control.handle(Duration::ZERO, Event::Hosts(hosts.chain(entries).collect()));
     control.handle(Duration::ZERO, Event::LogRead);
@@ -155,15 +155,15 @@
         now += Duration::from_millis(50);
         black_box(control.handle(now, Event::Tick));
     });
-    let waiting: Vec<Waiting> =
-        (0..20).map(|i| Waiting { model: row(i).name, count: 3, weight: 9 }).collect();
+    let waiting: Vec<WaitingRequests> =
+        (0..20).map(|i| WaitingRequests { model: row(i).name, count: 3, weight: 9 }).collect();
     let busy = time(200, || {
         now += Duration::from_millis(50);
         control.handle(now, Event::Demand("daemon-0001".into(), waiting.clone()));
         black_box(control.handle(now, Event::Tick));
     });
     let view = time(10, || {
-        black_box(View::of(&control, now));
+        black_box(RoutingView::new(&control, now));
     });
     let encode = time(5, || {
         black_box(control.state().hash());
@@ -177,7 +177,7 @@
 }
 
 fn measure_fold(claims: u64) {
-    let mut state = State::default();
+    let mut state = ReplicatedState::default();
     let before = usage(std::process::id()).resident_mib;
     let batch = 10;
     let began = Instant::now();
@@ -215,7 +215,9 @@
         daemon: ME.into(),
         offset: 1 << 40,
         hash: (1 << 40, u64::MAX),
-        demand: (0..lines).map(|i| Waiting { model: row(i).name, count: 3, weight: 9 }).collect(),
+        demand: (0..lines)
+            .map(|i| WaitingRequests { model: row(i).name, count: 3, weight: 9 })
+            .collect(),
         hints: Vec::new(),
     };
     println!(
--- a/lib/src/job.rs
+++ b/lib/src/caller_request.rs
@@ -11,7 +11,7 @@
 use crate::ids::ModelName;
 use crate::ids::claim_key;
 use crate::node::Node;
-use crate::reply::Refused;
+use crate::reply::RequestRefusal;
 use crate::table::Row;
 
 /// Header with the milliseconds in which an answer must begin.
@@ -30,7 +30,7 @@
 
 /// A request that is ready to be routed.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct CallerRequest {
     /// Its id.
     pub id: SmolStr,
     /// The caller.
@@ -54,16 +54,16 @@
     /// Hash of the prompt's beginning.
     pub prefix: Option<u64>,
     /// The caller's idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
-impl Job {
-    /// Creates a job for `row` from a request; the path is the request's own.
+impl CallerRequest {
+    /// Creates the request for `row` from a request; the path is the request's own.
     pub fn new(
         node: &Node,
         id: SmolStr,
         request: &Request,
-        wishes: Wishes,
+        options: RequestOptions,
         row: Row,
         body: Vec<u8>,
     ) -> Self {
@@ -73,22 +73,22 @@
             method: request.method().to_string(),
             path: request.url().to_owned(),
             content_type: header_of(request, "Content-Type").unwrap_or_default().to_owned(),
-            priority: wishes.priority.map_or(row.priority, |p| p.min(row.priority)),
+            priority: options.priority.map_or(row.priority, |p| p.min(row.priority)),
             arrived: node.now(),
-            deadline: wishes.deadline,
+            deadline: options.deadline,
             prefix: None,
-            key: wishes.key,
+            idempotency_key: options.idempotency_key,
             row,
             body,
         }
     }
 
     /// Returns the key under which the request is claimed; none where no claim is needed.
-    pub fn claim(&self) -> Option<ClaimKey> {
+    pub fn claim_key(&self) -> Option<ClaimKey> {
         if self.row.repeat {
             return None;
         }
-        let key = self.key.as_ref()?;
+        let key = self.idempotency_key.as_ref()?;
         Some(claim_key(&self.caller, &self.row.name, key))
     }
 
@@ -117,8 +117,8 @@
 /// # Errors
 ///
 /// The body is too large, or ended early.
-pub fn read_body(node: &Node, request: &mut Request) -> Result<Vec<u8>, Refused> {
-    let most = node.settings.body;
+pub fn read_body(node: &Node, request: &mut Request) -> Result<Vec<u8>, RequestRefusal> {
+    let most = node.settings.max_body;
     let stated = request.body_length();
     if stated.is_some_and(|n| n > most) {
         return Err(too_large(most));
@@ -126,44 +126,48 @@
     let mut body = Vec::new();
     let read = request.as_reader().take(most as u64 + 1).read_to_end(&mut body);
     if let Err(error) = read {
-        return Err(Refused::wrong(400, "body-unreadable", error.to_string()));
+        return Err(RequestRefusal::permanent(400, "body-unreadable", error.to_string()));
     }
     if body.len() > most {
         return Err(too_large(most));
     }
     if stated.is_some_and(|n| n != body.len()) {
-        return Err(Refused::wrong(400, "body-cut-short", "the body ended early"));
+        return Err(RequestRefusal::permanent(400, "body-cut-short", "the body ended early"));
     }
     Ok(body)
 }
 
-fn too_large(most: usize) -> Refused {
-    Refused::wrong(413, "body-too-large", format!("a body may have {most} bytes"))
+fn too_large(most: usize) -> RequestRefusal {
+    RequestRefusal::permanent(413, "body-too-large", format!("a body may have {most} bytes"))
 }
 
 /// Headers that shape how a request is handled.
 #[derive(Clone, Debug)]
-pub struct Wishes {
+pub struct RequestOptions {
     /// When its answer must begin.
     pub deadline: Duration,
     /// Its priority; none takes the row's.
     pub priority: Option<u8>,
     /// Its idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
-impl Wishes {
+impl RequestOptions {
     /// Reads the headers of a request that came at `arrived`.
     ///
     /// # Errors
     ///
     /// Names the header that cannot be read.
-    pub fn read(node: &Node, request: &Request, arrived: Duration) -> Result<Self, Refused> {
+    pub fn parse(
+        node: &Node,
+        request: &Request,
+        arrived: Duration,
+    ) -> Result<Self, RequestRefusal> {
         let wrong = |name: &str, allowed: &str| {
-            Refused::wrong(400, "bad-header", format!("{name} must be {allowed}"))
+            RequestRefusal::permanent(400, "bad-header", format!("{name} must be {allowed}"))
         };
         let time = match header_of(request, DEADLINE_HEADER) {
-            None => node.settings.deadline,
+            None => node.settings.default_deadline,
             Some(text) => match text.trim().parse() {
                 Ok(ms) if ms <= 3_600_000 => Duration::from_millis(ms),
                 _ => return Err(wrong(DEADLINE_HEADER, "milliseconds up to 3600000")),
@@ -178,6 +182,6 @@
         if key.as_ref().is_some_and(|k| k.is_empty() || k.len() > MAX_KEY) {
             return Err(wrong(KEY_HEADER, "1 to 256 characters"));
         }
-        Ok(Self { deadline: arrived + time, priority, key })
+        Ok(Self { deadline: arrived + time, priority, idempotency_key: key })
     }
 }
--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -6,22 +6,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::append::Appender;
-use crate::claims::ClaimDesk;
+use crate::appender::Appender;
 use crate::demand::Demand;
-use crate::edits::EditDesk;
-use crate::event::Choice;
 use crate::event::Decision;
+use crate::event::DecisionKind;
 use crate::event::Effect;
 use crate::event::Event;
 use crate::event::Hint;
 use crate::fleet::Fleet;
 use crate::fold;
 use crate::fold::Outcome;
-use crate::hints::HintBook;
+use crate::hints::HintTable;
 use crate::host::Order;
 use crate::host::OrderAnswer;
-use crate::host::Report;
+use crate::host::ServerReport;
 use crate::ids::CentreId;
 use crate::ids::DaemonId;
 use crate::ids::Fence;
@@ -30,17 +28,19 @@
 use crate::ids::Offset;
 use crate::ids::ServerId;
 use crate::ids::SlotId;
-use crate::keepwarm::KeepWarm;
-use crate::keepwarm::Policy;
-use crate::lease::Authority;
-use crate::rates::Rates;
+use crate::keep_warm::KeepWarm;
+use crate::keep_warm::KeepWarmPolicy;
+use crate::lease::LeaseAuthority;
+use crate::load_rates::LoadRates;
+use crate::pending_claims::PendingClaims;
+use crate::pending_edits::PendingEdits;
 use crate::record::Entry;
 use crate::record::Phase;
 use crate::record::Record;
-use crate::state::State;
+use crate::replicated_state::ReplicatedState;
+use crate::slot_tracker::SlotTracker;
+use crate::slot_tracker::TrackedSlot;
 use crate::table::Edit;
-use crate::watch::Watch;
-use crate::watch::Watches;
 
 /// The log counts as down after this time without an answer to a read.
 const LOG_SILENCE: Duration = Duration::from_secs(4);
@@ -57,49 +57,49 @@
     /// Its data centre.
     pub centre: CentreId,
     /// Least time between two entries.
-    pub gap: Duration,
+    pub append_gap: Duration,
     /// How keep-warm times are chosen.
-    pub policy: Policy,
+    pub keep_warm: KeepWarmPolicy,
     /// Time between reports of one backend server.
-    pub poll: Duration,
+    pub poll_interval: Duration,
 }
 
 /// The control state machine.
 #[derive(Debug)]
 pub struct Controller {
     pub(crate) settings: ControlSettings,
-    pub(crate) state: State,
+    pub(crate) state: ReplicatedState,
     pub(crate) appender: Appender,
-    pub(crate) authority: Authority,
+    pub(crate) authority: LeaseAuthority,
     pub(crate) demand: Demand,
     pub(crate) fleet: Fleet,
-    pub(crate) rates: Rates,
-    pub(crate) warm: KeepWarm,
-    pub(crate) watches: Watches,
+    pub(crate) rates: LoadRates,
+    pub(crate) keep_warm: KeepWarm,
+    pub(crate) slot_tracker: SlotTracker,
     pub(crate) effects: Vec<Effect>,
     /// When the log's current tick was read.
-    pub(crate) ticked: Duration,
+    pub(crate) last_tick: Duration,
     /// Offset of the last snapshot in the log.
-    pub(crate) snapshot: Offset,
+    pub(crate) snapshot_offset: Offset,
     /// Backend servers of this daemon's data centre, as the log names them.
-    pub(crate) local: Vec<ServerId>,
+    pub(crate) local_servers: Vec<ServerId>,
     /// When the log's backend servers were last compared with the host list; none when they must be.
-    pub(crate) stated: Option<Duration>,
+    pub(crate) servers_checked: Option<Duration>,
     /// When the last full round over everything was.
-    pub(crate) rounded: Duration,
+    pub(crate) last_pass: Duration,
     /// Whether the daemon is stopping and takes no lease.
     pub(crate) stopping: bool,
-    pub(crate) desk: ClaimDesk,
-    edits: EditDesk,
-    hints: HintBook,
+    pub(crate) claims: PendingClaims,
+    edits: PendingEdits,
+    hints: HintTable,
     /// Orders given since the start.
-    pub(crate) orders: u64,
+    pub(crate) orders_given: u64,
     heard: Option<Duration>,
     checkpoint: (Offset, u64),
     /// Why models wait for a load, as last logged.
-    pub(crate) held: BTreeMap<ModelName, &'static str>,
+    pub(crate) logged_holds: BTreeMap<ModelName, &'static str>,
     /// Fence of the lease as last logged.
-    pub(crate) led: Option<Fence>,
+    pub(crate) logged_fence: Option<Fence>,
 }
 
 impl Controller {
@@ -108,35 +108,35 @@
         let id = settings.id.clone();
         let incarnation = settings.incarnation;
         Self {
-            state: State::default(),
-            appender: Appender::new(id.clone(), incarnation, settings.gap),
-            authority: Authority::default(),
+            state: ReplicatedState::default(),
+            appender: Appender::new(id.clone(), incarnation, settings.append_gap),
+            authority: LeaseAuthority::default(),
             demand: Demand::default(),
             fleet: Fleet::default(),
-            rates: Rates::default(),
-            warm: KeepWarm::new(settings.policy),
-            watches: Watches::default(),
+            rates: LoadRates::default(),
+            keep_warm: KeepWarm::new(settings.keep_warm),
+            slot_tracker: SlotTracker::default(),
             effects: Vec::new(),
-            ticked: Duration::ZERO,
-            snapshot: 0,
-            local: Vec::new(),
-            stated: None,
-            rounded: Duration::ZERO,
+            last_tick: Duration::ZERO,
+            snapshot_offset: 0,
+            local_servers: Vec::new(),
+            servers_checked: None,
+            last_pass: Duration::ZERO,
             stopping: false,
-            desk: ClaimDesk::new(id, incarnation),
-            edits: EditDesk::default(),
-            hints: HintBook::default(),
-            orders: 0,
+            claims: PendingClaims::new(id, incarnation),
+            edits: PendingEdits::default(),
+            hints: HintTable::default(),
+            orders_given: 0,
             heard: None,
             checkpoint: (0, 0),
-            held: BTreeMap::new(),
-            led: None,
+            logged_holds: BTreeMap::new(),
+            logged_fence: None,
             settings,
         }
     }
 
     /// Returns the log's state as far as it was read.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Returns the loading speeds learned so far.
-    pub fn rates(&self) -> &Rates {
+    pub fn rates(&self) -> &LoadRates {
         &self.rates
     }
 
@@ -162,12 +162,12 @@
 
     /// Returns replicas of this daemon's data centre that serve though the log does not show it.
     pub fn own_hints(&self) -> Vec<Hint> {
-        if self.fence().is_none() {
+        if self.held_fence().is_none() {
             return Vec::new();
         }
         self.local_slots()
             .into_iter()
-            .filter(|id| self.watches.get(*id).is_some_and(Watch::is_woken))
+            .filter(|id| self.slot_tracker.get(*id).is_some_and(TrackedSlot::is_unlogged_load))
             .filter_map(|id| self.state.slots.get(id))
             .filter(|s| s.phase != Phase::Loaded && s.phase != Phase::Draining)
             .map(|s| Hint { model: s.model.clone(), server: s.server.clone() })
@@ -177,13 +177,13 @@
     /// Returns whether the log answers reads and appends.
     pub fn is_log_up(&self, now: Duration) -> bool {
         let read = self.heard.is_some_and(|at| now < at + LOG_SILENCE);
-        let bound = crate::claims::CLAIM_BOUND;
-        let append = self.appender.waiting(now).is_none_or(|waited| waited < bound);
+        let bound = crate::pending_claims::CLAIM_TIMEOUT;
+        let append = self.appender.pending_for(now).is_none_or(|waited| waited < bound);
         read && append
     }
 
     /// Returns the fencing number of the lease that the log says this daemon holds.
-    pub fn fence(&self) -> Option<Fence> {
+    pub fn held_fence(&self) -> Option<Fence> {
         let lease = self.state.leases.get(&self.settings.centre)?;
         let own =
             lease.daemon == self.settings.id && lease.incarnation == self.settings.incarnation;
@@ -197,15 +197,17 @@
             Event::Entry(offset, entry) => self.take_entry(now, offset, &entry),
             Event::LogRead => self.log_read(now),
             Event::LogFailed => {}
-            Event::Appended { sequence, done } => self.appender.answered(now, sequence, done),
-            Event::Hosts(hosts) => self.take_hosts(now, hosts),
+            Event::Appended { sequence, done } => {
+                self.appender.on_append_result(now, sequence, done);
+            }
+            Event::Hosts(hosts) => self.replace_hosts(now, hosts),
             Event::Report(server, report) => self.take_report(now, &server, report),
             Event::Ordered(order, answer) => self.take_answer(now, &order, answer),
-            Event::Demand(daemon, waiting) => self.demand.report(now, &daemon, &waiting),
+            Event::Demand(daemon, waiting) => self.demand.update(now, &daemon, &waiting),
             Event::Hints(daemon, hints) => self.take_hints(now, daemon, hints),
             Event::Edit(edit) => self.take_edit(edit),
-            Event::Claim(key) => self.take_claim(now, key),
-            Event::Unclaim(key) => self.withdraw(key),
+            Event::Claim(key) => self.request_claim(now, key),
+            Event::Unclaim(key) => self.cancel_claim(key),
             Event::Settle(settlement) => {
                 self.appender.push(Record::Settle(settlement));
             }
@@ -218,7 +220,7 @@
     /// Takes over a whole state, read from a snapshot or a peer.
     ///
     /// Ignored unless it is ahead of what was read.
-    pub fn install(&mut self, now: Duration, state: State) -> Vec<Effect> {
+    pub fn install(&mut self, now: Duration, state: ReplicatedState) -> Vec<Effect> {
         if state.offset <= self.state.offset {
             return Vec::new();
         }
@@ -226,12 +228,12 @@
         let writer = self.state.writers.get(&self.settings.id);
         let own = writer.filter(|w| w.incarnation == self.settings.incarnation);
         if let Some(sequence) = own.map(|w| w.sequence) {
-            self.appender.skip_to(sequence);
+            self.appender.drop_through(sequence);
         }
-        self.authority.restart_waits(now);
+        self.authority.restart_bid_timers(now);
         self.find_local();
         self.observe(now);
-        let (answers, records) = self.desk.resync(&self.state);
+        let (answers, records) = self.claims.resync(&self.state);
         for (key, answer) in answers {
             self.effects.push(Effect::Claimed(key, answer));
         }
@@ -244,9 +246,9 @@
         std::mem::take(&mut self.effects)
     }
 
-    pub(crate) fn decide(
+    pub(crate) fn log_decision(
         &mut self,
-        action: Choice,
+        action: DecisionKind,
         model: &str,
         place: &str,
         reason: impl Into<String>,
@@ -263,9 +265,9 @@
     fn is_local(&self, record: &Record) -> bool {
         match record {
             Record::Server(facts) => {
-                facts.centre == self.settings.centre || self.local.contains(&facts.id)
+                facts.centre == self.settings.centre || self.local_servers.contains(&facts.id)
             }
-            Record::Gone(server, _) => self.local.contains(server),
+            Record::Gone(server, _) => self.local_servers.contains(server),
             _ => false,
         }
     }
@@ -273,11 +275,11 @@
     /// Looks up the backend servers of this data centre anew; there are many of other ones.
     fn find_local(&mut self) {
         let local = self.state.servers.values().filter(|s| s.centre == self.settings.centre);
-        self.local = local.map(|s| s.id.clone()).collect();
+        self.local_servers = local.map(|s| s.id.clone()).collect();
     }
 
     pub(crate) fn local_slots(&self) -> Vec<SlotId> {
-        let slots = self.local.iter().flat_map(|s| self.state.slots.on_server(s));
+        let slots = self.local_servers.iter().flat_map(|s| self.state.slots.on_server(s));
         slots.map(|(id, _)| id).collect()
     }
 
@@ -290,7 +292,7 @@
     fn log_read(&mut self, now: Duration) {
         if self.heard.is_some_and(|at| now >= at + LOG_SILENCE) {
             // While the log was silent nobody's renewal could be read.
-            self.authority.restart_waits(now);
+            self.authority.restart_bid_timers(now);
         }
         let is_first = self.heard.replace(now).is_none();
         if is_first {
@@ -316,9 +318,9 @@
             self.checkpoint = (self.state.offset, self.state.hash());
         }
         if self.state.tick != tick {
-            self.ticked = now;
+            self.last_tick = now;
         }
-        let back = self.appender.read_back(entry);
+        let back = self.appender.on_read(entry);
         let own =
             entry.writer == self.settings.id && entry.incarnation == self.settings.incarnation;
         let (mut changed, mut moved) = (false, false);
@@ -327,7 +329,7 @@
             moved |= self.is_local(record);
             self.note(record, outcome);
             if own {
-                self.note_own(record, outcome, back.map(|b| b.sent));
+                self.note_own(record, outcome, back.map(|b| b.sent_at));
             }
         }
         if moved {
@@ -342,17 +344,17 @@
     fn observe(&mut self, now: Duration) {
         let centre = self.settings.centre.clone();
         self.authority.observe(now, &centre, self.state.leases.get(&centre));
-        self.note_lead();
+        self.on_lease_change();
     }
 
     fn note(&mut self, record: &Record, outcome: Outcome) {
         match record {
             Record::Snapshot(part) if part.part + 1 == part.parts => {
-                self.snapshot = self.snapshot.max(part.at);
+                self.snapshot_offset = self.snapshot_offset.max(part.at);
             }
             Record::Edit(edit) if outcome.is_ok() => {
                 let reason = format!("id={} rows={}", edit.id, edit.changes.len());
-                self.decide(Choice::Accept, "", "", reason);
+                self.log_decision(DecisionKind::Accept, "", "", reason);
             }
             _ => {}
         }
@@ -362,15 +364,15 @@
         match record {
             Record::Bid(_) | Record::Renew if outcome.is_ok() => {
                 if let Some(sent) = sent {
-                    self.authority.renewed(sent);
+                    self.authority.record_renewal(sent);
                 }
             }
-            Record::Claim(key) => self.note_claim(*key, outcome),
+            Record::Claim(key) => self.on_claim_decided(*key, outcome),
             Record::Edit(_) => self.answer_edits(),
             Record::Intent(intent) => {
                 if let Err(rejection) = outcome {
                     let (model, server) = (intent.model.clone(), intent.server.clone());
-                    self.decide(Choice::Reject, &model, &server, rejection.to_string());
+                    self.log_decision(DecisionKind::Reject, &model, &server, rejection.to_string());
                 }
             }
             _ => {}
@@ -379,28 +381,28 @@
 
     fn take_edit(&mut self, edit: Edit) {
         let record = Record::Edit(edit.clone());
-        if self.edits.take(edit, &self.state) {
-            self.appender.push_once(record);
+        if self.edits.add(edit, &self.state) {
+            self.appender.push_unique(record);
         }
         self.answer_edits();
     }
 
     /// Answers the edits that the log has decided.
     fn answer_edits(&mut self) {
-        for (edit, answer) in self.edits.decided(&self.state) {
+        for (edit, answer) in self.edits.take_decided(&self.state) {
             self.effects.push(Effect::Edited(edit, answer));
         }
     }
 
     fn take_hints(&mut self, now: Duration, daemon: DaemonId, hints: Vec<Hint>) {
-        if self.hints.take(now, daemon, hints) {
+        if self.hints.update(now, daemon, hints) {
             self.effects.push(Effect::Publish);
         }
     }
 
-    fn take_report(&mut self, now: Duration, server: &str, report: Option<Report>) {
+    fn take_report(&mut self, now: Duration, server: &str, report: Option<ServerReport>) {
         let Some(report) = report else {
-            self.fleet.failed(now, server);
+            self.fleet.record_failure(now, server);
             self.effects.push(Effect::Publish);
             return;
         };
@@ -409,30 +411,30 @@
             // The report is of another start than the one the log knows.
             return;
         }
-        let was = self.fleet.member(server).is_some_and(|m| m.leaving);
+        let was = self.fleet.get(server).is_some_and(|m| m.leaving);
         self.note_use(now, server, &report);
         let leaving = report.leaving;
-        self.fleet.reported(now, server, report);
+        self.fleet.record_report(now, server, report);
         if leaving && !was {
             self.effects.push(Effect::Publish);
         }
     }
 
-    fn note_use(&mut self, now: Duration, server: &str, report: &Report) {
+    fn note_use(&mut self, now: Duration, server: &str, report: &ServerReport) {
         let slots: Vec<(SlotId, ModelName)> =
             self.state.slots.on_server(server).map(|(id, s)| (id, s.model.clone())).collect();
         for (id, model) in slots {
             let Some(line) = report.model(&model) else {
                 continue;
             };
-            let watch = self.watches.entry(now, id);
-            let begun = line.served != watch.served;
-            watch.served = line.served;
-            watch.active = line.active;
+            let tracked = self.slot_tracker.get_or_insert(now, id);
+            let begun = line.served != tracked.served;
+            tracked.served = line.served;
+            tracked.active = line.active;
             if begun || line.active > 0 {
-                watch.used = now;
-                if let Some(gap) = self.watches.used(now, &model) {
-                    self.warm.returned(&model, gap);
+                tracked.last_used = now;
+                if let Some(gap) = self.slot_tracker.record_use(now, &model) {
+                    self.keep_warm.record_gap(&model, gap);
                 }
             }
         }
@@ -440,12 +442,12 @@
 
     fn take_answer(&mut self, now: Duration, order: &Order, answer: OrderAnswer) {
         if answer == OrderAnswer::Unknown {
-            self.fleet.failed(now, &order.server);
+            self.fleet.record_failure(now, &order.server);
         }
-        self.watches.answered(now, order, answer);
+        self.slot_tracker.record_answer(now, order, answer);
         if answer == OrderAnswer::Stale {
-            self.decide(
-                Choice::Reject,
+            self.log_decision(
+                DecisionKind::Reject,
                 &order.model,
                 &order.server,
                 "the engine knows a newer fence",
--- a/lib/src/slot_duty.rs
+++ b/lib/src/control_slots.rs
@@ -3,29 +3,29 @@
 use std::time::Duration;
 
 use crate::control::Controller;
-use crate::event::Choice;
+use crate::event::DecisionKind;
 use crate::event::Effect;
-use crate::host::Action;
 use crate::host::Order;
+use crate::host::OrderAction;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
 use crate::ids::SlotId;
 use crate::ids::order_fence;
-use crate::placement::Plan;
-use crate::placement::Scene;
+use crate::load_planner::LoadPlanner;
+use crate::load_planner::PlanStep;
 use crate::record::Freed;
 use crate::record::Intent;
 use crate::record::Phase;
 use crate::record::PhaseChange;
 use crate::record::Record;
 use crate::record::Source;
+use crate::slot_reconciler::SlotReconciler;
+use crate::slot_reconciler::SlotStep;
 use crate::slots::Slot;
-use crate::upkeep::Step;
-use crate::upkeep::Upkeep;
 
 impl Controller {
     /// Takes the next step of each slot; between two full rounds only of those that are not at rest.
-    pub(crate) fn keep_slots(&mut self, now: Duration, full: bool) {
+    pub(crate) fn reconcile_slots(&mut self, now: Duration, full: bool) {
         let ids = if full { self.local_slots() } else { self.moving_slots() };
         for id in ids {
             let Some(slot) = self.state.slots.get(id).cloned() else {
@@ -34,10 +34,12 @@
             if self.is_freeing(id) {
                 continue;
             }
-            self.watches.entry(now, id).follow(now, &slot);
+            self.slot_tracker.get_or_insert(now, id).update_from_log(now, &slot);
             let step = {
-                let upkeep = self.upkeep(now);
-                self.watches.get(id).and_then(|watch| upkeep.step(id, &slot, watch))
+                let reconciler = self.reconciler(now);
+                self.slot_tracker
+                    .get(id)
+                    .and_then(|tracked| reconciler.next_step(id, &slot, tracked))
             };
             if let Some(step) = step {
                 self.take_step(now, id, &slot, step);
@@ -50,123 +52,123 @@
         let centre = &self.settings.centre;
         let local =
             |s: &Slot| self.state.servers.get(&s.server).is_some_and(|f| f.centre == *centre);
-        let moving = self.state.slots.moving().filter(|(_, s)| local(s)).map(|(id, _)| id);
-        let mut ids: Vec<SlotId> = moving.chain(self.watches.ordered_slots()).collect();
+        let moving = self.state.slots.transitioning().filter(|(_, s)| local(s)).map(|(id, _)| id);
+        let mut ids: Vec<SlotId> = moving.chain(self.slot_tracker.slots_with_order()).collect();
         ids.sort_unstable();
         ids.dedup();
         ids
     }
 
-    fn scene(&self, now: Duration) -> Scene<'_> {
-        Scene {
+    fn planner(&self, now: Duration) -> LoadPlanner<'_> {
+        LoadPlanner {
             now,
             centre: &self.settings.centre,
             state: &self.state,
             fleet: &self.fleet,
             demand: &self.demand,
             rates: &self.rates,
-            watches: &self.watches,
+            slot_tracker: &self.slot_tracker,
         }
     }
 
-    fn upkeep(&self, now: Duration) -> Upkeep<'_> {
-        Upkeep {
-            scene: self.scene(now),
-            warm: &self.warm,
-            me: (&self.settings.id, self.settings.incarnation),
-            valid: self.authority.is_valid(now),
+    fn reconciler(&self, now: Duration) -> SlotReconciler<'_> {
+        SlotReconciler {
+            planner: self.planner(now),
+            keep_warm: &self.keep_warm,
+            daemon: (&self.settings.id, self.settings.incarnation),
+            lease_valid: self.authority.is_valid(now),
         }
     }
 
-    fn take_step(&mut self, now: Duration, id: SlotId, slot: &Slot, step: Step) {
+    fn take_step(&mut self, now: Duration, id: SlotId, slot: &Slot, step: SlotStep) {
         let (model, server) = (slot.model.as_str(), slot.server.as_str());
         match step {
-            Step::Load => {
-                self.order(now, id, Action::Load);
+            SlotStep::Load => {
+                self.order(now, id, OrderAction::Load);
             }
-            Step::Reload => {
+            SlotStep::Reload => {
                 self.change_phase(id, slot.phase);
             }
-            Step::Ready => self.note_ready(now, id, slot),
-            Step::Drain(reason) => {
+            SlotStep::Ready => self.note_ready(now, id, slot),
+            SlotStep::Drain(reason) => {
                 if self.change_phase(id, Phase::Draining) {
-                    self.decide(Choice::Drain, model, server, reason);
+                    self.log_decision(DecisionKind::Drain, model, server, reason);
                 }
             }
-            Step::Retain => {
+            SlotStep::Retain => {
                 if self.change_phase(id, Phase::Loaded) {
-                    self.decide(Choice::Retain, model, server, "it is wanted again");
+                    self.log_decision(DecisionKind::Retain, model, server, "it is wanted again");
                 }
             }
-            Step::Unload(reason) => {
-                if self.order(now, id, Action::Unload) {
-                    self.decide(Choice::Unload, model, server, reason);
+            SlotStep::Unload(reason) => {
+                if self.order(now, id, OrderAction::Unload) {
+                    self.log_decision(DecisionKind::Unload, model, server, reason);
                 }
             }
-            Step::Sleep(_) => {
+            SlotStep::Reserve(_) => {
                 self.change_phase(id, Phase::Reserved);
             }
-            Step::Free(reason) => self.free(now, id, slot, reason),
+            SlotStep::Free(reason) => self.free(now, id, slot, reason),
         }
     }
 
     fn note_ready(&mut self, now: Duration, id: SlotId, slot: &Slot) {
-        let watch = self.watches.entry(now, id);
-        if !watch.loaded {
-            watch.loaded = true;
-            watch.used = now;
-            let took = now.saturating_sub(watch.began);
+        let tracked = self.slot_tracker.get_or_insert(now, id);
+        if !tracked.loaded {
+            tracked.loaded = true;
+            tracked.last_used = now;
+            let took = now.saturating_sub(tracked.load_began);
             if let (Phase::Loading(source), Some(row)) =
                 (slot.phase, self.state.table.row(&slot.model))
             {
-                self.rates.learn(row.load_mib, source, took);
+                self.rates.record_load(row.load_mib, source, took);
             }
             let reason = format!("loaded in {:.2}s", took.as_secs_f64());
-            self.decide(Choice::Ready, &slot.model, &slot.server, reason);
+            self.log_decision(DecisionKind::Ready, &slot.model, &slot.server, reason);
             self.effects.push(Effect::Publish);
         }
         self.change_phase(id, Phase::Loaded);
     }
 
     fn free(&mut self, now: Duration, id: SlotId, slot: &Slot, reason: String) {
-        let Some(fence) = self.fence() else {
+        let Some(fence) = self.held_fence() else {
             return;
         };
-        let orderer_gone = self.upkeep(now).is_gone(slot);
+        let orderer_gone = self.reconciler(now).is_orderer_gone(slot);
         let record = Record::Freed(Freed { slot: id, fence, orderer_gone });
-        if self.appender.push_once(record) {
-            self.decide(Choice::Free, &slot.model, &slot.server, reason);
+        if self.appender.push_unique(record) {
+            self.log_decision(DecisionKind::Free, &slot.model, &slot.server, reason);
         }
     }
 
     /// Queues a change of phase; returns false where it is queued already.
     fn change_phase(&mut self, slot: SlotId, phase: Phase) -> bool {
-        let Some(fence) = self.fence() else {
+        let Some(fence) = self.held_fence() else {
             return false;
         };
-        self.appender.push_once(Record::Phase(PhaseChange { slot, fence, phase }))
+        self.appender.push_unique(Record::Phase(PhaseChange { slot, fence, phase }))
     }
 
     pub(crate) fn place_models(&mut self, now: Duration) {
         if self.stopping {
             return;
         }
-        for plan in self.scene(now).plan_loads() {
+        for plan in self.planner(now).plan_loads() {
             match plan {
-                Plan::Place { model, server, source, reason } => {
+                PlanStep::Place { model, server, source, reason } => {
                     self.place(now, model, server, source, reason);
                 }
-                Plan::Wake { slot, source, reason } => self.wake(now, slot, source, reason),
-                Plan::Evict { slot, reason } => self.evict(now, slot, reason),
-                Plan::Hold { model, reason } => {
-                    if self.held.insert(model.clone(), reason) != Some(reason) {
-                        self.decide(Choice::Hold, &model, "", reason);
+                PlanStep::Wake { slot, source, reason } => self.wake(now, slot, source, reason),
+                PlanStep::Evict { slot, reason } => self.evict(now, slot, reason),
+                PlanStep::Hold { model, reason } => {
+                    if self.logged_holds.insert(model.clone(), reason) != Some(reason) {
+                        self.log_decision(DecisionKind::Hold, &model, "", reason);
                     }
                 }
             }
         }
         let demand = &self.demand;
-        self.held.retain(|model, _| demand.total(model).is_some());
+        self.logged_holds.retain(|model, _| demand.total(model).is_some());
     }
 
     fn place(
@@ -177,15 +179,17 @@
         source: Source,
         reason: String,
     ) {
-        let (Some(fence), Some(facts)) = (self.fence(), self.state.servers.get(&server)) else {
+        let (Some(fence), Some(facts)) = (self.held_fence(), self.state.servers.get(&server))
+        else {
             return;
         };
-        let queued = self.appender.any(|r| matches!(r, Record::Intent(i) if i.model == model));
+        let queued =
+            self.appender.any_pending(|r| matches!(r, Record::Intent(i) if i.model == model));
         if queued || !self.is_log_up(now) {
             return;
         }
         let incarnation = facts.incarnation;
-        self.decide(Choice::Place, &model, &server, reason);
+        self.log_decision(DecisionKind::Place, &model, &server, reason);
         let intent = Intent { model, server, incarnation, fence, source };
         self.appender.push(Record::Intent(intent));
     }
@@ -201,15 +205,20 @@
         };
         if self.is_log_up(now) {
             if self.change_phase(id, Phase::Loading(source)) {
-                self.decide(Choice::Wake, &slot.model, &slot.server, reason);
+                self.log_decision(DecisionKind::Wake, &slot.model, &slot.server, reason);
             }
             return;
         }
         let fencing = self.state.servers.get(&slot.server).is_some_and(|s| s.fencing);
-        let ordered = self.watches.get(id).and_then(|w| w.order);
-        let again = ordered.is_none_or(|o| o.action != Action::Load);
-        if fencing && again && self.order(now, id, Action::Load) {
-            self.decide(Choice::Wake, &slot.model, &slot.server, "reserved; the log is down");
+        let ordered = self.slot_tracker.get(id).and_then(|w| w.order);
+        let again = ordered.is_none_or(|o| o.action != OrderAction::Load);
+        if fencing && again && self.order(now, id, OrderAction::Load) {
+            self.log_decision(
+                DecisionKind::Wake,
+                &slot.model,
+                &slot.server,
+                "reserved; the log is down",
+            );
         }
     }
 
@@ -217,10 +226,10 @@
         let Some(slot) = self.state.slots.get(id).cloned() else {
             return;
         };
-        let watch = self.watches.entry(now, id);
-        if !watch.giving {
-            watch.giving = true;
-            self.decide(Choice::Drain, &slot.model, &slot.server, reason);
+        let tracked = self.slot_tracker.get_or_insert(now, id);
+        if !tracked.evicting {
+            tracked.evicting = true;
+            self.log_decision(DecisionKind::Drain, &slot.model, &slot.server, reason);
         }
     }
 
@@ -229,25 +238,25 @@
     /// From its append on the slot may be free in the log, though this daemon has not read that,
     /// and will not for long if it is cut off. A load ordered then would have no slot.
     pub(crate) fn is_freeing(&self, id: SlotId) -> bool {
-        self.appender.any(|r| matches!(r, Record::Freed(f) if f.slot == id))
+        self.appender.any_pending(|r| matches!(r, Record::Freed(f) if f.slot == id))
     }
 
     /// Gives an order, unless one to the same backend server is unanswered.
     ///
     /// Two orders under way at once could arrive in either order, and the engine would refuse the
     /// one with the lesser number.
-    pub(crate) fn order(&mut self, now: Duration, id: SlotId, action: Action) -> bool {
-        let (Some(lease), Some(slot)) = (self.fence(), self.state.slots.get(id)) else {
+    pub(crate) fn order(&mut self, now: Duration, id: SlotId, action: OrderAction) -> bool {
+        let (Some(lease), Some(slot)) = (self.held_fence(), self.state.slots.get(id)) else {
             return false;
         };
-        if self.watches.is_busy(now, &slot.server) || self.is_freeing(id) {
+        if self.slot_tracker.has_order_inflight(now, &slot.server) || self.is_freeing(id) {
             return false;
         }
         let Some(server) = self.state.servers.get(&slot.server) else {
             return false;
         };
-        self.orders += 1;
-        let fence = order_fence(lease, self.orders);
+        self.orders_given += 1;
+        let fence = order_fence(lease, self.orders_given);
         let row = self.state.table.row(&slot.model);
         let order = Order {
             action,
@@ -262,8 +271,8 @@
         };
         // An engine that ignores fencing numbers must get no order after the lease's end; one that
         // heeds them refuses it itself.
-        let until = if server.fencing { None } else { self.authority.until() };
-        self.watches.ordered(now, &order);
+        let until = if server.fencing { None } else { self.authority.valid_until() };
+        self.slot_tracker.record_order(now, &order);
         self.effects.push(Effect::Order(order, until));
         true
     }
--- a/lib/src/shell.rs
+++ b/lib/src/control_thread.rs
@@ -20,15 +20,15 @@
 use crate::ids::CentreId;
 use crate::ids::ClaimKey;
 use crate::ids::Offset;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
 use crate::peer_message::Digest;
 use crate::peer_message::MAX_DATAGRAM;
 use crate::peer_message::MAX_LINES;
 use crate::record::Entry;
-use crate::state::State;
+use crate::replicated_state::ReplicatedState;
+use crate::routing_view::RoutingView;
 use crate::trace::TraceWriter;
-use crate::view::View;
 use crate::wire;
 
 /// Entries kept for peers that are cut off from the log.
@@ -41,27 +41,27 @@
 const QUIET_DIGEST: Duration = Duration::from_secs(1);
 
 /// An order to be carried out, and how late.
-pub type Errand = (SocketAddr, Order, Option<Duration>);
+pub type OrderTask = (SocketAddr, Order, Option<Duration>);
 
 /// Channels to the filters that do the input and output.
 #[derive(Debug)]
-pub struct Outputs {
+pub struct ControlOutputs {
     /// Entries to append.
     pub appends: flume::Sender<Entry>,
     /// Backend servers to ask for a report.
     pub polls: flume::Sender<(SmolStr, SocketAddr)>,
     /// Orders to give.
-    pub orders: flume::Sender<Errand>,
+    pub orders: flume::Sender<OrderTask>,
     /// Datagrams to peers.
     pub socket: UdpSocket,
 }
 
 /// The control thread's state.
 #[derive(Debug)]
-pub struct Shell {
+pub struct ControlThread {
     node: Arc<Node>,
     control: Controller,
-    outputs: Outputs,
+    outputs: ControlOutputs,
     trace: Option<TraceWriter>,
     claims: BTreeMap<ClaimKey, flume::Sender<ClaimAnswer>>,
     edits: Vec<(SmolStr, flume::Sender<EditAnswer>)>,
@@ -71,12 +71,12 @@
     idled: Duration,
 }
 
-impl Shell {
+impl ControlThread {
     /// Creates the control thread's state.
     pub fn new(
         node: Arc<Node>,
         control: Controller,
-        outputs: Outputs,
+        outputs: ControlOutputs,
         trace: Option<TraceWriter>,
     ) -> Self {
         Self {
@@ -94,40 +94,40 @@
     }
 
     /// Runs until the daemon ends.
-    pub fn run(mut self, inputs: &flume::Receiver<Input>) {
+    pub fn run(mut self, inputs: &flume::Receiver<ControlInput>) {
         while let Ok(input) = inputs.recv() {
-            if matches!(input, Input::End) {
+            if matches!(input, ControlInput::Shutdown) {
                 return;
             }
             self.take(input);
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn take(&mut self, input: ControlInput) {
         let now = self.node.now();
         match input {
-            Input::Event(event) => self.handle(now, event),
-            Input::Install(state) => {
+            ControlInput::Event(event) => self.handle(now, event),
+            ControlInput::InstallState(state) => {
                 let effects = self.control.install(now, *state);
                 self.recent.clear();
                 self.carry_out(now, effects);
             }
-            Input::Claim(key, sender) => self.claim(now, key, sender),
-            Input::Edit(edit, sender) => {
+            ControlInput::Claim(key, sender) => self.claim(now, key, sender),
+            ControlInput::Edit(edit, sender) => {
                 self.edits.push((edit.id.clone(), sender));
                 self.handle(now, Event::Edit(edit));
             }
             // Whoever asked may have given up meanwhile; so below.
-            Input::State(sender) => {
+            ControlInput::GetState(sender) => {
                 let _gone = sender.send(self.control.state().clone());
             }
-            Input::Entries(from, sender) => {
+            ControlInput::GetEntries(from, sender) => {
                 let _gone = sender.send(self.entries(from));
             }
-            Input::PeerAt(peer, offset, hash) => self.note_peer(peer, offset, hash),
-            Input::End => {}
+            ControlInput::PeerOffset(peer, offset, hash) => self.note_peer(peer, offset, hash),
+            ControlInput::Shutdown => {}
         }
-        self.node.applied.store(self.control.state().offset, Ordering::Relaxed);
+        self.node.applied_offset.store(self.control.state().offset, Ordering::Relaxed);
     }
 
     /// Notes how far a peer has read, and compares states at the same checkpoint.
@@ -138,13 +138,13 @@
         if own.0 > 0 && own.0 == hash.0 && own.1 != hash.1 {
             slog::crit!(self.node.log, "divergence"; "offset" => own.0, "peer" => peer.as_str());
         }
-        let mut ahead = self.node.ahead.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut ahead = self.node.peer_offsets.lock().unwrap_or_else(PoisonError::into_inner);
         ahead.insert(peer, offset);
     }
 
     fn handle(&mut self, now: Duration, event: Event) {
         if let Some(trace) = &mut self.trace {
-            trace.write(now, &event);
+            trace.write_event(now, &event);
         }
         if let Event::Entry(offset, entry) = &event
             && *offset == self.control.state().offset
@@ -180,7 +180,7 @@
     fn claim(&mut self, now: Duration, key: ClaimKey, sender: flume::Sender<ClaimAnswer>) {
         let event = Event::Claim(key);
         if let Some(trace) = &mut self.trace {
-            trace.write(now, &event);
+            trace.write_event(now, &event);
         }
         let effects = self.control.handle(now, event);
         let mut answer = None;
@@ -214,7 +214,7 @@
                 Effect::Claimed(key, answer) => self.answer_claim(key, answer),
                 Effect::Edited(edit, answer) => self.answer_edit(&edit.id, &answer),
                 Effect::Publish => publish = true,
-                Effect::Decide(decision) => self.node.note_decision(&decision),
+                Effect::Decide(decision) => self.node.log_decision(&decision),
             }
         }
         if publish {
@@ -223,20 +223,20 @@
     }
 
     fn publish(&self, now: Duration) {
-        let mut rates = self.node.rates.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut rates = self.node.load_rates.lock().unwrap_or_else(PoisonError::into_inner);
         *rates = *self.control.rates();
         drop(rates);
-        self.node.publish(View::of(&self.control, now));
+        self.node.publish(RoutingView::new(&self.control, now));
     }
 
     fn poll(&self, server: SmolStr) {
-        if let Some(member) = self.control.fleet().member(&server) {
+        if let Some(member) = self.control.fleet().get(&server) {
             let _ending = self.outputs.polls.send((server, member.host.addr));
         }
     }
 
     fn order(&self, order: Order, until: Option<Duration>) {
-        if let Some(member) = self.control.fleet().member(&order.server) {
+        if let Some(member) = self.control.fleet().get(&order.server) {
             let _ending = self.outputs.orders.send((member.host.addr, order, until));
         }
     }
@@ -249,7 +249,7 @@
         let granted = answer == ClaimAnswer::Granted;
         let heard = self.claims.remove(&key).is_some_and(|sender| sender.send(answer).is_ok());
         if granted && !heard {
-            let _full = self.node.tell(Input::Event(Event::Unclaim(key)));
+            let _full = self.node.send(ControlInput::Event(Event::Unclaim(key)));
         }
     }
 
@@ -265,13 +265,13 @@
 
     fn on_tick(&mut self, now: Duration) {
         let logged = self.control.is_log_up(now);
-        if self.node.view.load().logged != logged {
+        if self.node.view.load().log_up != logged {
             slog::warn!(self.node.log, "log"; "up" => logged);
             self.publish(now);
         }
         self.send_digests(now);
         self.count_idle(now);
-        self.node.pump();
+        self.node.wake_waiting();
         self.node.outcomes.expire(now);
         self.node.router().expire(now);
         self.edits.retain(|(_, sender)| !sender.is_disconnected());
@@ -328,12 +328,12 @@
     }
 
     /// Returns the daemons to tell: `all` of this data centre, and with news the lease holders.
-    fn targets(&self, state: &State, busy: bool, all: bool) -> Vec<SocketAddr> {
+    fn targets(&self, state: &ReplicatedState, busy: bool, all: bool) -> Vec<SocketAddr> {
         let centre: &CentreId = &self.node.settings.centre;
         let holders: Vec<_> = state.leases.values().map(|l| &l.daemon).collect();
         self.control
             .fleet()
-            .with_role(crate::host::Role::Entry)
+            .with_role(crate::host::HostRole::Entry)
             .filter(|m| m.host.id != self.node.settings.id)
             .filter(|m| {
                 (all && m.host.centre == *centre) || (busy && holders.contains(&&m.host.id))
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -16,23 +16,23 @@
 use thiserror::Error;
 use tiny_http::Server;
 
+use crate::backend_client::BackendClient;
 use crate::control::ControlSettings;
 use crate::control::Controller;
+use crate::control_thread::ControlThread;
 use crate::event::Event;
-use crate::exchange::Exchange;
 use crate::gateway;
 use crate::ids::Incarnation;
 use crate::log_reader;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
-use crate::peers::Peers;
+use crate::peer_server::PeerServer;
 use crate::settings::Settings;
-use crate::shell::Shell;
 use crate::timer::Clock;
 use crate::timer::Timer;
 use crate::trace::TraceWriter;
 use crate::workers;
-use crate::workers::Borders;
+use crate::workers::PlatformClients;
 
 /// Period of the control state machine.
 const TICK: Duration = Duration::from_millis(50);
@@ -95,11 +95,11 @@
 /// Sockets of a daemon, opened before anything else so that their addresses are known.
 pub struct Sockets {
     server: Server,
-    peers: Peers,
+    peers: PeerServer,
     /// Where callers connect.
     pub addr: SocketAddr,
     /// Where other daemons connect.
-    pub peer: SocketAddr,
+    pub peer_addr: SocketAddr,
 }
 
 impl fmt::Debug for Sockets {
@@ -120,9 +120,10 @@
         let addr = listener.local_addr().map_err(refused)?;
         let server = Server::from_listener(listener, None)
             .map_err(|e| refused(io::Error::other(e.to_string())))?;
-        let peers = Peers::open(peer).map_err(|source| StartError::Peer { addr: peer, source })?;
+        let peers =
+            PeerServer::bind(peer).map_err(|source| StartError::Peer { addr: peer, source })?;
         let peer = peers.addr().map_err(StartError::System)?;
-        Ok(Self { server, peers, addr, peer })
+        Ok(Self { server, peers, addr, peer_addr: peer })
     }
 }
 
@@ -136,34 +137,34 @@
         settings: Settings,
         incarnation: Incarnation,
         sockets: Sockets,
-        borders: &Borders,
-        exchange: Arc<dyn Exchange>,
+        clients: &PlatformClients,
+        backend_client: Arc<dyn BackendClient>,
         log: Logger,
     ) -> Result<Self, StartError> {
         let control = ControlSettings {
             id: settings.id.clone(),
             incarnation,
             centre: settings.centre.clone(),
-            gap: settings.gap,
-            policy: settings.policy,
-            poll: settings.poll,
+            append_gap: settings.append_gap,
+            keep_warm: settings.keep_warm,
+            poll_interval: settings.poll_interval,
         };
         let trace = settings
-            .trace
+            .trace_path
             .as_ref()
             .map(|path| TraceWriter::create(path, &control))
             .transpose()
             .map_err(StartError::Trace)?;
         let (sender, inputs) = flume::unbounded();
-        let node = Arc::new(Node::new(settings, incarnation, sender, exchange, log));
+        let node = Arc::new(Node::new(settings, incarnation, sender, backend_client, log));
         let controller = Controller::new(control);
         let Sockets { server, peers, addr, .. } = sockets;
-        let shell = (|| {
+        let control_thread = (|| {
             let socket = peers.start(&node)?;
-            let outputs = workers::start(&node, borders, socket)?;
-            let log = Arc::clone(&borders.log);
+            let outputs = workers::start(&node, clients, socket)?;
+            let log = Arc::clone(&clients.log);
             workers::spawn("log-reader", &node, move |node| log_reader::run(node, log.as_ref()))?;
-            Ok(Shell::new(Arc::clone(&node), controller, outputs, trace))
+            Ok(ControlThread::new(Arc::clone(&node), controller, outputs, trace))
         })()
         .map_err(StartError::System)?;
         subscribe(&node);
@@ -171,10 +172,10 @@
         let spawn = |name: &str, run: Box<dyn FnOnce() + Send>| {
             thread::Builder::new().name(name.into()).spawn(run).map_err(StartError::System)
         };
-        let control = spawn("control", Box::new(move || shell.run(&inputs)))?;
+        let control = spawn("control", Box::new(move || control_thread.run(&inputs)))?;
         let (accepting, accepted) = (Arc::clone(&node), Arc::clone(&server));
         let accept = spawn("accept", Box::new(move || gateway::run(&accepting, &accepted)))?;
-        slog::info!(node.log, "start"; "peer" => node.settings.peer.to_string(),
+        slog::info!(node.log, "start"; "peer" => node.settings.peer_addr.to_string(),
             "listen" => addr.to_string(), "centre" => node.settings.centre.as_str(),
             "daemon" => node.settings.id.as_str());
         Ok(Self { node, server, addr, control, accept })
@@ -192,21 +193,21 @@
         let node = &self.node;
         node.stopping.store(true, Ordering::Relaxed);
         node.waiting.close();
-        let end = node.now() + node.settings.drain;
+        let end = node.now() + node.settings.drain_timeout;
         while node.limits().total() > 0 && node.now() < end {
             thread::sleep(STOP_STEP);
         }
         let left = node.limits().total();
-        node.tell(Input::Event(Event::Stop));
-        thread::sleep(LAST_APPEND.min(node.settings.drain));
+        node.send(ControlInput::Event(Event::Stop));
+        thread::sleep(LAST_APPEND.min(node.settings.drain_timeout));
         slog::info!(node.log, "stop"; "cut" => left, "daemon" => node.settings.id.as_str());
-        self.end();
+        self.abort();
         left == 0
     }
 
     /// Ends the daemon's threads without waiting for anything, as a crash would.
-    pub fn end(self) {
-        self.node.tell(Input::End);
+    pub fn abort(self) {
+        self.node.send(ControlInput::Shutdown);
         self.server.unblock();
         // A thread that panicked has said so on standard error already.
         let _panicked = self.control.join();
@@ -220,6 +221,6 @@
     // The control thread's own clock counts; the timer only paces it.
     timer.subscribe(TICK, move |_| {
         // A slow control thread gets no pile of ticks.
-        control.len() > 1000 || control.send(Input::Event(Event::Tick)).is_ok()
+        control.len() > 1000 || control.send(ControlInput::Event(Event::Tick)).is_ok()
     });
 }
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use crate::exchange::Call;
-use crate::exchange::Failure;
-use crate::exchange::Fault;
+use crate::backend_client::Failure;
+use crate::backend_client::FailureKind;
+use crate::backend_client::ServerRequest;
+use crate::caller_request::CallerRequest;
 use crate::ids::ServerId;
-use crate::job::Job;
 use crate::node::Node;
-use crate::queue::Refusal;
+use crate::queue::QueueRefusal;
 use crate::queue::Waiter;
 use crate::record::Source;
-use crate::reply::Refused;
+use crate::reply::RequestRefusal;
 use crate::router::Route;
-use crate::router::Wish;
+use crate::router::RouteRequest;
 use crate::verdict::Verdict;
 
 /// Most attempts of one request that may have run.
@@ -25,14 +25,14 @@
 
 /// Why an attempt gave no answer.
 #[derive(Debug)]
-pub enum Stop {
+pub enum AttemptError {
     /// It failed.
     Failed(Failure),
     /// The caller is gone; nobody wants the answer.
     CallerGone,
 }
 
-impl From<Failure> for Stop {
+impl From<Failure> for AttemptError {
     fn from(failure: Failure) -> Self {
         Self::Failed(failure)
     }
@@ -40,9 +40,9 @@
 
 /// How a request ended without an answer.
 #[derive(Debug)]
-pub enum Ended {
+pub enum DispatchError {
     /// The caller must be told.
-    Refused(Refused),
+    Refused(RequestRefusal),
     /// The caller is gone.
     CallerGone,
 }
@@ -64,126 +64,175 @@
 /// The request is refused, or its caller is gone.
 pub fn dispatch<T>(
     node: &Node,
-    job: &Job,
-    mut attempt: impl FnMut(&Route, &Call) -> Result<T, Stop>,
-) -> Result<T, Ended> {
+    caller_request: &CallerRequest,
+    mut attempt: impl FnMut(&Route, &ServerRequest) -> Result<T, AttemptError>,
+) -> Result<T, DispatchError> {
     let mut history =
         History { attempts: 0, failures: 0, verdict: Verdict::DidNotRun, tried: Vec::new() };
-    node.budget().attempted();
+    node.retry_budget().record_first();
     loop {
-        let route = find_route(node, job, &mut history).map_err(Ended::Refused)?;
-        let call = call_of(job, history.attempts);
+        let route =
+            find_route(node, caller_request, &mut history).map_err(DispatchError::Refused)?;
+        let server_request = server_request_for(caller_request, history.attempts);
         history.attempts += 1;
-        node.note_request(&job.id, job.model(), "route", &route.server, route.reason);
-        let result = attempt(&route, &call);
-        node.router().finished(&route.server, job.model());
-        node.pump();
+        node.log_routing(
+            &caller_request.id,
+            caller_request.model(),
+            "route",
+            &route.server,
+            route.reason,
+        );
+        let result = attempt(&route, &server_request);
+        node.router().record_end(&route.server, caller_request.model());
+        node.wake_waiting();
         let failure = match result {
             Ok(value) => return Ok(value),
-            Err(Stop::CallerGone) => return Err(Ended::CallerGone),
-            Err(Stop::Failed(failure)) => failure,
+            Err(AttemptError::CallerGone) => return Err(DispatchError::CallerGone),
+            Err(AttemptError::Failed(failure)) => failure,
         };
-        note_failure(node, job, &route, &failure);
+        note_failure(node, caller_request, &route, &failure);
         history.verdict = history.verdict.and(failure.verdict);
         history.failures += u32::from(failure.verdict != Verdict::DidNotRun);
         history.tried.push(route.server);
-        may_retry(node, job, &history, &failure).map_err(Ended::Refused)?;
+        may_retry(node, caller_request, &history, &failure).map_err(DispatchError::Refused)?;
         node.metrics.retried();
     }
 }
 
-fn call_of(job: &Job, attempt: u32) -> Call {
-    Call {
-        method: job.method.clone(),
-        path: job.path.clone(),
-        content_type: job.content_type.clone(),
-        body: job.body.clone(),
-        attempt: format!("{}.{attempt}", job.id),
-        resume: 0,
-        priority: job.priority,
+fn server_request_for(caller_request: &CallerRequest, attempt: u32) -> ServerRequest {
+    ServerRequest {
+        method: caller_request.method.clone(),
+        path: caller_request.path.clone(),
+        content_type: caller_request.content_type.clone(),
+        body: caller_request.body.clone(),
+        attempt_id: format!("{}.{attempt}", caller_request.id),
+        resume_from: 0,
+        priority: caller_request.priority,
     }
 }
 
-fn note_failure(node: &Node, job: &Job, route: &Route, failure: &Failure) {
+fn note_failure(node: &Node, caller_request: &CallerRequest, route: &Route, failure: &Failure) {
     let now = node.now();
-    match failure.fault {
-        Fault::Leaving => node.router().left(now, &route.server),
-        Fault::NotLoaded => node.router().missed(now, &route.server, job.model()),
-        Fault::Unreachable | Fault::Stalled => node.router().failed(now, &route.server),
-        Fault::Refused => node.router().answered(now, &route.server, job.model(), None),
-        Fault::Truncated | Fault::Faulted | Fault::Crossed => {}
+    match failure.kind {
+        FailureKind::Leaving => node.router().mark_leaving(now, &route.server),
+        FailureKind::NotLoaded => {
+            node.router().mark_missing(now, &route.server, caller_request.model());
+        }
+        FailureKind::Unreachable | FailureKind::Stalled => {
+            node.router().record_failure(now, &route.server);
+        }
+        FailureKind::Refused => {
+            node.router().record_answer(now, &route.server, caller_request.model(), None);
+        }
+        FailureKind::Truncated | FailureKind::ServerError | FailureKind::WrongAttempt => {}
     }
-    let reason = format!("{} {}: {}", failure.verdict, failure.fault.as_str(), failure.detail);
-    node.note_request(&job.id, job.model(), "fail", &route.server, reason);
+    let reason = format!("{} {}: {}", failure.verdict, failure.kind.as_str(), failure.detail);
+    node.log_routing(&caller_request.id, caller_request.model(), "fail", &route.server, reason);
 }
 
 /// Decides whether another attempt is allowed.
 ///
 /// A request that may not be repeated gets one only if no earlier attempt may have run. A refusal
 /// before running costs the backend server nothing and needs no budget.
-fn may_retry(node: &Node, job: &Job, history: &History, failure: &Failure) -> Result<(), Refused> {
-    let refused = |code, message: String| Refused {
+fn may_retry(
+    node: &Node,
+    caller_request: &CallerRequest,
+    history: &History,
+    failure: &Failure,
+) -> Result<(), RequestRefusal> {
+    let refused = |code, message: String| RequestRefusal {
         status: if history.verdict == Verdict::DidNotRun { 503 } else { 502 },
         verdict: history.verdict,
         code,
         message,
-        retry: Some(COME_BACK),
+        retry_after: Some(COME_BACK),
     };
-    if history.verdict != Verdict::DidNotRun && !job.row.repeat {
+    if history.verdict != Verdict::DidNotRun && !caller_request.row.repeat {
         let message = format!("the request may have run: {}", failure.detail);
-        return Err(Refused { retry: None, ..refused("may-have-run", message) });
+        return Err(RequestRefusal { retry_after: None, ..refused("may-have-run", message) });
     }
     // What was refused before running cost nothing; the deadline bounds it.
-    if matches!(failure.fault, Fault::Refused | Fault::Leaving | Fault::NotLoaded) {
+    if matches!(failure.kind, FailureKind::Refused | FailureKind::Leaving | FailureKind::NotLoaded)
+    {
         return Ok(());
     }
     if history.failures >= MAX_FAILURES {
         return Err(refused("attempts-used-up", failure.detail.clone()));
     }
-    if !node.budget().take() {
+    if !node.retry_budget().take_retry() {
         return Err(refused("retry-budget-used-up", failure.detail.clone()));
     }
     Ok(())
 }
 
 /// Returns a replica with room, after waiting for one if need be.
-fn find_route(node: &Node, job: &Job, history: &mut History) -> Result<Route, Refused> {
+fn find_route(
+    node: &Node,
+    caller_request: &CallerRequest,
+    history: &mut History,
+) -> Result<Route, RequestRefusal> {
     let began = node.now();
     let mut woken = false;
     loop {
         let now = node.now();
         let view = node.view.load_full();
-        let wish = Wish { model: job.model(), prefix: job.prefix, tried: &history.tried };
-        let overtakes = !woken && node.waiting.is_waited(job.model());
-        let route = if overtakes { None } else { node.router().choose(now, &view, wish) };
+        let route_request = RouteRequest {
+            model: caller_request.model(),
+            prefix: caller_request.prefix,
+            tried: &history.tried,
+        };
+        let overtakes = !woken && node.waiting.has_waiters(caller_request.model());
+        let route = if overtakes { None } else { node.router().choose(now, &view, route_request) };
         if let Some(route) = route {
             if woken {
-                node.pace().turned(now, job.model(), job.priority);
-                node.metrics.waited(job.model(), now.saturating_sub(began));
+                node.wait_estimator().record_dequeue(
+                    now,
+                    caller_request.model(),
+                    caller_request.priority,
+                );
+                node.metrics.waited(caller_request.model(), now.saturating_sub(began));
             }
             return Ok(route);
         }
-        if !history.tried.is_empty() && node.router().room(now, &view, job.model()) > 0 {
+        if !history.tried.is_empty()
+            && node.router().free_capacity(now, &view, caller_request.model()) > 0
+        {
             // Every replica with room was tried; what refused before may not do so after a pause.
             history.tried.clear();
             std::thread::sleep(PAUSE);
-            if node.now() >= job.deadline {
-                return Err(refuse(node, job, history, Refusal::Expired, COME_BACK));
+            if node.now() >= caller_request.deadline {
+                return Err(refuse(
+                    node,
+                    caller_request,
+                    history,
+                    QueueRefusal::Expired,
+                    COME_BACK,
+                ));
             }
             continue;
         }
-        if !job.row.is_loaded() && view.places(job.model()).is_empty() {
-            let message = format!("no backend server answers for {}", job.model());
-            return Err(Refused::later(503, "no-server", message, COME_BACK));
+        if !caller_request.row.is_loadable() && view.replicas_of(caller_request.model()).is_empty()
+        {
+            let message = format!("no backend server answers for {}", caller_request.model());
+            return Err(RequestRefusal::retryable(503, "no-server", message, COME_BACK));
         }
-        let waiter =
-            Waiter { model: job.model().clone(), priority: job.priority, deadline: job.deadline };
+        let waiter = Waiter {
+            model: caller_request.model().clone(),
+            priority: caller_request.priority,
+            deadline: caller_request.deadline,
+        };
         if !woken {
-            node.note_request(&job.id, job.model(), "wait", "", "no replica has room");
+            node.log_routing(
+                &caller_request.id,
+                caller_request.model(),
+                "wait",
+                "",
+                "no replica has room",
+            );
         }
-        let expected = expected_wait(node, now, job, &waiter);
+        let expected = expected_wait(node, now, caller_request, &waiter);
         let turn = node.waiting.wait(now, waiter, expected);
-        turn.map_err(|r| refuse(node, job, history, r, expected))?;
+        turn.map_err(|r| refuse(node, caller_request, history, r, expected))?;
         woken = true;
     }
 }
@@ -192,45 +241,56 @@
 ///
 /// For a cold model it is the least that a load can take; for others it follows from the pace of the
 /// queue.
-fn expected_wait(node: &Node, now: Duration, job: &Job, waiter: &Waiter) -> Duration {
+fn expected_wait(
+    node: &Node,
+    now: Duration,
+    caller_request: &CallerRequest,
+    waiter: &Waiter,
+) -> Duration {
     let view = node.view.load();
-    let cold = view.places(job.model()).is_empty() && !view.loading.contains(job.model());
-    if cold && job.row.is_loaded() {
-        return node.loading_rates().expected(job.row.load_mib, Source::Memory);
+    let cold = view.replicas_of(caller_request.model()).is_empty()
+        && !view.loading.contains(caller_request.model());
+    if cold && caller_request.row.is_loadable() {
+        return node.load_rates().expected_time(caller_request.row.load_mib, Source::Memory);
     }
-    let ahead = node.waiting.ahead(waiter);
-    node.pace().expected(now, job.model(), job.priority, ahead)
+    let ahead = node.waiting.count_ahead(waiter);
+    node.wait_estimator().expected_wait(now, caller_request.model(), caller_request.priority, ahead)
 }
 
 fn refuse(
     node: &Node,
-    job: &Job,
+    caller_request: &CallerRequest,
     history: &History,
-    refusal: Refusal,
+    refusal: QueueRefusal,
     expected: Duration,
-) -> Refused {
-    let cold = node.view.load().places(job.model()).is_empty();
+) -> RequestRefusal {
+    let cold = node.view.load().replicas_of(caller_request.model()).is_empty();
     let retry = match refusal {
-        Refusal::Stopping => Duration::ZERO,
-        _ if cold => node.loading_rates().expected(job.row.load_mib, Source::Disk),
+        QueueRefusal::Stopping => Duration::ZERO,
+        _ if cold => node.load_rates().expected_time(caller_request.row.load_mib, Source::Disk),
         _ => {
             let now = node.now();
-            let back = node.pace().come_back(now, job.model(), job.priority, expected);
+            let back = node.wait_estimator().retry_after(
+                now,
+                caller_request.model(),
+                caller_request.priority,
+                expected,
+            );
             back.max(COME_BACK)
         }
     };
     let message = match refusal {
-        Refusal::Full => "too many requests wait for this model",
-        Refusal::Displaced => "a more important request took the place in the queue",
-        Refusal::TooLate => "the model cannot be ready by the deadline",
-        Refusal::Expired => "no replica was ready by the deadline",
-        Refusal::Stopping => "this daemon is stopping; another one will answer",
+        QueueRefusal::Full => "too many requests wait for this model",
+        QueueRefusal::Displaced => "a more important request took the place in the queue",
+        QueueRefusal::TooLate => "the model cannot be ready by the deadline",
+        QueueRefusal::Expired => "no replica was ready by the deadline",
+        QueueRefusal::Stopping => "this daemon is stopping; another one will answer",
     };
-    Refused {
+    RequestRefusal {
         status: 503,
         verdict: history.verdict,
         code: refusal.as_str(),
         message: message.to_owned(),
-        retry: Some(retry),
+        retry_after: Some(retry),
     }
 }
--- a/lib/src/engine.rs
+++ b/lib/src/engine_control.rs
@@ -8,7 +8,7 @@
 
 use crate::host::Order;
 use crate::host::OrderAnswer;
-use crate::host::Report;
+use crate::host::ServerReport;
 
 /// Longest wait for a report or for the answer to an order, in whole seconds.
 const TIMEOUT_S: u64 = 2;
@@ -19,24 +19,24 @@
 pub struct ReportError(pub String);
 
 /// A model engine's control side.
-pub trait Engine: fmt::Debug + Send + Sync {
+pub trait EngineControl: fmt::Debug + Send + Sync {
     /// Asks for the load report.
     ///
     /// # Errors
     ///
     /// The engine did not answer.
-    fn report(&self, addr: SocketAddr) -> Result<Report, ReportError>;
+    fn fetch_report(&self, addr: SocketAddr) -> Result<ServerReport, ReportError>;
 
     /// Gives an order. A load goes on after the answer and shows in the reports.
-    fn order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer;
+    fn send_order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer;
 }
 
 /// Model engines over HTTP.
 #[derive(Debug, Default)]
-pub struct HttpEngine;
+pub struct HttpEngineControl;
 
-impl Engine for HttpEngine {
-    fn report(&self, addr: SocketAddr) -> Result<Report, ReportError> {
+impl EngineControl for HttpEngineControl {
+    fn fetch_report(&self, addr: SocketAddr) -> Result<ServerReport, ReportError> {
         let response = minreq::get(format!("http://{addr}/report"))
             .with_timeout(TIMEOUT_S)
             .with_follow_redirects(false)
@@ -45,7 +45,7 @@
         serde_json::from_slice(response.as_bytes()).map_err(|e| ReportError(e.to_string()))
     }
 
-    fn order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer {
+    fn send_order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer {
         let Ok(body) = serde_json::to_vec(order) else {
             return OrderAnswer::Unsent;
         };
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -7,19 +7,19 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::demand::Waiting;
+use crate::demand::WaitingRequests;
 use crate::host::Host;
 use crate::host::Order;
 use crate::host::OrderAnswer;
-use crate::host::Report;
+use crate::host::ServerReport;
 use crate::ids::ClaimKey;
 use crate::ids::DaemonId;
 use crate::ids::ModelName;
 use crate::ids::Offset;
 use crate::ids::ServerId;
-use crate::record::Answer;
 use crate::record::Entry;
 use crate::record::Settlement;
+use crate::record::StoredResponse;
 use crate::table::Edit;
 use crate::verdict::Verdict;
 
@@ -44,11 +44,11 @@
     /// A complete host list.
     Hosts(Vec<Host>),
     /// An engine's load report; none where it did not answer.
-    Report(ServerId, Option<Report>),
+    Report(ServerId, Option<ServerReport>),
     /// An engine's answer to an order.
     Ordered(Order, OrderAnswer),
     /// A daemon's waiting requests.
-    Demand(DaemonId, Vec<Waiting>),
+    Demand(DaemonId, Vec<WaitingRequests>),
     /// What the holder of a data centre's lease says of replicas that the log does not show yet.
     Hints(DaemonId, Vec<Hint>),
     /// An operator's edit.
@@ -80,7 +80,7 @@
     /// Another request has it, run by this daemon.
     Taken(DaemonId),
     /// It was run by this daemon and ended.
-    Ended(DaemonId, Verdict, Option<Answer>),
+    Ended(DaemonId, Verdict, Option<StoredResponse>),
     /// The log does not answer, and nothing was claimed that will be run.
     LogDown,
 }
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Decision {
     /// What was decided.
-    pub action: Choice,
+    pub action: DecisionKind,
     /// The model, where it concerns one.
     pub model: ModelName,
     /// The backend server or data centre, where it concerns one.
@@ -129,7 +129,7 @@
 /// Kind of a control decision.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Choice {
+pub enum DecisionKind {
     /// Reserve a new slot and load.
     Place,
     /// Load into a slot that is reserved.
@@ -158,7 +158,7 @@
     Hold,
 }
 
-impl Choice {
+impl DecisionKind {
     /// Returns the word of the log line.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -181,7 +181,7 @@
 
 /// An event and when it happened, on the daemon's monotonic clock.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Timed {
+pub struct TimedEvent {
     /// Time since the daemon's start.
     pub at: Duration,
     /// The event.
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -19,14 +19,14 @@
 use tiny_http::Server;
 
 use crate::admin;
+use crate::caller_request;
+use crate::caller_request::RequestOptions;
 use crate::chat;
-use crate::chat::Chat;
-use crate::job;
-use crate::job::Wishes;
-use crate::limits::Limit;
+use crate::chat::ChatRequest;
 use crate::node::Node;
 use crate::reply;
-use crate::reply::Refused;
+use crate::reply::RequestRefusal;
+use crate::request_limits::RequestLimit;
 use crate::services;
 
 /// A caller that reads nothing for this long is gone.
@@ -91,8 +91,9 @@
         (Method::Post, chat::PATH) => limited(node, request, serve_chat),
         (_, path) if path.starts_with(services::PREFIX) => limited(node, request, serve_service),
         _ => {
-            let refused = Refused::wrong(404, "no-such-path", format!("nothing is at {path}"));
-            reply::send_refused(request, "", &refused);
+            let refused =
+                RequestRefusal::permanent(404, "no-such-path", format!("nothing is at {path}"));
+            reply::send_refusal(request, "", &refused);
         }
     }
 }
@@ -101,7 +102,7 @@
     let view = node.view.load();
     let ready = view.ready && !node.is_stopping();
     let status = if ready { 200 } else { 503 };
-    reply::send_json(request, status, &json!({"ready": ready, "log_up": view.logged}));
+    reply::send_json(request, status, &json!({"ready": ready, "log_up": view.log_up}));
 }
 
 fn models(node: &Node, request: Request) {
@@ -109,7 +110,7 @@
     let data: Vec<_> = view
         .table
         .iter()
-        .filter(|v| v.row.is_loaded())
+        .filter(|v| v.row.is_loadable())
         .map(|v| json!({"id": v.row.name, "object": "model", "created": 0, "owned_by": "comfreymux"}))
         .collect();
     reply::send_json(request, 200, &json!({"object": "list", "data": data}));
@@ -119,32 +120,32 @@
 
 /// Runs `handler` within the limits; a request past them is refused at once.
 fn limited(node: &Node, request: Request, handler: Handler) {
-    let id = node.next_request();
-    let caller = job::caller_of(&request);
+    let id = node.next_request_id();
+    let caller = caller_request::caller_of(&request);
     if node.is_stopping() {
         let message = "this daemon is stopping; another one will answer";
-        let refused = Refused::later(503, "stopping", message, LIMIT_RETRY);
+        let refused = RequestRefusal::retryable(503, "stopping", message, LIMIT_RETRY);
         node.metrics.refused(refused.code);
-        reply::send_refused(request, &id, &refused);
+        reply::send_refusal(request, &id, &refused);
         return;
     }
-    let entered = node.limits().enter(&caller);
+    let entered = node.limits().acquire(&caller);
     if let Err(limit) = entered {
-        let status = if limit == Limit::Caller { 429 } else { 503 };
+        let status = if limit == RequestLimit::Caller { 429 } else { 503 };
         let message = "too many requests are in progress";
-        let refused = Refused::later(status, limit.as_str(), message, LIMIT_RETRY);
+        let refused = RequestRefusal::retryable(status, limit.as_str(), message, LIMIT_RETRY);
         node.metrics.refused(refused.code);
-        reply::send_refused(request, &id, &refused);
+        reply::send_refusal(request, &id, &refused);
         return;
     }
     handler(node, &id, request);
-    node.limits().leave(&caller);
+    node.limits().release(&caller);
 }
 
 fn serve_chat(node: &Node, id: &SmolStr, mut request: Request) {
-    let read = Wishes::read(node, &request, node.now()).and_then(|wishes| {
-        let body = job::read_body(node, &mut request)?;
-        Chat::read(node, id.clone(), &request, wishes, body)
+    let read = RequestOptions::parse(node, &request, node.now()).and_then(|options| {
+        let body = caller_request::read_body(node, &mut request)?;
+        ChatRequest::parse(node, id.clone(), &request, options, body)
     });
     match read {
         Ok(chat) => chat.serve(node, request),
@@ -153,18 +154,18 @@
 }
 
 fn serve_service(node: &Node, id: &SmolStr, mut request: Request) {
-    let read = Wishes::read(node, &request, node.now()).and_then(|wishes| {
-        let body = job::read_body(node, &mut request)?;
-        services::read(node, id.clone(), &request, wishes, body)
+    let read = RequestOptions::parse(node, &request, node.now()).and_then(|options| {
+        let body = caller_request::read_body(node, &mut request)?;
+        services::parse_request(node, id.clone(), &request, options, body)
     });
     match read {
-        Ok(job) => services::serve(node, &job, request),
+        Ok(caller_request) => services::serve(node, &caller_request, request),
         Err(refused) => refuse(node, id, request, &refused),
     }
 }
 
-fn refuse(node: &Node, id: &SmolStr, request: Request, refused: &Refused) {
+fn refuse(node: &Node, id: &SmolStr, request: Request, refused: &RequestRefusal) {
     node.metrics.refused(refused.code);
-    node.note_request(id, "", "refuse", "", refused.message.clone());
-    reply::send_refused(request, id, refused);
+    node.log_routing(id, "", "refuse", "", refused.message.clone());
+    reply::send_refusal(request, id, refused);
 }
--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -15,53 +15,53 @@
 use slog::Logger;
 use smol_str::SmolStr;
 
-use crate::event::Choice;
+use crate::backend_client::BackendClient;
+use crate::claim_outcomes::ClaimOutcomes;
+use crate::decision_log::DecisionLog;
+use crate::decision_log::LoggedDecision;
 use crate::event::ClaimAnswer;
 use crate::event::Decision;
+use crate::event::DecisionKind;
 use crate::event::EditAnswer;
 use crate::event::Event;
-use crate::exchange::Exchange;
 use crate::ids::ClaimKey;
 use crate::ids::Incarnation;
 use crate::ids::Offset;
-use crate::journal::Journal;
-use crate::journal::Line;
-use crate::limits::Limits;
+use crate::load_rates::LoadRates;
 use crate::metrics::Metrics;
-use crate::outcomes::Outcomes;
-use crate::pace::Pace;
-use crate::rates::Rates;
 use crate::record::Entry;
-use crate::retry::RetryBudget;
+use crate::replicated_state::ReplicatedState;
+use crate::request_limits::RequestLimits;
+use crate::retry_budget::RetryBudget;
 use crate::router::Router;
+use crate::routing_view::RoutingView;
 use crate::settings::Settings;
-use crate::state::State;
 use crate::table::Edit;
 use crate::timer::Clock;
-use crate::view::View;
-use crate::waiting::WaitingRoom;
+use crate::wait_estimator::WaitEstimator;
+use crate::wait_queue::WaitQueue;
 
 /// What the control thread takes in.
-pub enum Input {
+pub enum ControlInput {
     /// An event for the control state machine.
     Event(Event),
     /// A whole state, from a snapshot or a peer.
-    Install(Box<State>),
+    InstallState(Box<ReplicatedState>),
     /// A request wants to run and may not be repeated.
     Claim(ClaimKey, flume::Sender<ClaimAnswer>),
     /// An operator's edit.
     Edit(Edit, flume::Sender<EditAnswer>),
     /// Somebody wants the state.
-    State(flume::Sender<State>),
+    GetState(flume::Sender<ReplicatedState>),
     /// A peer wants entries from this offset on.
-    Entries(Offset, flume::Sender<Option<Vec<(Offset, Entry)>>>),
+    GetEntries(Offset, flume::Sender<Option<Vec<(Offset, Entry)>>>),
     /// A peer has read the log to this offset; its state's hash at a checkpoint.
-    PeerAt(SmolStr, Offset, (Offset, u64)),
+    PeerOffset(SmolStr, Offset, (Offset, u64)),
     /// The daemon ends.
-    End,
+    Shutdown,
 }
 
-impl fmt::Debug for Input {
+impl fmt::Debug for ControlInput {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Input")
     }
@@ -77,33 +77,33 @@
     /// Time since the start.
     pub clock: Clock,
     /// What routers see.
-    pub view: ArcSwap<View>,
+    pub view: ArcSwap<RoutingView>,
     /// Learned loading speeds.
-    pub rates: Mutex<Rates>,
+    pub load_rates: Mutex<LoadRates>,
     /// Requests that wait for a replica.
-    pub waiting: WaitingRoom,
+    pub waiting: WaitQueue,
     /// Outcomes of claimed requests.
-    pub outcomes: Outcomes,
+    pub outcomes: ClaimOutcomes,
     /// To the control thread.
-    pub control: flume::Sender<Input>,
+    pub control: flume::Sender<ControlInput>,
     /// Requests to backend servers.
-    pub exchange: Arc<dyn Exchange>,
+    pub backend_client: Arc<dyn BackendClient>,
     /// Metrics.
     pub metrics: Metrics,
     /// Latest decisions.
-    pub journal: Journal,
+    pub decision_log: DecisionLog,
     /// Log lines.
     pub log: Logger,
     /// Whether the daemon takes no new work.
     pub stopping: AtomicBool,
     /// Offset up to which the log was read.
-    pub applied: AtomicU64,
+    pub applied_offset: AtomicU64,
     /// Offsets up to which peers have read the log.
-    pub ahead: Mutex<BTreeMap<SmolStr, Offset>>,
+    pub peer_offsets: Mutex<BTreeMap<SmolStr, Offset>>,
     router: Mutex<Router>,
-    limits: Mutex<Limits>,
+    limits: Mutex<RequestLimits>,
     budget: Mutex<RetryBudget>,
-    pace: Mutex<Pace>,
+    wait_estimator: Mutex<WaitEstimator>,
     requests: AtomicU64,
 }
 
@@ -116,31 +116,31 @@
     pub fn new(
         settings: Settings,
         incarnation: Incarnation,
-        control: flume::Sender<Input>,
-        exchange: Arc<dyn Exchange>,
+        control: flume::Sender<ControlInput>,
+        backend_client: Arc<dyn BackendClient>,
         log: Logger,
     ) -> Self {
         let centre = settings.centre.clone();
         Self {
             clock: Clock::start(),
             view: ArcSwap::default(),
-            rates: Mutex::default(),
-            waiting: WaitingRoom::new(settings.queue),
-            outcomes: Outcomes::default(),
+            load_rates: Mutex::default(),
+            waiting: WaitQueue::new(settings.max_queue),
+            outcomes: ClaimOutcomes::default(),
             router: Mutex::new(Router::new(centre, incarnation)),
-            limits: Mutex::new(Limits::new(settings.requests, settings.share)),
+            limits: Mutex::new(RequestLimits::new(settings.max_requests, settings.caller_requests)),
             budget: Mutex::default(),
-            pace: Mutex::default(),
+            wait_estimator: Mutex::default(),
             metrics: Metrics::new(),
-            journal: Journal::default(),
+            decision_log: DecisionLog::default(),
             stopping: AtomicBool::new(false),
-            applied: AtomicU64::new(0),
-            ahead: Mutex::default(),
+            applied_offset: AtomicU64::new(0),
+            peer_offsets: Mutex::default(),
             requests: AtomicU64::new(0),
             settings,
             incarnation,
             control,
-            exchange,
+            backend_client,
             log,
         }
     }
@@ -151,7 +151,7 @@
     }
 
     /// Returns a new request id, unique in the whole system.
-    pub fn next_request(&self) -> SmolStr {
+    pub fn next_request_id(&self) -> SmolStr {
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         SmolStr::new(format!("{}-{:x}-{number}", self.settings.id, self.incarnation))
     }
@@ -162,39 +162,39 @@
     }
 
     /// Returns the limits, locked.
-    pub fn limits(&self) -> MutexGuard<'_, Limits> {
+    pub fn limits(&self) -> MutexGuard<'_, RequestLimits> {
         lock(&self.limits)
     }
 
     /// Returns the retry budget, locked.
-    pub fn budget(&self) -> MutexGuard<'_, RetryBudget> {
+    pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.budget)
     }
 
     /// Returns the pace of the queues, locked.
-    pub fn pace(&self) -> MutexGuard<'_, Pace> {
-        lock(&self.pace)
+    pub fn wait_estimator(&self) -> MutexGuard<'_, WaitEstimator> {
+        lock(&self.wait_estimator)
     }
 
     /// Returns the learned loading speeds.
-    pub fn loading_rates(&self) -> Rates {
-        *lock(&self.rates)
+    pub fn load_rates(&self) -> LoadRates {
+        *lock(&self.load_rates)
     }
 
     /// Publishes a new picture and wakes requests that it has room for.
-    pub fn publish(&self, view: View) {
+    pub fn publish(&self, view: RoutingView) {
         self.view.store(Arc::new(view));
-        self.pump();
+        self.wake_waiting();
     }
 
     /// Wakes waiting requests for which there is room.
-    pub fn pump(&self) {
+    pub fn wake_waiting(&self) {
         if self.waiting.is_empty() {
             return;
         }
         let now = self.now();
         let view = self.view.load();
-        self.waiting.pump(now, |model| self.router().room(now, &view, model));
+        self.waiting.wake_ready(now, |model| self.router().free_capacity(now, &view, model));
     }
 
     /// Returns whether the daemon takes no new work.
@@ -203,24 +203,24 @@
     }
 
     /// Sends to the control thread; returns whether it is still there.
-    pub fn tell(&self, input: Input) -> bool {
+    pub fn send(&self, input: ControlInput) -> bool {
         self.control.send(input).is_ok()
     }
 
     /// Asks the control thread for the state.
-    pub fn state(&self) -> Option<State> {
+    pub fn state(&self) -> Option<ReplicatedState> {
         let (sender, receiver) = flume::bounded(1);
-        self.tell(Input::State(sender));
+        self.send(ControlInput::GetState(sender));
         receiver.recv_timeout(Duration::from_secs(5)).ok()
     }
 
     /// Logs a decision of control and keeps it for `explain`.
-    pub fn note_decision(&self, decision: &Decision) {
+    pub fn log_decision(&self, decision: &Decision) {
         let Decision { action, model, place, reason } = decision;
         let event = if is_placement(*action) { "placement" } else { "control" };
         slog::info!(self.log, "{event}"; "reason" => reason, "place" => place.as_str(),
             "model" => model.as_str(), "action" => action.as_str());
-        let line = Line {
+        let line = LoggedDecision {
             at: 0.0,
             request: SmolStr::default(),
             model: model.clone(),
@@ -228,11 +228,11 @@
             place: place.clone(),
             reason: reason.clone(),
         };
-        self.journal.add(self.now(), line);
+        self.decision_log.add(self.now(), line);
     }
 
     /// Logs a decision about a request and keeps it for `explain`.
-    pub fn note_request(
+    pub fn log_routing(
         &self,
         request: &SmolStr,
         model: &str,
@@ -243,7 +243,7 @@
         let reason = reason.into();
         slog::info!(self.log, "routing"; "reason" => &reason, "place" => place,
             "model" => model, "action" => action, "request" => request.as_str());
-        let line = Line {
+        let line = LoggedDecision {
             at: 0.0,
             request: request.clone(),
             model: model.into(),
@@ -251,10 +251,13 @@
             place: place.into(),
             reason,
         };
-        self.journal.add(self.now(), line);
+        self.decision_log.add(self.now(), line);
     }
 }
 
-fn is_placement(action: Choice) -> bool {
-    !matches!(action, Choice::Bid | Choice::Lead | Choice::Yield | Choice::Accept)
+fn is_placement(action: DecisionKind) -> bool {
+    !matches!(
+        action,
+        DecisionKind::Bid | DecisionKind::Lead | DecisionKind::Yield | DecisionKind::Accept
+    )
 }
--- a/lib/src/peer_message.rs
+++ b/lib/src/peer_message.rs
@@ -9,14 +9,14 @@
 use serde::de::DeserializeOwned;
 use smol_str::SmolStr;
 
-use crate::demand::Waiting;
+use crate::claim_outcomes::ClaimOutcome;
+use crate::demand::WaitingRequests;
 use crate::event::Hint;
 use crate::ids::ClaimKey;
 use crate::ids::Offset;
-use crate::outcomes::End;
-use crate::record::Answer;
 use crate::record::Entry;
-use crate::state::State;
+use crate::record::StoredResponse;
+use crate::replicated_state::ReplicatedState;
 use crate::verdict::Verdict;
 use crate::wire;
 
@@ -35,14 +35,14 @@
     /// Hash of its state at an earlier offset, by which a divergence is noticed.
     pub hash: (Offset, u64),
     /// Requests that wait at it.
-    pub demand: Vec<Waiting>,
+    pub demand: Vec<WaitingRequests>,
     /// Replicas that the log does not show yet.
     pub hints: Vec<Hint>,
 }
 
 /// A question over TCP.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Ask {
+pub enum PeerQuery {
     /// Log entries from this offset on.
     Entries(Offset),
     /// The whole state.
@@ -51,34 +51,34 @@
     Outcome(ClaimKey, u64),
 }
 
-/// The answer to an [`Ask`].
+/// The answer to a [`PeerQuery`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Tell {
+pub enum PeerReply {
     /// Entries in the order of their offsets.
     Entries(Vec<(Offset, Entry)>),
     /// The whole state.
-    State(Box<State>),
+    State(Box<ReplicatedState>),
     /// How a claimed request ended.
-    Outcome(WireEnd),
+    Outcome(WireOutcome),
     /// It is not known here.
     Unknown,
 }
 
-/// An [`End`] on the wire.
+/// A [`ClaimOutcome`] on the wire.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct WireEnd {
+pub struct WireOutcome {
     verdict: Verdict,
-    answer: Option<Answer>,
+    answer: Option<StoredResponse>,
 }
 
-impl From<End> for WireEnd {
-    fn from(end: End) -> Self {
+impl From<ClaimOutcome> for WireOutcome {
+    fn from(end: ClaimOutcome) -> Self {
         Self { verdict: end.verdict, answer: end.answer }
     }
 }
 
-impl From<WireEnd> for End {
-    fn from(end: WireEnd) -> Self {
+impl From<WireOutcome> for ClaimOutcome {
+    fn from(end: WireOutcome) -> Self {
         Self { verdict: end.verdict, answer: end.answer }
     }
 }
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -7,7 +7,7 @@
 use slotmap::SlotMap;
 use slotmap::new_key_type;
 
-use crate::demand::Waiting;
+use crate::demand::WaitingRequests;
 use crate::ids::ModelName;
 
 new_key_type! {
@@ -28,7 +28,7 @@
 
 /// Why a request is refused instead of waiting.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Refusal {
+pub enum QueueRefusal {
     /// The queue is full of requests that are no less important.
     Full,
     /// A more important request took its place.
@@ -41,7 +41,7 @@
     Stopping,
 }
 
-impl Refusal {
+impl QueueRefusal {
     /// Returns the word for log lines and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -56,11 +56,11 @@
 
 /// What became of an attempt to wait.
 #[derive(Debug)]
-pub enum Entered {
+pub enum EnqueueResult {
     /// It waits; this other request was displaced.
-    Waits(WaiterKey, Option<WaiterKey>),
+    Queued(WaiterKey, Option<WaiterKey>),
     /// It does not.
-    Refused(Refusal),
+    Refused(QueueRefusal),
 }
 
 /// Waiting requests of one daemon, bounded for each model.
@@ -81,9 +81,9 @@
     ///
     /// A full queue displaces its least important request, the latest deadline first among equals,
     /// if the new one is more important.
-    pub fn enter(&mut self, now: Duration, waiter: Waiter, expected: Duration) -> Entered {
+    pub fn enqueue(&mut self, now: Duration, waiter: Waiter, expected: Duration) -> EnqueueResult {
         if now + expected > waiter.deadline {
-            return Entered::Refused(Refusal::TooLate);
+            return EnqueueResult::Refused(QueueRefusal::TooLate);
         }
         let keys = self.models.entry(waiter.model.clone()).or_default();
         let mut displaced = None;
@@ -92,7 +92,7 @@
             let least = (0..keys.len())
                 .min_by_key(|i| (waiters[keys[*i]].priority, Reverse(waiters[keys[*i]].deadline)));
             let Some(least) = least.filter(|i| waiters[keys[*i]].priority < waiter.priority) else {
-                return Entered::Refused(Refusal::Full);
+                return EnqueueResult::Refused(QueueRefusal::Full);
             };
             let key = keys.swap_remove(least);
             self.waiters.remove(key);
@@ -100,7 +100,7 @@
         }
         let key = self.waiters.insert(waiter);
         keys.push(key);
-        Entered::Waits(key, displaced)
+        EnqueueResult::Queued(key, displaced)
     }
 
     /// Returns how many requests would get their turn before `waiter`.
@@ -112,7 +112,7 @@
     }
 
     /// Removes a request; returns whether it was still waiting.
-    pub fn leave(&mut self, key: WaiterKey) -> bool {
+    pub fn remove(&mut self, key: WaiterKey) -> bool {
         let Some(waiter) = self.waiters.remove(key) else {
             return false;
         };
@@ -138,7 +138,7 @@
         let late: Vec<WaiterKey> =
             self.waiters.iter().filter(|(_, w)| w.deadline <= now).map(|(k, _)| k).collect();
         for key in &late {
-            self.leave(*key);
+            self.remove(*key);
         }
         late
     }
@@ -154,11 +154,11 @@
     }
 
     /// Returns what to tell the lease holders.
-    pub fn demand(&self) -> Vec<Waiting> {
+    pub fn demand(&self) -> Vec<WaitingRequests> {
         self.models
             .iter()
             .filter(|(_, keys)| !keys.is_empty())
-            .map(|(model, keys)| Waiting {
+            .map(|(model, keys)| WaitingRequests {
                 model: model.clone(),
                 count: keys.len() as u32,
                 weight: keys.iter().map(|k| u32::from(self.waiters[*k].priority).max(1)).sum(),
--- a/lib/src/retry.rs
+++ b/lib/src/retry_budget.rs
@@ -19,12 +19,12 @@
 
 impl RetryBudget {
     /// Notes a first attempt.
-    pub fn attempted(&mut self) {
+    pub fn record_first(&mut self) {
         self.tokens = (self.tokens + SHARE).min(BURST);
     }
 
     /// Takes a retry from the budget; returns whether there was one.
-    pub fn take(&mut self) -> bool {
+    pub fn take_retry(&mut self) -> bool {
         let allowed = self.tokens >= 1.0;
         if allowed {
             self.tokens -= 1.0;
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -9,12 +9,12 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+use crate::failure_backoff::FailureBackoff;
 use crate::ids::CentreId;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
-use crate::suspicion::Suspicion;
-use crate::view::Replica;
-use crate::view::View;
+use crate::routing_view::Replica;
+use crate::routing_view::RoutingView;
 
 /// What an engine said of other daemons' requests fades over this time.
 const LOAD_FRESH: Duration = Duration::from_millis(500);
@@ -27,7 +27,7 @@
 
 /// What a request asks of the router.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct RouteRequest<'a> {
     /// The model or plain service.
     pub model: &'a str,
     /// Hash of the prompt's beginning, by which an engine's prefix cache is reused.
@@ -61,7 +61,7 @@
     centre: CentreId,
     rng: ChaCha8Rng,
     loads: BTreeMap<(ServerId, ModelName), Load>,
-    suspects: BTreeMap<ServerId, Suspicion>,
+    suspects: BTreeMap<ServerId, FailureBackoff>,
     leaving: BTreeMap<ServerId, Duration>,
     /// Replicas that turned out not to be there, and when.
     missing: BTreeMap<(ServerId, ModelName), Duration>,
@@ -89,29 +89,34 @@
         }
     }
 
-    /// Chooses a replica with room, and counts the request there until [`Router::finished`].
-    pub fn choose(&mut self, now: Duration, view: &View, wish: Wish<'_>) -> Option<Route> {
-        let limit = view.table.row(wish.model)?.limit;
+    /// Chooses a replica with room, and counts the request there until [`Router::record_end`].
+    pub fn choose(
+        &mut self,
+        now: Duration,
+        view: &RoutingView,
+        route_request: RouteRequest<'_>,
+    ) -> Option<Route> {
+        let limit = view.table.row(route_request.model)?.limit;
         let usable: Vec<&Replica> = view
-            .places(wish.model)
+            .replicas_of(route_request.model)
             .iter()
-            .filter(|r| !wish.tried.contains(&r.server))
-            .filter(|r| self.is_usable(now, &r.server, wish.model))
-            .filter(|r| self.load(now, &r.server, wish.model) < limit)
+            .filter(|r| !route_request.tried.contains(&r.server))
+            .filter(|r| self.is_usable(now, &r.server, route_request.model))
+            .filter(|r| self.load(now, &r.server, route_request.model) < limit)
             .collect();
         let local: Vec<&Replica> =
             usable.iter().copied().filter(|r| r.centre == self.centre).collect();
         let near = if local.is_empty() { &usable } else { &local };
-        let (replica, reason) = self.pick(now, near, wish)?;
-        let key = (replica.server.clone(), ModelName::from(wish.model));
+        let (replica, reason) = self.pick(now, near, route_request)?;
+        let key = (replica.server.clone(), ModelName::from(route_request.model));
         self.loads.entry(key).or_default().own += 1;
         Some(Route { server: replica.server.clone(), addr: replica.addr, reason })
     }
 
     /// Returns how many more requests the replicas of `model` have room for.
-    pub fn room(&self, now: Duration, view: &View, model: &str) -> u32 {
+    pub fn free_capacity(&self, now: Duration, view: &RoutingView, model: &str) -> u32 {
         let limit = view.table.row(model).map_or(0, |row| row.limit);
-        view.places(model)
+        view.replicas_of(model)
             .iter()
             .filter(|r| self.is_usable(now, &r.server, model))
             .map(|r| limit.saturating_sub(self.load(now, &r.server, model)))
@@ -122,15 +127,15 @@
         &mut self,
         now: Duration,
         places: &[&'r Replica],
-        wish: Wish<'_>,
+        route_request: RouteRequest<'_>,
     ) -> Option<(&'r Replica, &'static str)> {
         match places {
             [] => return None,
             [only] => return Some((*only, "only replica with room")),
             _ => {}
         }
-        let load = |r: &Replica| self.load(now, &r.server, wish.model);
-        if let Some(prefix) = wish.prefix {
+        let load = |r: &Replica| self.load(now, &r.server, route_request.model);
+        if let Some(prefix) = route_request.prefix {
             let score = |r: &&&Replica| xxh3_64_with_seed(r.server.as_bytes(), prefix);
             let home = places.iter().max_by_key(score)?;
             let mean = places.iter().map(|r| load(r)).sum::<u32>() / places.len() as u32;
@@ -141,13 +146,13 @@
         // Two random choices: the lesser load, without all daemons running to the same server.
         let a = self.rng.random_range(0..places.len());
         let b = (a + self.rng.random_range(1..places.len())) % places.len();
-        let load = |i: usize| self.load(now, &places[i].server, wish.model);
+        let load = |i: usize| self.load(now, &places[i].server, route_request.model);
         let chosen = if load(a) <= load(b) { a } else { b };
         Some((places[chosen], "less loaded of two"))
     }
 
     fn is_usable(&self, now: Duration, server: &str, model: &str) -> bool {
-        let suspected = self.suspects.get(server).is_some_and(|s| s.holds(now));
+        let suspected = self.suspects.get(server).is_some_and(|s| s.is_active(now));
         let leaving = self.leaving.get(server).is_some_and(|at| now < *at + LEAVING);
         let key = (ServerId::from(server), ModelName::from(model));
         let missing = self.missing.get(&key).is_some_and(|at| now < *at + MISSING);
@@ -163,7 +168,7 @@
     }
 
     /// Notes the end of a request that [`Router::choose`] counted.
-    pub fn finished(&mut self, server: &ServerId, model: &ModelName) {
+    pub fn record_end(&mut self, server: &ServerId, model: &ModelName) {
         let key = (server.clone(), model.clone());
         if let Some(load) = self.loads.get_mut(&key) {
             load.own = load.own.saturating_sub(1);
@@ -174,7 +179,7 @@
     }
 
     /// Notes an answer and what it said of the replica's load.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Duration,
         server: &ServerId,
@@ -190,14 +195,14 @@
     }
 
     /// Notes a failed connection.
-    pub fn failed(&mut self, now: Duration, server: &ServerId) {
-        self.suspects.entry(server.clone()).or_default().failed(now);
+    pub fn record_failure(&mut self, now: Duration, server: &ServerId) {
+        self.suspects.entry(server.clone()).or_default().record_failure(now);
     }
 
     /// Notes that a backend server refused work because it leaves.
     ///
     /// The host list lags behind; without this the server would get new work until it shows it.
-    pub fn left(&mut self, now: Duration, server: &ServerId) {
+    pub fn mark_leaving(&mut self, now: Duration, server: &ServerId) {
         self.leaving.insert(server.clone(), now);
     }
 
@@ -205,7 +210,7 @@
     ///
     /// Requests wait for a load then; asking again would keep them from being counted as waiting,
     /// and nobody would load the model.
-    pub fn missed(&mut self, now: Duration, server: &ServerId, model: &ModelName) {
+    pub fn mark_missing(&mut self, now: Duration, server: &ServerId, model: &ModelName) {
         self.missing.insert((server.clone(), model.clone()), now);
     }
 
--- a/lib/src/view.rs
+++ b/lib/src/routing_view.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::control::Controller;
-use crate::host::Role;
+use crate::host::HostRole;
 use crate::ids::CentreId;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
@@ -25,7 +25,7 @@
 
 /// What one daemon's routers know at one moment.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct RoutingView {
     /// The table in force.
     pub table: Table,
     /// Places by model or plain service. Invariant: no leaving and no suspected backend server.
@@ -37,16 +37,16 @@
     /// Whether the log was read at all.
     pub ready: bool,
     /// Whether the log answers.
-    pub logged: bool,
+    pub log_up: bool,
 }
 
-impl View {
+impl RoutingView {
     /// Takes the picture of what `control` knows.
-    pub fn of(control: &Controller, now: Duration) -> Self {
+    pub fn new(control: &Controller, now: Duration) -> Self {
         let mut view = Self {
             table: control.state().table.clone(),
             ready: control.is_ready(),
-            logged: control.is_log_up(now),
+            log_up: control.is_log_up(now),
             ..Self::default()
         };
         let slots = control.state().slots.values();
@@ -60,19 +60,19 @@
         for hint in control.hints(now).into_iter().chain(control.own_hints()) {
             view.add(control, now, &hint.model, &hint.server);
         }
-        for member in control.fleet().with_role(Role::Service) {
+        for member in control.fleet().with_role(HostRole::Service) {
             for service in &member.host.services {
                 view.add(control, now, service, &member.host.id);
             }
         }
-        for member in control.fleet().with_role(Role::Entry) {
+        for member in control.fleet().with_role(HostRole::Entry) {
             view.daemons.insert(member.host.id.clone(), member.host.addr);
         }
         view
     }
 
     fn add(&mut self, control: &Controller, now: Duration, model: &ModelName, server: &ServerId) {
-        let member = control.fleet().member(server);
+        let member = control.fleet().get(server);
         let Some(member) = member.filter(|m| m.is_usable(now)) else {
             return;
         };
@@ -88,7 +88,7 @@
     }
 
     /// Returns the places of `model`.
-    pub fn places(&self, model: &str) -> &[Replica] {
+    pub fn replicas_of(&self, model: &str) -> &[Replica] {
         self.replicas.get(model).map_or(&[], Vec::as_slice)
     }
 }
--- a/lib/src/services.rs
+++ b/lib/src/services.rs
@@ -3,12 +3,12 @@
 use smol_str::SmolStr;
 use tiny_http::Request;
 
-use crate::job::Job;
-use crate::job::Wishes;
+use crate::caller_request::CallerRequest;
+use crate::caller_request::RequestOptions;
 use crate::node::Node;
-use crate::once;
-use crate::reply::Refused;
-use crate::table::Kind;
+use crate::reply::RequestRefusal;
+use crate::table::RowKind;
+use crate::unary;
 
 /// Beginning of the paths of plain services.
 pub const PREFIX: &str = "/services/";
@@ -18,26 +18,26 @@
 /// # Errors
 ///
 /// The path names no plain service of the table.
-pub fn read(
+pub fn parse_request(
     node: &Node,
     id: SmolStr,
     request: &Request,
-    wishes: Wishes,
+    options: RequestOptions,
     body: Vec<u8>,
-) -> Result<Job, Refused> {
+) -> Result<CallerRequest, RequestRefusal> {
     let rest = request.url().strip_prefix(PREFIX).unwrap_or_default();
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let view = node.view.load();
-    let row = view.table.row(name).filter(|r| r.kind == Kind::Service).cloned();
+    let row = view.table.row(name).filter(|r| r.kind == RowKind::Service).cloned();
     let Some(row) = row else {
         let message = format!("the service `{name}` does not exist");
-        return Err(Refused::wrong(404, "service_not_found", message));
+        return Err(RequestRefusal::permanent(404, "service_not_found", message));
     };
-    let job = Job::new(node, id, request, wishes, row, body);
-    Ok(Job { path: format!("/{path}"), ..job })
+    let caller_request = CallerRequest::new(node, id, request, options, row, body);
+    Ok(CallerRequest { path: format!("/{path}"), ..caller_request })
 }
 
 /// Serves a call of a plain service.
-pub fn serve(node: &Node, job: &Job, request: Request) {
-    once::serve(node, job, request);
+pub fn serve(node: &Node, caller_request: &CallerRequest, request: Request) {
+    unary::serve(node, caller_request, request);
 }
--- a/lib/src/slots.rs
+++ b/lib/src/slots.rs
@@ -106,7 +106,7 @@
     }
 
     /// Iterates over the slots that are loading or draining.
-    pub fn moving(&self) -> impl Iterator<Item = (SlotId, &Slot)> {
+    pub fn transitioning(&self) -> impl Iterator<Item = (SlotId, &Slot)> {
         self.pick(Some(&self.moving))
     }
 
@@ -122,19 +122,19 @@
         self.remove(id);
         self.models.entry(slot.model.clone()).or_default().insert(id);
         self.servers.entry(slot.server.clone()).or_default().insert(id);
-        if slot.phase.is_moving() {
+        if slot.phase.is_transitional() {
             self.moving.insert(id);
         }
         self.all.insert(id, slot);
     }
 
     /// Changes a slot; its model and backend server stay.
-    pub fn change(&mut self, id: SlotId, change: impl FnOnce(&mut Slot)) {
+    pub fn update(&mut self, id: SlotId, change: impl FnOnce(&mut Slot)) {
         let Some(slot) = self.all.get_mut(&id) else {
             return;
         };
         change(slot);
-        if slot.phase.is_moving() {
+        if slot.phase.is_transitional() {
             self.moving.insert(id);
         } else {
             self.moving.remove(&id);
--- a/lib/src/sse.rs
+++ b/lib/src/sse.rs
@@ -6,8 +6,8 @@
 use std::io::Read;
 use std::io::Write;
 
-use crate::exchange::Failure;
-use crate::exchange::Fault;
+use crate::backend_client::Failure;
+use crate::backend_client::FailureKind;
 
 /// Data of the event that ends a whole stream.
 const DONE: &str = "[DONE]";
@@ -52,10 +52,10 @@
             match read {
                 Ok(0) => {
                     let detail = "the stream ended without its end marker";
-                    return Err(Failure::doubtful(Fault::Truncated, detail));
+                    return Err(Failure::may_have_run(FailureKind::Truncated, detail));
                 }
                 Ok(_) => {}
-                Err(error) => return Err(Failure::reading(&error)),
+                Err(error) => return Err(Failure::from_read_error(&error)),
             }
             if let Some(data) = line.trim_end().strip_prefix("data:") {
                 return read_data(data.trim_start());
@@ -71,7 +71,7 @@
     // Engines may end an accepted stream with an error object and nothing else. Read as a chunk,
     // it would look like an empty answer.
     if data.contains("\"error\"") && is_error(data) {
-        return Err(Failure::doubtful(Fault::Faulted, data));
+        return Err(Failure::may_have_run(FailureKind::ServerError, data));
     }
     Ok(StreamEvent::Chunk(data.to_owned()))
 }
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// The caller is gone or stopped reading.
-    pub fn event(&mut self, data: &str) -> io::Result<()> {
+    pub fn write_event(&mut self, data: &str) -> io::Result<()> {
         // "data: " before and an empty line after.
         let length = data.len() + 8;
         let chunk = format!("{length:x}\r\ndata: {data}\n\n\r\n");
@@ -135,9 +135,9 @@
     /// # Errors
     ///
     /// The caller is gone or stopped reading.
-    pub fn done(mut self) -> io::Result<()> {
-        self.event(DONE)?;
-        self.end()
+    pub fn finish(mut self) -> io::Result<()> {
+        self.write_event(DONE)?;
+        self.close()
     }
 
     /// Ends the response without an end marker, after an error event.
@@ -145,7 +145,7 @@
     /// # Errors
     ///
     /// The caller is gone or stopped reading.
-    pub fn end(mut self) -> io::Result<()> {
+    pub fn close(mut self) -> io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()
     }
--- a/lib/src/trace.rs
+++ b/lib/src/trace.rs
@@ -16,14 +16,14 @@
 
 use crate::control::ControlSettings;
 use crate::control::Controller;
-use crate::event::Choice;
 use crate::event::ClaimAnswer;
+use crate::event::DecisionKind;
 use crate::event::Effect;
 use crate::event::Event;
-use crate::event::Timed;
-use crate::host::Action;
+use crate::event::TimedEvent;
+use crate::host::OrderAction;
 use crate::ids::ModelName;
-use crate::keepwarm::Policy;
+use crate::keep_warm::KeepWarmPolicy;
 
 /// One line of a trace file, as JSON.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -39,7 +39,7 @@
         centre: String,
     },
     /// An event.
-    Event(Timed),
+    Event(TimedEvent),
     /// What must be true of the effects up to here.
     Expect(Expect),
 }
@@ -111,8 +111,8 @@
     }
 
     /// Writes an event. A full disk ends the trace, not the daemon.
-    pub fn write(&mut self, at: Duration, event: &Event) {
-        let line = TraceLine::Event(Timed { at, event: event.clone() });
+    pub fn write_event(&mut self, at: Duration, event: &Event) {
+        let line = TraceLine::Event(TimedEvent { at, event: event.clone() });
         let _full = self.line(&line);
     }
 
@@ -183,7 +183,7 @@
 
     fn note(&mut self, effect: &Effect) {
         match effect {
-            Effect::Order(order, _) if order.action == Action::Load => {
+            Effect::Order(order, _) if order.action == OrderAction::Load => {
                 self.add(Counted::LoadOrder, &order.model);
             }
             Effect::Order(order, _) => self.add(Counted::UnloadOrder, &order.model),
@@ -195,10 +195,10 @@
             Effect::Edited(..) => self.add(Counted::EditConflict, ""),
             Effect::Decide(d) => {
                 let what = match d.action {
-                    Choice::Lead => Counted::Lead,
-                    Choice::Yield => Counted::Yield,
-                    Choice::Free => Counted::Free,
-                    Choice::Drain => Counted::Drain,
+                    DecisionKind::Lead => Counted::Lead,
+                    DecisionKind::Yield => Counted::Yield,
+                    DecisionKind::Free => Counted::Free,
+                    DecisionKind::Drain => Counted::Drain,
                     _ => return,
                 };
                 self.add(what, &d.model);
@@ -238,7 +238,7 @@
             (TraceLine::Daemon { id, incarnation, centre }, None) => {
                 control = Some(Controller::new(settings_of(&id, incarnation, &centre)));
             }
-            (TraceLine::Event(Timed { at, event }), Some(control)) => {
+            (TraceLine::Event(TimedEvent { at, event }), Some(control)) => {
                 replayed.events += 1;
                 for effect in control.handle(at, event) {
                     counts.note(&effect);
@@ -262,9 +262,9 @@
         id: id.into(),
         incarnation,
         centre: centre.into(),
-        gap: Duration::from_millis(20),
-        policy: Policy::Learned,
-        poll: Duration::from_secs(1),
+        append_gap: Duration::from_millis(20),
+        keep_warm: KeepWarmPolicy::Learned,
+        poll_interval: Duration::from_secs(1),
     }
 }
 
--- a/lib/src/waiting.rs
+++ b/lib/src/wait_queue.rs
@@ -6,15 +6,15 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use crate::demand::Waiting;
+use crate::demand::WaitingRequests;
 use crate::ids::ModelName;
-use crate::queue::Entered;
+use crate::queue::EnqueueResult;
 use crate::queue::Queue;
-use crate::queue::Refusal;
+use crate::queue::QueueRefusal;
 use crate::queue::Waiter;
 use crate::queue::WaiterKey;
 
-type Wake = Result<(), Refusal>;
+type Wake = Result<(), QueueRefusal>;
 
 #[derive(Debug)]
 struct Inner {
@@ -25,13 +25,13 @@
 
 /// The waiting queue with a channel for each request in it.
 #[derive(Debug)]
-pub struct WaitingRoom {
+pub struct WaitQueue {
     inner: Mutex<Inner>,
 }
 
 impl Inner {
     fn wake(&mut self, key: WaiterKey, wake: Wake) {
-        self.queue.leave(key);
+        self.queue.remove(key);
         if let Some(sender) = self.senders.remove(&key) {
             // A waiter that gave up has dropped its side.
             let _gone = sender.send(wake);
@@ -39,7 +39,7 @@
     }
 }
 
-impl WaitingRoom {
+impl WaitQueue {
     /// Creates a room for `bound` requests of each model.
     pub fn new(bound: usize) -> Self {
         let queue = Queue::new(bound);
@@ -55,20 +55,25 @@
     /// # Errors
     ///
     /// Says why the request must be refused instead.
-    pub fn wait(&self, now: Duration, waiter: Waiter, expected: Duration) -> Result<(), Refusal> {
+    pub fn wait(
+        &self,
+        now: Duration,
+        waiter: Waiter,
+        expected: Duration,
+    ) -> Result<(), QueueRefusal> {
         let bound = waiter.deadline.saturating_sub(now);
         let (sender, receiver) = flume::bounded(1);
         let key = {
             let mut inner = self.inner();
             if inner.stopping {
-                return Err(Refusal::Stopping);
+                return Err(QueueRefusal::Stopping);
             }
-            match inner.queue.enter(now, waiter, expected) {
-                Entered::Refused(refusal) => return Err(refusal),
-                Entered::Waits(key, displaced) => {
+            match inner.queue.enqueue(now, waiter, expected) {
+                EnqueueResult::Refused(refusal) => return Err(refusal),
+                EnqueueResult::Queued(key, displaced) => {
                     inner.senders.insert(key, sender);
                     if let Some(displaced) = displaced {
-                        inner.wake(displaced, Err(Refusal::Displaced));
+                        inner.wake(displaced, Err(QueueRefusal::Displaced));
                     }
                     key
                 }
@@ -80,18 +85,18 @@
         }
         let mut inner = self.inner();
         inner.senders.remove(&key);
-        if inner.queue.leave(key) {
-            return Err(Refusal::Expired);
+        if inner.queue.remove(key) {
+            return Err(QueueRefusal::Expired);
         }
         // It got its turn at the very moment of its deadline.
-        receiver.try_recv().unwrap_or(Err(Refusal::Expired))
+        receiver.try_recv().unwrap_or(Err(QueueRefusal::Expired))
     }
 
     /// Wakes requests for which `room` gives places, and refuses those whose deadline has come.
-    pub fn pump(&self, now: Duration, mut room: impl FnMut(&ModelName) -> u32) {
+    pub fn wake_ready(&self, now: Duration, mut room: impl FnMut(&ModelName) -> u32) {
         let mut inner = self.inner();
         for key in inner.queue.expire(now) {
-            inner.wake(key, Err(Refusal::Expired));
+            inner.wake(key, Err(QueueRefusal::Expired));
         }
         for model in inner.queue.models() {
             for _ in 0..room(&model) {
@@ -108,22 +113,22 @@
         let mut inner = self.inner();
         inner.stopping = true;
         for key in inner.queue.keys() {
-            inner.wake(key, Err(Refusal::Stopping));
+            inner.wake(key, Err(QueueRefusal::Stopping));
         }
     }
 
     /// Returns how many requests would get their turn before `waiter`.
-    pub fn ahead(&self, waiter: &Waiter) -> usize {
+    pub fn count_ahead(&self, waiter: &Waiter) -> usize {
         self.inner().queue.ahead(waiter)
     }
 
     /// Returns whether requests wait for `model`; a newcomer must not overtake them.
-    pub fn is_waited(&self, model: &str) -> bool {
+    pub fn has_waiters(&self, model: &str) -> bool {
         self.inner().queue.first(model).is_some()
     }
 
     /// Returns what to tell the lease holders.
-    pub fn demand(&self) -> Vec<Waiting> {
+    pub fn demand(&self) -> Vec<WaitingRequests> {
         self.inner().queue.demand()
     }
 
--- a/lib/src/workers.rs
+++ b/lib/src/workers.rs
@@ -9,17 +9,17 @@
 
 use smol_str::SmolStr;
 
-use crate::engine::Engine;
+use crate::control_thread::ControlOutputs;
+use crate::control_thread::OrderTask;
+use crate::engine_control::EngineControl;
 use crate::event::Event;
 use crate::host::OrderAnswer;
-use crate::host_list::HostBook;
 use crate::host_list::HostList;
+use crate::host_list::HostListCache;
 use crate::log_service::LogService;
-use crate::node::Input;
+use crate::node::ControlInput;
 use crate::node::Node;
 use crate::record::Entry;
-use crate::shell::Errand;
-use crate::shell::Outputs;
 use crate::wire;
 
 /// Threads that ask for reports: a silent backend server holds one for its timeout.
@@ -31,13 +31,13 @@
 
 /// The platform and the engines, as traits.
 #[derive(Clone, Debug)]
-pub struct Borders {
+pub struct PlatformClients {
     /// The log service.
     pub log: Arc<dyn LogService>,
     /// The host list.
     pub hosts: Arc<dyn HostList>,
     /// The engines' control side.
-    pub engine: Arc<dyn Engine>,
+    pub engine: Arc<dyn EngineControl>,
 }
 
 /// Starts the filters; they end when the control thread drops its channels.
@@ -45,23 +45,27 @@
 /// # Errors
 ///
 /// The system gives no thread.
-pub fn start(node: &Arc<Node>, borders: &Borders, socket: UdpSocket) -> io::Result<Outputs> {
+pub fn start(
+    node: &Arc<Node>,
+    clients: &PlatformClients,
+    socket: UdpSocket,
+) -> io::Result<ControlOutputs> {
     let (appends, entries) = flume::unbounded();
     let (polls, asked) = flume::unbounded();
-    let (orders, errands) = flume::unbounded();
-    let log = Arc::clone(&borders.log);
+    let (orders, tasks) = flume::unbounded();
+    let log = Arc::clone(&clients.log);
     spawn("append", node, move |node| append(node, log.as_ref(), &entries))?;
     for _ in 0..POLLERS {
-        let (engine, asked) = (Arc::clone(&borders.engine), asked.clone());
+        let (engine, asked) = (Arc::clone(&clients.engine), asked.clone());
         spawn("poll", node, move |node| poll(node, engine.as_ref(), &asked))?;
     }
     for _ in 0..ORDERERS {
-        let (engine, errands) = (Arc::clone(&borders.engine), errands.clone());
-        spawn("order", node, move |node| order(node, engine.as_ref(), &errands))?;
+        let (engine, tasks) = (Arc::clone(&clients.engine), tasks.clone());
+        spawn("order", node, move |node| order(node, engine.as_ref(), &tasks))?;
     }
-    let hosts = Arc::clone(&borders.hosts);
+    let hosts = Arc::clone(&clients.hosts);
     spawn("hosts", node, move |node| watch_hosts(node, hosts.as_ref()))?;
-    Ok(Outputs { appends, polls, orders, socket })
+    Ok(ControlOutputs { appends, polls, orders, socket })
 }
 
 /// Starts a named thread with a small stack.
@@ -85,39 +89,39 @@
         node.metrics.exchanged("append", bytes.len());
         let done = log.append(&bytes).is_ok();
         let sequence = entry.sequence;
-        if !node.tell(Input::Event(Event::Appended { sequence, done })) {
+        if !node.send(ControlInput::Event(Event::Appended { sequence, done })) {
             return;
         }
     }
 }
 
-fn poll(node: &Node, engine: &dyn Engine, asked: &flume::Receiver<(SmolStr, SocketAddr)>) {
+fn poll(node: &Node, engine: &dyn EngineControl, asked: &flume::Receiver<(SmolStr, SocketAddr)>) {
     for (server, addr) in asked {
-        let report = engine.report(addr).ok();
-        if !node.tell(Input::Event(Event::Report(server, report))) {
+        let report = engine.fetch_report(addr).ok();
+        if !node.send(ControlInput::Event(Event::Report(server, report))) {
             return;
         }
     }
 }
 
-fn order(node: &Node, engine: &dyn Engine, errands: &flume::Receiver<Errand>) {
-    for (addr, order, until) in errands {
+fn order(node: &Node, engine: &dyn EngineControl, tasks: &flume::Receiver<OrderTask>) {
+    for (addr, order, until) in tasks {
         // The process may have been paused since the decision; the lease is looked at again just
         // before the write.
         let late = until.is_some_and(|until| node.now() >= until);
-        let answer = if late { OrderAnswer::Unsent } else { engine.order(addr, &order) };
-        if !node.tell(Input::Event(Event::Ordered(order, answer))) {
+        let answer = if late { OrderAnswer::Unsent } else { engine.send_order(addr, &order) };
+        if !node.send(ControlInput::Event(Event::Ordered(order, answer))) {
             return;
         }
     }
 }
 
 fn watch_hosts(node: &Node, list: &dyn HostList) {
-    let mut book = HostBook::default();
+    let mut book = HostListCache::default();
     loop {
         let hosts = list.changes(book.version()).ok().and_then(|change| book.apply(change));
         if let Some(hosts) = hosts
-            && !node.tell(Input::Event(Event::Hosts(hosts)))
+            && !node.send(ControlInput::Event(Event::Hosts(hosts)))
         {
             return;
         }
--- a/lib/tests/test_failures.rs
+++ b/lib/tests/test_failures.rs
@@ -1,10 +1,10 @@
 //! Replica counts, memory and leases under failure, in virtual time.
 
-use comfreymux_lib::event::Choice;
+use comfreymux_lib::event::DecisionKind;
 use comfreymux_lib::record::Phase;
 use comfreymux_lib::record::Source;
+use comfreymux_lib::routing_view::RoutingView;
 use comfreymux_lib::table::Row;
-use comfreymux_lib::view::View;
 use comfreymux_testutils::rows;
 use comfreymux_tools::fake_engine::FakeEngine;
 use comfreymux_tools::small::STEP;
@@ -38,7 +38,7 @@
     world.run(seconds(4), STEP).unwrap();
     assert_eq!(holder(&world, "a"), "d1");
     let control = world.daemons["d1"].control.as_ref().unwrap();
-    assert!(View::of(control, seconds(4)).ready);
+    assert!(RoutingView::new(control, seconds(4)).ready);
 }
 
 #[test]
@@ -214,7 +214,7 @@
     world.give("d1", event);
     world.run(seconds(30), STEP).unwrap();
     assert_eq!(phase_of(&world, "m5"), Some(Phase::Loaded));
-    assert!(world.decisions.iter().any(|(_, _, d)| d.action == Choice::Free));
+    assert!(world.decisions.iter().any(|(_, _, d)| d.action == DecisionKind::Free));
 }
 
 /// Three models want the engine in turn while the first order to load arrives late.
--- a/lib/tests/test_fold.rs
+++ b/lib/tests/test_fold.rs
@@ -5,7 +5,6 @@
 use comfreymux_lib::fold::Rejection;
 use comfreymux_lib::ids::Fence;
 use comfreymux_lib::ids::Position;
-use comfreymux_lib::record::Answer;
 use comfreymux_lib::record::Bid;
 use comfreymux_lib::record::Entry;
 use comfreymux_lib::record::Freed;
@@ -16,9 +15,10 @@
 use comfreymux_lib::record::ServerFacts;
 use comfreymux_lib::record::Settlement;
 use comfreymux_lib::record::Source;
+use comfreymux_lib::record::StoredResponse;
+use comfreymux_lib::replicated_state::CLAIM_TTL_TICKS;
+use comfreymux_lib::replicated_state::ReplicatedState;
 use comfreymux_lib::snapshot;
-use comfreymux_lib::state::CLAIM_TICKS;
-use comfreymux_lib::state::State;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table::RowChange;
@@ -29,7 +29,7 @@
 
 #[derive(Default)]
 struct Log {
-    state: State,
+    state: ReplicatedState,
     sequences: std::collections::BTreeMap<String, u64>,
 }
 
@@ -199,7 +199,7 @@
     let second = log.bid("d2", renewed).unwrap();
     assert_eq!(log.freed("d1", slot, fence, true), Err(Rejection::NotHolder));
     log.freed("d2", slot, second, true).unwrap();
-    assert_eq!(log.state.taken_mib("e1"), 0);
+    assert_eq!(log.state.memory_used("e1"), 0);
 }
 
 #[test]
@@ -228,11 +228,11 @@
     let release = Settlement { key: 7, verdict: Verdict::DidNotRun, answer: None };
     log.put("d1", Record::Settle(release)).unwrap();
     log.put("d1", Record::Claim(7)).unwrap();
-    for tick in 2..=CLAIM_TICKS {
+    for tick in 2..=CLAIM_TTL_TICKS {
         log.put("d1", Record::Tick(tick)).unwrap();
     }
     assert!(log.state.claim(7).is_some());
-    log.put("d1", Record::Tick(CLAIM_TICKS + 1)).unwrap();
+    log.put("d1", Record::Tick(CLAIM_TTL_TICKS + 1)).unwrap();
     assert!(log.state.claim(7).is_none());
 }
 
@@ -244,7 +244,8 @@
     let body = vec![b'x'; 1000];
     for key in 0..100 {
         log.put("d1", Record::Claim(key)).unwrap();
-        let answer = Answer { status: 200, content_type: "text/plain".into(), body: body.clone() };
+        let answer =
+            StoredResponse { status: 200, content_type: "text/plain".into(), body: body.clone() };
         let settlement = Settlement { key, verdict: Verdict::Ran, answer: Some(answer) };
         log.put("d1", Record::Settle(settlement)).unwrap();
     }
@@ -252,10 +253,10 @@
     assert!(good.len() > 2);
     let mut bad = good.clone();
     bad[1].hash ^= 1;
-    let mut collector = snapshot::Collector::default();
+    let mut collector = snapshot::SnapshotAssembler::default();
     let mut found = None;
     for part in bad.iter().zip(good.iter().rev()).flat_map(|(b, g)| [b, g]) {
-        found = collector.add(part).or(found);
+        found = collector.add_part(part).or(found);
     }
     assert_eq!(found.unwrap().hash(), log.state.hash());
 }
--- a/lib/tests/test_outages.rs
+++ b/lib/tests/test_outages.rs
@@ -1,9 +1,9 @@
 //! Log outages, cut-off data centres and late starts, over real sockets.
 
-use comfreymux_lib::host_list::HostBook;
 use comfreymux_lib::host_list::HostChange;
+use comfreymux_lib::host_list::HostListCache;
 use comfreymux_lib::peer_message::Digest;
-use comfreymux_lib::peers::read_digest;
+use comfreymux_lib::peer_server::parse_digest;
 use comfreymux_lib::wire;
 use comfreymux_testutils::engine_settings::EngineFaults;
 use comfreymux_testutils::engine_settings::EngineSettings;
@@ -32,7 +32,7 @@
     rig.apply("d1", "first", &[rows::model("hem"), rows::model("resize")]);
     rig.await_view("d2", "the table", |v| v.table.row("hem").is_some());
     assert_eq!(complete(&rig.url("d1", CHAT), "hem", false, 1).unwrap().0, 200);
-    rig.await_view("d2", "the replica", |v| !v.places("hem").is_empty());
+    rig.await_view("d2", "the replica", |v| !v.replicas_of("hem").is_empty());
     rig
 }
 
@@ -41,7 +41,7 @@
     // The log is down for longer than a lease. Loaded models are served by every daemon.
     let rig = rig();
     rig.log.set_faults(down());
-    rig.await_view("d1", "the outage", |v| !v.logged);
+    rig.await_view("d1", "the outage", |v| !v.log_up);
     for daemon in ["d1", "d2"] {
         assert_eq!(complete(&rig.url(daemon, CHAT), "hem", false, 1).unwrap().0, 200);
     }
@@ -53,7 +53,7 @@
     let mut rig = rig();
     rig.log.set_faults(down());
     rig.add_daemon("d3", "qc-c", &[]);
-    rig.await_view("d3", "the table", |v| !v.places("hem").is_empty());
+    rig.await_view("d3", "the table", |v| !v.replicas_of("hem").is_empty());
     assert_eq!(complete(&rig.url("d3", CHAT), "hem", false, 1).unwrap().0, 200);
     let daemons = ["d1", "d3"].map(|d| rig.daemons[d].node().state().unwrap());
     assert_eq!(daemons[0].hash(), daemons[1].hash());
@@ -104,7 +104,7 @@
     rig.await_view("d3", "the table", |v| v.table.row("hem").is_some());
     rig.apply("d1", "second", &[rows::model("hem"), rows::model("quote")]);
     rig.await_view("d3", "the edit", |v| v.table.row("quote").is_some());
-    assert!(!rig.daemons["d3"].node().view.load().logged);
+    assert!(!rig.daemons["d3"].node().view.load().log_up);
 }
 
 #[test]
@@ -115,7 +115,7 @@
     let state = rig.daemons["d1"].node().state().unwrap();
     let holder = state.leases["qc-c"].daemon.clone();
     let other = if holder == "d1" { "d2" } else { "d1" };
-    rig.daemons.remove(&holder).unwrap().end();
+    rig.daemons.remove(&holder).unwrap().abort();
     let (status, body) = complete(&rig.url(other, CHAT), "resize", false, 1).unwrap();
     assert_eq!(status, 200, "{body}");
     let state = rig.daemons[other].node().state().unwrap();
@@ -164,19 +164,19 @@
         hints: Vec::new(),
     };
     let good = wire::encode(&digest);
-    assert!(read_digest(node, &good, addr).is_some());
-    assert!(read_digest(node, &good, ANY).is_none());
-    assert!(read_digest(node, &good[..good.len() - 1], addr).is_none());
+    assert!(parse_digest(node, &good, addr).is_some());
+    assert!(parse_digest(node, &good, ANY).is_none());
+    assert!(parse_digest(node, &good[..good.len() - 1], addr).is_none());
     let named = wire::encode(&Digest { daemon: "d1".into(), ..digest });
-    assert!(read_digest(node, &named, addr).is_none());
+    assert!(parse_digest(node, &named, addr).is_none());
 }
 
 #[test]
 fn list_changes() {
-    let mut book = HostBook::default();
+    let mut book = HostListCache::default();
     let host = |id: &str| comfreymux_lib::host::Host {
         id: id.into(),
-        ..comfreymux_testutils::rig::host(comfreymux_lib::host::Role::Entry, "a", ANY)
+        ..comfreymux_testutils::rig::host(comfreymux_lib::host::HostRole::Entry, "a", ANY)
     };
     let whole =
         HostChange { version: 1, whole: true, hosts: vec![host("a"), host("b")], removed: vec![] };
--- a/lib/tests/test_queue.rs
+++ b/lib/tests/test_queue.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use comfreymux_lib::demand::Demand;
-use comfreymux_lib::demand::Waiting;
-use comfreymux_lib::queue::Entered;
+use comfreymux_lib::demand::WaitingRequests;
+use comfreymux_lib::queue::EnqueueResult;
 use comfreymux_lib::queue::Queue;
-use comfreymux_lib::queue::Refusal;
+use comfreymux_lib::queue::QueueRefusal;
 use comfreymux_lib::queue::Waiter;
 use comfreymux_lib::queue::WaiterKey;
-use comfreymux_lib::waiting::WaitingRoom;
+use comfreymux_lib::wait_queue::WaitQueue;
 use proptest::prelude::*;
 
 fn seconds(n: u64) -> Duration {
@@ -21,8 +21,8 @@
 }
 
 fn enter(queue: &mut Queue, priority: u8, deadline: u64) -> WaiterKey {
-    match queue.enter(seconds(0), waiter(priority, deadline), Duration::ZERO) {
-        Entered::Waits(key, None) => key,
+    match queue.enqueue(seconds(0), waiter(priority, deadline), Duration::ZERO) {
+        EnqueueResult::Queued(key, None) => key,
         other => panic!("{other:?}"),
     }
 }
@@ -35,7 +35,7 @@
     let valuable = enter(&mut queue, 9, 60);
     for expected in [valuable, soon, late] {
         assert_eq!(queue.first("m"), Some(expected));
-        assert!(queue.leave(expected));
+        assert!(queue.remove(expected));
     }
     assert_eq!(queue.first("m"), None);
 }
@@ -47,17 +47,17 @@
     let mut queue = Queue::new(2);
     enter(&mut queue, 1, 10);
     let least = enter(&mut queue, 1, 20);
-    let entered = queue.enter(seconds(0), waiter(1, 5), Duration::ZERO);
-    assert!(matches!(entered, Entered::Refused(Refusal::Full)));
-    let entered = queue.enter(seconds(0), waiter(9, 60), Duration::ZERO);
-    assert!(matches!(entered, Entered::Waits(_, Some(key)) if key == least));
+    let entered = queue.enqueue(seconds(0), waiter(1, 5), Duration::ZERO);
+    assert!(matches!(entered, EnqueueResult::Refused(QueueRefusal::Full)));
+    let entered = queue.enqueue(seconds(0), waiter(9, 60), Duration::ZERO);
+    assert!(matches!(entered, EnqueueResult::Queued(_, Some(key)) if key == least));
 }
 
 #[test]
 fn hopeless_refused() {
     let mut queue = Queue::new(2);
-    let entered = queue.enter(seconds(1), waiter(5, 3), seconds(4));
-    assert!(matches!(entered, Entered::Refused(Refusal::TooLate)));
+    let entered = queue.enqueue(seconds(1), waiter(5, 3), seconds(4));
+    assert!(matches!(entered, EnqueueResult::Refused(QueueRefusal::TooLate)));
 }
 
 #[test]
@@ -72,16 +72,16 @@
 #[test]
 fn stop_refuses() {
     // A daemon stops while requests wait. All are refused at once, and so is whoever comes later.
-    let room = std::sync::Arc::new(WaitingRoom::new(9));
-    let waiting = std::sync::Arc::clone(&room);
+    let queue = std::sync::Arc::new(WaitQueue::new(9));
+    let waiting = std::sync::Arc::clone(&queue);
     let thread =
         std::thread::spawn(move || waiting.wait(seconds(0), waiter(5, 30), Duration::ZERO));
-    while room.is_empty() {
+    while queue.is_empty() {
         std::thread::yield_now();
     }
-    room.close();
-    assert_eq!(thread.join().unwrap(), Err(Refusal::Stopping));
-    assert_eq!(room.wait(seconds(0), waiter(5, 30), Duration::ZERO), Err(Refusal::Stopping));
+    queue.close();
+    assert_eq!(thread.join().unwrap(), Err(QueueRefusal::Stopping));
+    assert_eq!(queue.wait(seconds(0), waiter(5, 30), Duration::ZERO), Err(QueueRefusal::Stopping));
 }
 
 #[test]
@@ -89,13 +89,13 @@
     // Reports of waiting requests are lost now and then: one that was not repeated counts for a
     // while and is then forgotten; the first mention dates the demand.
     let mut demand = Demand::default();
-    let waiting = [Waiting { model: "m".into(), count: 2, weight: 10 }];
-    demand.report(seconds(1), &"d1".into(), &waiting);
-    demand.report(seconds(2), &"d1".into(), &waiting);
-    demand.report(seconds(2), &"d2".into(), &waiting);
+    let waiting = [WaitingRequests { model: "m".into(), count: 2, weight: 10 }];
+    demand.update(seconds(1), &"d1".into(), &waiting);
+    demand.update(seconds(2), &"d1".into(), &waiting);
+    demand.update(seconds(2), &"d2".into(), &waiting);
     let total = demand.total("m").unwrap();
     assert_eq!((total.count, total.weight, total.since), (4, 20, seconds(1)));
-    demand.report(seconds(3), &"d2".into(), &[]);
+    demand.update(seconds(3), &"d2".into(), &[]);
     assert_eq!(demand.total("m").unwrap().count, 2);
     demand.expire(seconds(6));
     assert!(demand.total("m").is_none());
@@ -119,20 +119,20 @@
                 0 | 1 => {
                     came += 1;
                     let deadline = now.as_secs() + time;
-                    match queue.enter(now, waiter(priority, deadline), Duration::ZERO) {
-                        Entered::Waits(key, displaced) => {
+                    match queue.enqueue(now, waiter(priority, deadline), Duration::ZERO) {
+                        EnqueueResult::Queued(key, displaced) => {
                             waiting.push(key);
                             if let Some(displaced) = displaced {
                                 waiting.retain(|k| *k != displaced);
                                 out += 1;
                             }
                         }
-                        Entered::Refused(_) => out += 1,
+                        EnqueueResult::Refused(_) => out += 1,
                     }
                 }
                 2 => {
                     if let Some(key) = queue.first("m") {
-                        prop_assert!(queue.leave(key));
+                        prop_assert!(queue.remove(key));
                         waiting.retain(|k| *k != key);
                         out += 1;
                     }
--- a/lib/testutils/src/rig.rs
+++ b/lib/testutils/src/rig.rs
@@ -9,20 +9,20 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use comfreymux_lib::backend_client::HttpBackendClient;
 use comfreymux_lib::daemon::Daemon;
 use comfreymux_lib::daemon::Sockets;
-use comfreymux_lib::engine::HttpEngine;
-use comfreymux_lib::exchange::HttpExchange;
+use comfreymux_lib::engine_control::HttpEngineControl;
 use comfreymux_lib::host::Host;
-use comfreymux_lib::host::Role;
+use comfreymux_lib::host::HostRole;
 use comfreymux_lib::host_list::HttpHostList;
 use comfreymux_lib::log_service::HttpLog;
 use comfreymux_lib::logging;
+use comfreymux_lib::settings::FlagSource as TextSource;
 use comfreymux_lib::settings::Settings;
-use comfreymux_lib::settings::Source as TextSource;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
-use comfreymux_lib::workers::Borders;
+use comfreymux_lib::workers::PlatformClients;
 use serde_json::Value;
 use slog::Logger;
 use smol_str::SmolStr;
@@ -127,7 +127,7 @@
             memory_mib,
             fencing,
             id: id.into(),
-            ..host(Role::Engine, centre, server.addr)
+            ..host(HostRole::Engine, centre, server.addr)
         };
         self.hosts.put(host);
         self.servers.push(server);
@@ -146,7 +146,7 @@
         let host = Host {
             services: vec![row.into()],
             id: id.into(),
-            ..host(Role::Service, centre, server.addr)
+            ..host(HostRole::Service, centre, server.addr)
         };
         self.hosts.put(host);
         self.servers.push(server);
@@ -166,28 +166,29 @@
             ("id", id.to_owned()),
             ("centre", centre.to_owned()),
             ("listen", sockets.addr.to_string()),
-            ("peer", sockets.peer.to_string()),
+            ("peer", sockets.peer_addr.to_string()),
             ("log", format!("http://{log}")),
             ("hosts", format!("http://{hosts}")),
         ];
         all.0.extend(given.map(|(k, v)| (k.to_owned(), v)));
         all.0.extend(texts.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())));
-        let settings = Settings::read(&all).expect("good settings");
+        let settings = Settings::from_source(&all).expect("good settings");
         self.starts += 1;
         let host = Host {
             incarnation: self.starts,
             id: id.into(),
-            ..host(Role::Entry, centre, sockets.peer)
+            ..host(HostRole::Entry, centre, sockets.peer_addr)
         };
         self.hosts.put(host);
-        let borders = Borders {
-            log: Arc::new(HttpLog::new(settings.log.clone())),
-            hosts: Arc::new(HttpHostList::new(settings.hosts.clone())),
-            engine: Arc::new(HttpEngine),
+        let clients = PlatformClients {
+            log: Arc::new(HttpLog::new(settings.log_url.clone())),
+            hosts: Arc::new(HttpHostList::new(settings.hosts_url.clone())),
+            engine: Arc::new(HttpEngineControl),
         };
-        let exchange = Arc::new(HttpExchange::new(settings.idle));
+        let backend_client = Arc::new(HttpBackendClient::new(settings.idle_timeout));
         let logger = self.logger.clone();
-        let daemon = Daemon::start(settings, self.starts, sockets, &borders, exchange, logger);
+        let daemon =
+            Daemon::start(settings, self.starts, sockets, &clients, backend_client, logger);
         self.daemons.insert(id.into(), daemon.expect("a daemon"));
     }
 
@@ -225,7 +226,7 @@
         &self,
         daemon: &str,
         what: &str,
-        done: impl Fn(&comfreymux_lib::view::View) -> bool,
+        done: impl Fn(&comfreymux_lib::routing_view::RoutingView) -> bool,
     ) {
         let node = self.daemons[daemon].node();
         wait_for(what, || done(&node.view.load()));
@@ -246,7 +247,7 @@
 }
 
 /// Returns a host without a name, memory or services.
-pub fn host(role: Role, centre: &str, addr: SocketAddr) -> Host {
+pub fn host(role: HostRole, centre: &str, addr: SocketAddr) -> Host {
     Host {
         id: "".into(),
         role,
--- a/tools/src/experiment.rs
+++ b/tools/src/experiment.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use comfreymux_lib::event::Choice;
+use comfreymux_lib::event::DecisionKind;
 use comfreymux_lib::event::Event;
 use comfreymux_lib::ids::ModelName;
 use comfreymux_lib::ids::ServerId;
-use comfreymux_lib::keepwarm::Policy;
-use comfreymux_lib::queue::Entered;
+use comfreymux_lib::keep_warm::KeepWarmPolicy;
+use comfreymux_lib::queue::EnqueueResult;
 use comfreymux_lib::queue::Queue;
 use comfreymux_lib::queue::Waiter;
 use comfreymux_lib::queue::WaiterKey;
+use comfreymux_lib::router::RouteRequest;
 use comfreymux_lib::router::Router;
-use comfreymux_lib::router::Wish;
+use comfreymux_lib::routing_view::RoutingView;
 use comfreymux_lib::table::Edit;
-use comfreymux_lib::view::View;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
@@ -82,7 +82,7 @@
     name: String,
     queue: Queue,
     router: Router,
-    view: View,
+    view: RoutingView,
     taken: (u64, Duration),
     waiting: BTreeMap<WaiterKey, Arrival>,
 }
@@ -108,7 +108,7 @@
 pub fn run(
     name: &str,
     deployment: &Deployment,
-    policy: Policy,
+    policy: KeepWarmPolicy,
     seed: u64,
     arrivals: &[Arrival],
 ) -> Result<Outcome, Breach> {
@@ -130,7 +130,7 @@
 }
 
 impl Run {
-    fn new(deployment: &Deployment, policy: Policy, seed: u64) -> Result<Self, Breach> {
+    fn new(deployment: &Deployment, policy: KeepWarmPolicy, seed: u64) -> Result<Self, Breach> {
         let mut world = World::new(policy);
         world.store.spacing = Duration::from_secs_f64(1.0 / deployment.starts);
         let cached = deployment.cached(seed);
@@ -149,7 +149,7 @@
                 name,
                 queue: Queue::new(QUEUE),
                 router: Router::new(centre, seed + i as u64),
-                view: View::default(),
+                view: RoutingView::default(),
                 taken: (0, Duration::ZERO),
                 waiting: BTreeMap::new(),
             });
@@ -188,14 +188,14 @@
             priority: arrival.priority,
             deadline: WARM_UP + deadline(arrival),
         };
-        match front.queue.enter(self.world.now, waiter, Duration::ZERO) {
-            Entered::Waits(key, displaced) => {
+        match front.queue.enqueue(self.world.now, waiter, Duration::ZERO) {
+            EnqueueResult::Queued(key, displaced) => {
                 front.waiting.insert(key, arrival.clone());
                 if displaced.and_then(|key| front.waiting.remove(&key)).is_some() {
                     self.refused += 1;
                 }
             }
-            Entered::Refused(_) => self.refused += 1,
+            EnqueueResult::Refused(_) => self.refused += 1,
         }
     }
 
@@ -208,7 +208,7 @@
         };
         let taken = (control.state().offset, world_now);
         if front.taken.0 != taken.0 || world_now >= front.taken.1 + VIEW_AGE {
-            front.view = View::of(control, now);
+            front.view = RoutingView::new(control, now);
             front.taken = taken;
         }
     }
@@ -217,15 +217,15 @@
     fn begin(&mut self, daemon: usize, arrival: &Arrival) -> bool {
         let now = self.world.now;
         let front = &mut self.fronts[daemon];
-        let wish = Wish { model: &arrival.model, prefix: None, tried: &[] };
-        let Some(route) = front.router.choose(now, &front.view, wish) else {
+        let route_request = RouteRequest { model: &arrival.model, prefix: None, tried: &[] };
+        let Some(route) = front.router.choose(now, &front.view, route_request) else {
             return false;
         };
         let engine = self.world.engines.get_mut(&route.server).map(|(_, e)| e);
         let held = engine.and_then(|e| e.held.get_mut(&arrival.model)).filter(|h| h.ready <= now);
         let Some(held) = held else {
             // The engine refuses: it does not hold the model any more.
-            front.router.finished(&route.server, &arrival.model);
+            front.router.record_end(&route.server, &arrival.model);
             return false;
         };
         held.active += 1;
@@ -270,7 +270,7 @@
         self.running = running;
         let done: Vec<Running> = done;
         for r in done {
-            self.fronts[r.daemon].router.finished(&r.server, &r.model);
+            self.fronts[r.daemon].router.record_end(&r.server, &r.model);
             let engine = self.world.engines.get_mut(&r.server);
             if let Some(held) = engine.and_then(|(_, e)| e.held.get_mut(&r.model)) {
                 held.active = held.active.saturating_sub(1);
@@ -295,7 +295,7 @@
                 if !self.begin(daemon, &arrival) {
                     break;
                 }
-                self.fronts[daemon].queue.leave(key);
+                self.fronts[daemon].queue.remove(key);
                 self.fronts[daemon].waiting.remove(&key);
                 let came = WARM_UP + Duration::from_millis(arrival.at_ms);
                 let wait = now.saturating_sub(came);
@@ -312,7 +312,7 @@
 
     fn outcome(&self, name: &str, requests: u64) -> Outcome {
         let seconds = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1000.0;
-        let count = |c: Choice| {
+        let count = |c: DecisionKind| {
             self.world.decisions.iter().filter(|(_, _, d)| d.action == c).count() as u64
         };
         let loads = self.world.engines.values().map(|(_, e)| e.loads).sum();
@@ -328,7 +328,7 @@
             wait_hours: self.wait_sum / 3600.0,
             idle_hours: self.idle / 3600.0,
             loads,
-            wasted: loads.saturating_sub(count(Choice::Ready)),
+            wasted: loads.saturating_sub(count(DecisionKind::Ready)),
             refused: self.refused,
             expired: self.expired,
         }
--- a/tools/src/small.rs
+++ b/tools/src/small.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::demand::Waiting;
+use comfreymux_lib::demand::WaitingRequests;
 use comfreymux_lib::event::Event;
 use comfreymux_lib::record::Phase;
 use comfreymux_lib::record::Source;
@@ -24,7 +24,7 @@
 
 /// Returns an event that sets one row, based on the row in force.
 pub fn edit(world: &World, id: &str, row: Row) -> Event {
-    let base = world.head.table.versioned(&row.name).map_or(0, |v| v.version);
+    let base = world.head.table.versioned_row(&row.name).map_or(0, |v| v.version);
     let changes = vec![RowChange { name: row.name.clone(), base, row: Some(row) }];
     Event::Edit(Edit { id: id.into(), author: "test".into(), changes })
 }
@@ -71,7 +71,7 @@
 ///
 /// Panics if there is no such daemon.
 pub fn want(world: &mut World, daemon: &str, models: &[&str]) {
-    let line = |m: &&str| Waiting { model: (*m).into(), count: 1, weight: 5 };
+    let line = |m: &&str| WaitingRequests { model: (*m).into(), count: 1, weight: 5 };
     world.daemons.get_mut(daemon).unwrap().waiting = models.iter().map(line).collect();
 }
 
