--- a/lib/src/cluster/digest.rs
+++ b/lib/src/cluster/digest.rs
@@ -20,7 +20,7 @@
 use crate::ids::ModelName;
 use crate::ids::Offset;
 use crate::ids::ServerId;
-use crate::placement::lease_state::TenureClaim;
+use crate::placement::lease_state::LeaseClaim;
 
 /// Identity of one start of a daemon's process, drawn at random.
 pub type ProcessId = u64;
@@ -36,9 +36,9 @@
     pub end: Offset,
 }
 
-impl From<TenureClaim> for TenureNote {
-    fn from(claim: TenureClaim) -> Self {
-        Self { fence: claim.fence, left_ms: claim.left.as_millis() as u32, end: claim.end }
+impl From<LeaseClaim> for TenureNote {
+    fn from(claim: LeaseClaim) -> Self {
+        Self { fence: claim.fence, left_ms: claim.valid_for.as_millis() as u32, end: claim.end }
     }
 }
 
--- a/lib/src/placement/bid_delay.rs
+++ b/lib/src/placement/bid_delay.rs
@@ -28,7 +28,7 @@
 
 impl Bidders {
     /// Returns how long one of them waits; `draw` is its number from 0 to 1.
-    pub fn patience(self, is_small: bool, draw: f64) -> Duration {
+    pub fn bid_delay(self, is_small: bool, draw: f64) -> Duration {
         if !is_small {
             return SPREAD.mul_f64(factor(self.large) * draw);
         }
--- a/lib/src/placement/demand.rs
+++ b/lib/src/placement/demand.rs
@@ -23,7 +23,7 @@
 
 /// A model, or an adapter of it, of a service.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Item {
+pub struct ModelTarget {
     /// The service.
     pub service: ServiceName,
     /// The model.
@@ -34,13 +34,13 @@
 
 /// Requests that wait for an item, over all daemons.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wait {
+pub struct Backlog {
     /// Waiting requests.
     pub waiting: u32,
     /// When the first of them was heard of.
     pub since: Moment,
     /// When the last of them gives up.
-    pub until: Moment,
+    pub deadline: Moment,
     /// When the last of them becomes late.
     pub due: Moment,
     /// Engines that some daemon with a waiting request cannot use.
@@ -82,25 +82,26 @@
 #[derive(Debug)]
 struct Told {
     at: Moment,
-    waits: BTreeMap<Item, Wait>,
+    waits: BTreeMap<ModelTarget, Backlog>,
 }
 
 /// Demand over all daemons.
 #[derive(Debug, Default)]
 pub struct Demand {
-    counts: HashMap<(DaemonId, Item), u32>,
-    rates: BTreeMap<Item, Rate>,
+    counts: HashMap<(DaemonId, ModelTarget), u32>,
+    rates: BTreeMap<ModelTarget, Rate>,
     told: HashMap<DaemonId, Told>,
     /// When each item was first and last wanted; looked through only now and then, as hundreds of
     /// notes come in a second.
-    wanted: HashMap<Item, (Moment, Moment)>,
+    wanted: HashMap<ModelTarget, (Moment, Moment)>,
 }
 
 impl Demand {
     /// Takes in what a daemon says.
-    pub fn hear(&mut self, from: &DaemonId, note: DemandNote, now: Moment) {
+    pub fn update(&mut self, from: &DaemonId, note: DemandNote, now: Moment) {
         for count in note.counts {
-            let item = Item { service: count.service, model: count.model, adapter: count.adapter };
+            let item =
+                ModelTarget { service: count.service, model: count.model, adapter: count.adapter };
             let old = self.counts.insert((from.clone(), item.clone()), count.count);
             // A daemon that started anew counts from zero; one not heard of before may tell of
             // arrivals that are long past.
@@ -115,18 +116,19 @@
         }
         let mut waits = BTreeMap::new();
         for want in note.wants {
-            let item = Item { service: want.service, model: want.model, adapter: want.adapter };
+            let item =
+                ModelTarget { service: want.service, model: want.model, adapter: want.adapter };
             let since = self.since(&item, now);
-            let until = now + Duration::from_millis(want.left_ms.into());
+            let deadline = now + Duration::from_millis(want.left_ms.into());
             let due = now + Duration::from_millis(want.due_ms.into());
             let (waiting, avoid) = (want.waiting, want.avoid);
-            waits.insert(item, Wait { waiting, since, until, due, avoid });
+            waits.insert(item, Backlog { waiting, since, deadline, due, avoid });
         }
         self.told.insert(from.clone(), Told { at: now, waits });
     }
 
     /// Returns since when an item has been wanted without a pause.
-    fn since(&mut self, item: &Item, now: Moment) -> Moment {
+    fn since(&mut self, item: &ModelTarget, now: Moment) -> Moment {
         if let Some((first, last)) = self.wanted.get_mut(item) {
             if now > *last + WANT_FRESH {
                 *first = now;
@@ -142,18 +144,18 @@
     }
 
     /// Returns what is waited for now.
-    pub fn waits(&self, now: Moment) -> BTreeMap<Item, Wait> {
-        let mut all: BTreeMap<Item, Wait> = BTreeMap::new();
+    pub fn backlogs(&self, now: Moment) -> BTreeMap<ModelTarget, Backlog> {
+        let mut all: BTreeMap<ModelTarget, Backlog> = BTreeMap::new();
         for told in self.told.values().filter(|t| now <= t.at + WANT_FRESH) {
-            for (item, wait) in told.waits.iter().filter(|(_, w)| now < w.until) {
-                let sum = all.entry(item.clone()).or_insert_with(|| Wait {
+            for (item, wait) in told.waits.iter().filter(|(_, w)| now < w.deadline) {
+                let sum = all.entry(item.clone()).or_insert_with(|| Backlog {
                     since: wait.since,
                     avoid: wait.avoid.clone(),
-                    ..Wait::default()
+                    ..Backlog::default()
                 });
                 sum.waiting += wait.waiting;
                 sum.since = sum.since.min(wait.since);
-                sum.until = sum.until.max(wait.until);
+                sum.deadline = sum.deadline.max(wait.deadline);
                 sum.due = sum.due.max(wait.due);
                 // An engine that one daemon cannot use may still serve the others.
                 sum.avoid.retain(|id| wait.avoid.contains(id));
@@ -163,24 +165,24 @@
     }
 
     /// Returns arrivals a second of each item.
-    pub fn rates(&self, now: Moment) -> impl Iterator<Item = (&Item, f64)> {
+    pub fn rates(&self, now: Moment) -> impl Iterator<Item = (&ModelTarget, f64)> {
         self.rates.iter().map(move |(item, rate)| (item, rate.get(now)))
     }
 
     /// Returns arrivals a second of each item over the last two seconds or so.
-    pub fn peaks(&self, now: Moment) -> impl Iterator<Item = (&Item, f64)> {
+    pub fn peaks(&self, now: Moment) -> impl Iterator<Item = (&ModelTarget, f64)> {
         self.rates.iter().map(move |(item, rate)| (item, rate.get_peak(now)))
     }
 
     /// Returns the daemons with requests that wait for a model or an adapter of it.
     pub fn waiting_daemons(&self, service: &str, models: &[&str]) -> Vec<&DaemonId> {
-        let is_it = |i: &Item| i.service == service && models.contains(&i.model.as_str());
+        let is_it = |i: &ModelTarget| i.service == service && models.contains(&i.model.as_str());
         let waits = |told: &Told| told.waits.keys().any(is_it);
         self.told.iter().filter(|(_, told)| waits(told)).map(|(id, _)| id).collect()
     }
 
     /// Returns arrivals a second of an item.
-    pub fn item_rate(&self, item: &Item, now: Moment) -> f64 {
+    pub fn item_rate(&self, item: &ModelTarget, now: Moment) -> f64 {
         self.rates.get(item).map_or(0.0, |r| r.get(now))
     }
 
--- a/lib/src/placement/engine_table.rs
+++ b/lib/src/placement/engine_table.rs
@@ -52,7 +52,7 @@
 
 /// A change of models that is under way at an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Job {
+pub struct LoadJob {
     /// The model that comes.
     pub model: ModelName,
     /// Models that make way.
@@ -89,37 +89,37 @@
     /// these, now or at an earlier time: an order that expects this number and fits can never overfill it.
     pub sequence: u64,
     /// Models with copies in the host's memory.
-    pub memory: Vec<ModelName>,
+    pub memory_copies: Vec<ModelName>,
     /// Models with copies on the host's disk.
-    pub disk: Vec<ModelName>,
+    pub disk_copies: Vec<ModelName>,
     /// Whether `sequence` and `models` stand together by its report and by answers that followed it. No order is
     /// given without that.
     pub confirmed: bool,
     /// Whether orders that expect `sequence` may still be on their way: of a change that was given up, or of an earlier
     /// lease holder. Once the engine has accepted an order that expects it, they are in vain.
-    pub strays: bool,
+    pub orders_inflight: bool,
     /// Reports in a row that counted fewer orders.
-    pub behind: u8,
+    pub stale_reports: u8,
     /// When `models` was last changed or confirmed.
     pub changed: Moment,
     /// The newest heartbeat whose entry `models` was compared with.
     pub compared: u64,
     /// A change of models under way.
-    pub job: Option<Job>,
+    pub job: Option<LoadJob>,
     /// Whether its last report told of a change that this daemon did not order: the lease holder before did, and it
     /// may be a load from the weight store.
-    pub occupied: bool,
+    pub reported_busy: bool,
     /// Adapters under way.
-    pub adapters: Vec<AdapterJob>,
+    pub adapter_jobs: Vec<AdapterJob>,
     /// When each model was last put to use or loaded.
     pub used: BTreeMap<ModelName, Moment>,
     /// No new change before this, after one that failed.
-    pub rest_until: Moment,
+    pub backoff_until: Moment,
 }
 
 /// The engines by server id.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct EngineTable {
     /// The engines.
     pub engines: BTreeMap<ServerId, Engine>,
 }
@@ -130,18 +130,18 @@
             server: Rc::clone(server),
             models: server.models.clone(),
             sequence: 0,
-            memory: server.copies.memory.clone(),
-            disk: server.copies.disk.clone(),
+            memory_copies: server.copies.memory.clone(),
+            disk_copies: server.copies.disk.clone(),
             confirmed: false,
-            strays: true,
-            behind: 0,
+            orders_inflight: true,
+            stale_reports: 0,
             changed: Moment::ZERO,
             compared: 0,
             job: None,
-            occupied: false,
-            adapters: Vec::new(),
+            reported_busy: false,
+            adapter_jobs: Vec::new(),
             used: BTreeMap::new(),
-            rest_until: Moment::ZERO,
+            backoff_until: Moment::ZERO,
         }
     }
 
@@ -163,7 +163,7 @@
 
     /// Returns whether a model, or an adapter of a model that it holds, fits beside what it holds.
     pub fn has_room(&self, spec: &EngineSpec, model: &str, adapter: Option<&SmolStr>) -> bool {
-        let held: Mebibytes = self.models.iter().map(|m| self.weight(spec, m)).sum();
+        let held: Mebibytes = self.models.iter().map(|m| self.model_memory(spec, m)).sum();
         if adapter.is_none() {
             return held + size(spec, model) <= spec.memory;
         }
@@ -174,21 +174,21 @@
     }
 
     /// Returns whether an adapter is under way to it.
-    pub fn awaits_adapter(&self, model: &str, adapter: &str) -> bool {
-        self.adapters.iter().any(|a| a.model == model && a.adapter == adapter)
+    pub fn is_loading_adapter(&self, model: &str, adapter: &str) -> bool {
+        self.adapter_jobs.iter().any(|a| a.model == model && a.adapter == adapter)
     }
 
     /// Returns whether an adapter makes way for one that is under way.
-    pub fn is_leaving(&self, model: &str, adapter: &str) -> bool {
-        let mut victims = self.adapters.iter().filter_map(|job| job.victim.as_ref());
+    pub fn is_evicting(&self, model: &str, adapter: &str) -> bool {
+        let mut victims = self.adapter_jobs.iter().filter_map(|job| job.victim.as_ref());
         victims.any(|(m, a)| m == model && a == adapter)
     }
 
     /// Returns where it would load a model from.
     pub fn source(&self, model: &str) -> Source {
-        if self.memory.iter().any(|m| m == model) {
+        if self.memory_copies.iter().any(|m| m == model) {
             Source::Memory
-        } else if self.disk.iter().any(|m| m == model) {
+        } else if self.disk_copies.iter().any(|m| m == model) {
             Source::Disk
         } else {
             Source::Store
@@ -202,43 +202,43 @@
 
     /// Returns how many adapters it holds or awaits.
     pub fn adapter_count(&self) -> usize {
-        self.models.iter().map(|m| m.adapters.len()).sum::<usize>() + self.adapters.len()
+        self.models.iter().map(|m| m.adapters.len()).sum::<usize>() + self.adapter_jobs.len()
     }
 
     /// Returns the memory that a model that it holds takes with its adapters.
-    pub fn weight(&self, spec: &EngineSpec, held: &HeldModel) -> Mebibytes {
+    pub fn model_memory(&self, spec: &EngineSpec, held: &HeldModel) -> Mebibytes {
         size(spec, &held.name) + adapters_size(spec, &held.name, held.adapters.len())
     }
 
     /// Returns the memory that models and adapters take, those under way included.
-    pub fn taken(&self, spec: &EngineSpec) -> Mebibytes {
-        let held: Mebibytes = self.models.iter().map(|m| self.weight(spec, m)).sum();
+    pub fn memory_used(&self, spec: &EngineSpec) -> Mebibytes {
+        let held: Mebibytes = self.models.iter().map(|m| self.model_memory(spec, m)).sum();
         let coming: Mebibytes =
-            self.adapters.iter().map(|a| adapters_size(spec, &a.model, 1)).sum();
+            self.adapter_jobs.iter().map(|a| adapters_size(spec, &a.model, 1)).sum();
         let loading = self.job.as_ref().filter(|j| !self.holds(&j.model));
         held + coming + loading.map_or(0, |j| size(spec, &j.model))
     }
 
     /// Takes in its report. One of an earlier time does no harm: orders that expect its number are refused.
-    pub fn confirm(&mut self, report: &EngineReport, now: Moment) {
+    pub fn apply_report(&mut self, report: &EngineReport, now: Moment) {
         self.models.clone_from(&report.models);
         self.sequence = report.sequence;
-        self.memory.clone_from(&report.copies.memory);
-        self.disk.clone_from(&report.copies.disk);
+        self.memory_copies.clone_from(&report.copies.memory);
+        self.disk_copies.clone_from(&report.copies.disk);
         self.confirmed = true;
         self.changed = now;
-        self.behind = 0;
-        self.occupied = false;
+        self.stale_reports = 0;
+        self.reported_busy = false;
     }
 
     /// Returns whether a report may be taken in. One that counts fewer orders than were answered is of an earlier
     /// time, unless the next ones count no more: then the engine has started again under its id.
-    pub fn is_credible(&mut self, report: &EngineReport) -> bool {
+    pub fn accepts_report(&mut self, report: &EngineReport) -> bool {
         if report.sequence >= self.sequence {
             return true;
         }
-        self.behind += 1;
-        self.behind >= REPORTS_BEHIND
+        self.stale_reports += 1;
+        self.stale_reports >= REPORTS_BEHIND
     }
 
     /// Compares an idle engine with its entry; doubts it where that shows something else.
@@ -256,7 +256,11 @@
     /// Returns whether an entry shows other models, or other adapters where an order may have changed them unseen.
     fn differs(&self, entry: &[HeldModel]) -> bool {
         let adapters = |m: &HeldModel| -> BTreeSet<SmolStr> {
-            if self.strays { m.adapters.iter().cloned().collect() } else { BTreeSet::new() }
+            if self.orders_inflight {
+                m.adapters.iter().cloned().collect()
+            } else {
+                BTreeSet::new()
+            }
         };
         let all = |models: &[HeldModel]| -> BTreeMap<ModelName, BTreeSet<SmolStr>> {
             models.iter().map(|m| (m.name.clone(), adapters(m))).collect()
@@ -265,11 +269,11 @@
     }
 
     /// Notes that the engine holds a model now.
-    pub fn loaded(&mut self, model: &ModelName, now: Moment) {
+    pub fn add_model(&mut self, model: &ModelName, now: Moment) {
         if !self.holds(model) {
             self.models.push(HeldModel { name: model.clone(), adapters: Vec::new() });
         }
-        for copies in [&mut self.memory, &mut self.disk] {
+        for copies in [&mut self.memory_copies, &mut self.disk_copies] {
             if !copies.contains(model) {
                 copies.push(model.clone());
             }
@@ -279,13 +283,13 @@
     }
 
     /// Notes that the engine dropped a model.
-    pub fn unloaded(&mut self, model: &str) {
+    pub fn remove_model(&mut self, model: &str) {
         self.models.retain(|m| m.name != model);
     }
 
     /// Notes that the engine dropped a model with its adapters, or an adapter.
-    pub fn drop_held(&mut self, model: &str, adapter: Option<&SmolStr>) {
-        let Some(adapter) = adapter else { return self.unloaded(model) };
+    pub fn remove_target(&mut self, model: &str, adapter: Option<&SmolStr>) {
+        let Some(adapter) = adapter else { return self.remove_model(model) };
         for held in self.models.iter_mut().filter(|m| m.name == model) {
             held.adapters.retain(|a| a != adapter);
         }
@@ -303,7 +307,7 @@
             .map(|j| Coming { model: j.model.clone(), adapter: None, eta_ms: eta_ms(j.eta) })
             .into_iter()
             .collect();
-        coming.extend(self.adapters.iter().map(|a| Coming {
+        coming.extend(self.adapter_jobs.iter().map(|a| Coming {
             model: a.model.clone(),
             adapter: Some(a.adapter.clone()),
             eta_ms: eta_ms(a.eta),
@@ -322,7 +326,7 @@
     spec.models.get(model).map_or(spec.memory, |m| m.size)
 }
 
-impl Ledger {
+impl EngineTable {
     /// Follows the directory: servers come, go and start again, and entries tell what idle engines hold.
     /// Returns the starts that are over.
     ///
@@ -349,29 +353,29 @@
             let engine =
                 self.engines.entry(server.id.clone()).or_insert_with(|| Engine::new(server));
             engine.server = Rc::clone(server);
-            let is_idle = engine.job.is_none() && engine.adapters.is_empty();
+            let is_idle = engine.job.is_none() && engine.adapter_jobs.is_empty();
             if is_idle && !engine.confirmed {
                 engine.models.clone_from(&server.models);
             }
             if is_idle {
                 engine.compare(now);
-                engine.memory.clone_from(&server.copies.memory);
-                engine.disk.clone_from(&server.copies.disk);
+                engine.memory_copies.clone_from(&server.copies.memory);
+                engine.disk_copies.clone_from(&server.copies.disk);
             }
         }
         ended
     }
 
     /// Returns the engine of one start of a server.
-    pub fn engine_of(&mut self, start: &ServerStart) -> Option<&mut Engine> {
+    pub fn engine_mut(&mut self, start: &ServerStart) -> Option<&mut Engine> {
         self.engines.get_mut(&start.id).filter(|e| e.server.born == start.born)
     }
 
     /// Forgets what orders under an older lease led to believe.
-    pub fn doubt_all(&mut self) {
+    pub fn invalidate_all(&mut self) {
         for engine in self.engines.values_mut() {
             engine.confirmed = false;
-            engine.strays = true;
+            engine.orders_inflight = true;
         }
     }
 }
--- a/lib/src/placement/entries.rs
+++ b/lib/src/placement/entries.rs
@@ -16,7 +16,7 @@
 use crate::protocol::FormatError;
 
 /// Key of the record of the placement lease.
-pub const PLACEMENT: &str = "placement";
+pub const PLACEMENT_KEY: &str = "placement";
 
 /// Where a daemon takes messages from other daemons.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -63,7 +63,7 @@
 /// # Panics
 ///
 /// Never: these types have no map with keys other than text.
-pub fn write<T: Serialize>(entry: &T) -> Bytes {
+pub fn encode<T: Serialize>(entry: &T) -> Bytes {
     Bytes::from(serde_json::to_vec(entry).expect("plain fields become JSON"))
 }
 
--- a/lib/src/placement/eta_accuracy.rs
+++ b/lib/src/placement/eta_accuracy.rs
@@ -15,16 +15,16 @@
 
 /// Keeps how punctual loads from hosts' copies have been.
 #[derive(Debug, Default)]
-pub struct LoadTrust {
+pub struct EtaAccuracy {
     /// Whether a load was seen to end on time.
     proven: bool,
     /// Until when no load is trusted.
     doubted: Moment,
 }
 
-impl LoadTrust {
+impl EtaAccuracy {
     /// Takes in when a load showed in a report, counted from when it should have ended.
-    pub fn ended(&mut self, after: Duration, now: Moment) {
+    pub fn record(&mut self, after: Duration, now: Moment) {
         if after > ON_TIME {
             self.doubted = now + DOUBT;
         } else {
@@ -33,12 +33,12 @@
     }
 
     /// Returns whether a load can be taken to end when it should.
-    pub fn is_given(&self, now: Moment) -> bool {
+    pub fn is_reliable(&self, now: Moment) -> bool {
         self.proven && now >= self.doubted
     }
 
     /// Returns how long a report is waited for, from when a load should have ended.
-    pub fn limit() -> Duration {
+    pub fn tolerance() -> Duration {
         ON_TIME
     }
 }
--- a/lib/src/placement/fetch_limiter.rs
+++ b/lib/src/placement/fetch_limiter.rs
@@ -46,13 +46,13 @@
 
 impl StoreShare {
     /// Returns how many loads at once to run: all that are proven, and one more to find out.
-    pub fn parallel(self) -> usize {
+    pub fn concurrency(self) -> usize {
         (self.proven + TRIAL).min(self.limit).max(1)
     }
 
     /// Returns the time of a load that begins beside others, `count` in all.
     pub fn time(self, alone: Duration, count: usize) -> Duration {
-        shared_time(alone, count, self.parallel())
+        shared_time(alone, count, self.concurrency())
     }
 }
 
@@ -81,7 +81,7 @@
 
 /// Loads from the weight store.
 #[derive(Debug)]
-pub struct StorePace {
+pub struct FetchLimiter {
     /// When this daemon began to order.
     since: Moment,
     /// When loads of the last window began.
@@ -91,7 +91,7 @@
     limited: Moment,
 }
 
-impl StorePace {
+impl FetchLimiter {
     /// Begins with nothing ordered.
     pub fn new(since: Moment) -> Self {
         Self {
@@ -135,7 +135,7 @@
     }
 
     /// Looks for loads that are late; returns whether the store turned out to serve fewer at once.
-    pub fn look(&mut self, now: Moment) -> bool {
+    pub fn update_limit(&mut self, now: Moment) -> bool {
         if now > self.limited + DOUBT_AFTER && self.share.limit < MOST {
             self.limited = now;
             self.share.limit += 1;
@@ -158,7 +158,7 @@
     /// Returns how many loads may begin, where `rate` a second are allowed in each `window`.
     ///
     /// The ceiling is kept with room to spare, as loads begin some time after their orders.
-    pub fn room(&mut self, rate: f64, window: Duration, now: Moment) -> usize {
+    pub fn fetches_left(&mut self, rate: f64, window: Duration, now: Moment) -> usize {
         while self.begun.front().is_some_and(|t| now > *t + window) {
             self.begun.pop_front();
         }
--- a/lib/src/placement/fetching.rs
+++ b/lib/src/placement/fetching.rs
@@ -7,10 +7,10 @@
 use crate::cluster::configuration::EngineSpec;
 use crate::cluster::server_instance::ServerStart;
 use crate::ids::ModelName;
-use crate::placement::demand::Item;
+use crate::placement::demand::ModelTarget;
 use crate::placement::engine_table::Engine;
 use crate::placement::load_options::BUSY_RATE;
-use crate::placement::load_options::Wanted;
+use crate::placement::load_options::WaitStats;
 use crate::placement::planner::Planner;
 
 /// Loads from the weight store under way at once, those that nobody waits for.
@@ -28,10 +28,10 @@
     ///
     /// The store is slow, and slower where loads share it: a rare model that asked first must not take
     /// the place of one that many callers come for.
-    pub(super) fn fetch(&mut self, is_urgent: bool) {
-        for service in self.scene.config.services.values() {
+    pub(super) fn fetch_missing(&mut self, is_urgent: bool) {
+        for service in self.input.config.services.values() {
             let Some(spec) = &service.engine else { continue };
-            let most = if is_urgent { self.scene.share.parallel() } else { self.spare(spec) };
+            let most = if is_urgent { self.input.share.concurrency() } else { self.spare(spec) };
             let mut missing: Vec<(f64, &ModelName)> = spec
                 .models
                 .keys()
@@ -40,20 +40,20 @@
                 .collect();
             missing.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(b.1)));
             for (rate, model) in missing {
-                if self.offers.fetching >= most || self.offers.store_room == 0 {
+                if self.options.fetching >= most || self.options.fetches_left == 0 {
                     return;
                 }
-                let wanted = is_urgent.then_some(Wanted { rate, waited: Duration::ZERO });
+                let wanted = is_urgent.then_some(WaitStats { rate, waited: Duration::ZERO });
                 let avoid = self.avoid(&service.name, model);
-                let offers = self
-                    .offers
+                let options = self
+                    .options
                     .engines(&service.name)
                     .filter(|e| !avoid.contains(&e.server.start()))
                     .filter(|e| is_urgent || e.models.iter().all(|m| e.has_copy(&m.name)))
-                    .filter_map(|e| self.offers.offer(e, spec, model, wanted));
-                let open = offers.filter(|o| o.can_start);
+                    .filter_map(|e| self.options.load_option(e, spec, model, wanted));
+                let open = options.filter(|o| o.can_start);
                 let Some(best) = open.min_by(|a, b| a.cost.total_cmp(&b.cost)) else { continue };
-                self.begin(best, model, "no copy on any host");
+                self.start_load(best, model, "no copy on any host");
             }
         }
     }
@@ -64,9 +64,9 @@
         if !self.has_copy(service, model) {
             return Some(self.pull(service, model));
         }
-        let excess = if is_urgent { self.offers.excess(service, model) } else { 0.0 };
-        let can_grow = self.offers.survey.near(service, model).iter().any(|e| {
-            self.offers.is_usable(e)
+        let excess = if is_urgent { self.options.excess(service, model) } else { 0.0 };
+        let can_grow = self.options.index.engines_with_copy(service, model).iter().any(|e| {
+            self.options.is_usable(e)
                 && !e.holds(model)
                 && e.job.as_ref().is_none_or(|job| job.model != *model)
         });
@@ -76,32 +76,32 @@
 
     /// Loads from the weight store at once that nobody waits for.
     fn spare(&self, spec: &EngineSpec) -> usize {
-        let most = if self.scene.demand.is_empty() { FETCHES } else { FETCHES_BUSY };
+        let most = if self.input.demand.is_empty() { FETCHES } else { FETCHES_BUSY };
         let longest = spec.models.values().map(|m| m.load).max().unwrap_or_default();
-        let share = self.scene.share;
-        let proven = if longest > TRIAL_LOAD { share.proven } else { share.parallel() };
+        let share = self.input.share;
+        let proven = if longest > TRIAL_LOAD { share.proven } else { share.concurrency() };
         most.min(proven)
     }
 
     /// Whether some usable engine holds a model, loads it, or has a copy of its weights.
     fn has_copy(&self, service: &SmolStr, model: &ModelName) -> bool {
         let avoid = self.avoid(service, model);
-        let is_open = |e: &&Engine| self.offers.is_usable(e) && !avoid.contains(&e.server.start());
+        let is_open = |e: &&Engine| self.options.is_usable(e) && !avoid.contains(&e.server.start());
         self.placed.contains(&(service.clone(), model.clone()))
-            || self.offers.survey.near(service, model).iter().any(is_open)
+            || self.options.index.engines_with_copy(service, model).iter().any(is_open)
     }
 
     /// Engines that the requests that wait for a model cannot use.
     fn avoid(&self, service: &SmolStr, model: &ModelName) -> &[ServerStart] {
-        let item = Item { service: service.clone(), model: model.clone(), adapter: None };
-        self.waits.get(&item).map_or(&[], |wait| &wait.avoid)
+        let item = ModelTarget { service: service.clone(), model: model.clone(), adapter: None };
+        self.backlogs.get(&item).map_or(&[], |wait| &wait.avoid)
     }
 
     /// Arrivals a second of a model, its waiting requests counted as if they came in a second.
     fn pull(&self, service: &SmolStr, model: &ModelName) -> f64 {
-        let is_it = |i: &Item| i.service == *service && i.model == *model;
+        let is_it = |i: &ModelTarget| i.service == *service && i.model == *model;
         let waiting: u32 =
-            self.waits.iter().filter(|(i, _)| is_it(i)).map(|(_, w)| w.waiting).sum();
-        self.offers.rate(service, model) + f64::from(waiting)
+            self.backlogs.iter().filter(|(i, _)| is_it(i)).map(|(_, w)| w.waiting).sum();
+        self.options.rate(service, model) + f64::from(waiting)
     }
 }
--- a/lib/src/placement/lease_state.rs
+++ b/lib/src/placement/lease_state.rs
@@ -21,7 +21,7 @@
 
 /// Time for which a renewal is valid, counted from before its append was sent. For as long after a
 /// holder's end nothing is loaded; a store that takes 100 times its usual 4 ms still renews in time.
-pub const VALID: Duration = Duration::from_millis(1600);
+pub const LEASE_TTL: Duration = Duration::from_millis(1600);
 /// Time between renewals: two may fail before the lease ends.
 const RENEW_EVERY: Duration = Duration::from_millis(500);
 /// Time between tries while the store does not answer.
@@ -40,7 +40,7 @@
 
 /// What the holder of the lease has.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Held {
+pub(super) struct HeldLease {
     pub(super) fence: Fence,
     /// When the newest acknowledged append was sent.
     pub(super) sent: Moment,
@@ -50,23 +50,23 @@
     pub(super) orders_from: Moment,
     /// Whether it is being given up where engines check no fences: another daemon may hold it and order already,
     /// before the store's answer comes.
-    pub(super) leaving: bool,
+    pub(super) releasing: bool,
 }
 
 /// What a holder tells its peers of its lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct TenureClaim {
+pub struct LeaseClaim {
     /// The fencing number of its orders.
     pub fence: Fence,
     /// For how long the lease is still valid.
-    pub left: Duration,
+    pub valid_for: Duration,
     /// Where the feed of the lease ended after the newest renewal.
     pub end: Offset,
 }
 
 /// What to do next about the lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum LeaseStep {
     /// Read the feed's newest record.
     Read,
     /// Append a record if the feed still ends at the offset.
@@ -77,7 +77,7 @@
 
 /// One daemon's view of the lease. `lease_feed` takes in what it reads of the feed.
 #[derive(Debug)]
-pub struct Tenure {
+pub struct LeaseState {
     me: DaemonId,
     pub(super) process: ProcessId,
     /// Where this daemon takes messages, and when its process began to.
@@ -91,16 +91,16 @@
     /// Where the feed ends, as far as read; none where it has to be read.
     pub(super) end: Option<Offset>,
     /// The newest record.
-    pub(super) entry: Option<LeaseEntry>,
+    pub(super) newest_entry: Option<LeaseEntry>,
     /// Until when another's lease may be valid.
-    pub(super) others_until: Moment,
+    pub(super) peer_expiry: Moment,
     /// The newest claim of another daemon.
-    pub(super) heard: Option<HeardTenure>,
+    pub(super) peer_claim: Option<HeardTenure>,
     /// Whether the last look found a holder among the peers.
     followed: bool,
-    pub(super) held: Option<Held>,
+    pub(super) held: Option<HeldLease>,
     /// An append without a clear answer: when it was sent first, and the end that it named.
-    pub(super) unsettled: Option<(Moment, Offset)>,
+    pub(super) pending_append: Option<(Moment, Offset)>,
     /// When the store last failed to answer.
     pub(super) outage: Option<Moment>,
     pub(super) retry_at: Moment,
@@ -112,7 +112,7 @@
     is_handed: bool,
 }
 
-impl Tenure {
+impl LeaseState {
     /// Starts without a lease.
     pub fn new(
         me: DaemonId,
@@ -129,12 +129,12 @@
             apart,
             patience,
             end: None,
-            entry: None,
-            others_until: Moment::ZERO,
-            heard: None,
+            newest_entry: None,
+            peer_expiry: Moment::ZERO,
+            peer_claim: None,
             followed: false,
             held: None,
-            unsettled: None,
+            pending_append: None,
             outage: None,
             retry_at: Moment::ZERO,
             share: StoreShare::default(),
@@ -144,7 +144,7 @@
     }
 
     /// Sets where this daemon takes messages, from a moment on.
-    pub fn sit(&mut self, addr: SocketAddr, since: Moment) {
+    pub fn set_address(&mut self, addr: SocketAddr, since: Moment) {
         self.seat = Some((addr, since));
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Sets how much longer this daemon waits than others before it bids.
-    pub fn set_patience(&mut self, patience: Duration) {
+    pub fn set_bid_delay(&mut self, patience: Duration) {
         self.patience = patience;
     }
 
@@ -168,13 +168,13 @@
     }
 
     /// Takes in what this daemon knows of the weight store, to be handed on with the lease.
-    pub fn keep_share(&mut self, share: StoreShare) {
+    pub fn set_share(&mut self, share: StoreShare) {
         self.share = share;
     }
 
     /// Returns the fencing number while this daemon may give orders, to some engines at least.
     pub fn fence(&self, now: Moment) -> Option<Fence> {
-        let held = self.held.filter(|held| !held.leaving)?;
+        let held = self.held.filter(|held| !held.releasing)?;
         (self.is_valid(&held, now) && now >= held.orders_from).then_some(held.fence)
     }
 
@@ -184,25 +184,25 @@
     /// order of the holder before lies far enough back.
     pub fn fence_for(&self, engine: EngineKey, now: Moment) -> Option<Fence> {
         let fence = self.fence(now)?;
-        let is_open =
-            self.fenced || self.recent.is_listed(engine) && now >= self.recent.free_from(engine);
+        let is_open = self.fenced
+            || self.recent.is_listed(engine) && now >= self.recent.orderable_from(engine);
         is_open.then_some(fence)
     }
 
     /// Returns from when on an engine may be ordered in view of earlier holders.
-    pub fn free_from(&self, engine: EngineKey) -> Moment {
-        if self.fenced { Moment::ZERO } else { self.recent.free_from(engine) }
+    pub fn orderable_from(&self, engine: EngineKey) -> Moment {
+        if self.fenced { Moment::ZERO } else { self.recent.orderable_from(engine) }
     }
 
     /// Returns how many engines are left alone at a moment; none where all are.
-    pub fn held_back(&self, now: Moment) -> Option<usize> {
+    pub fn blocked_engines(&self, now: Moment) -> Option<usize> {
         let is_known = self.held.is_some_and(|held| now >= held.orders_from);
-        is_known.then(|| self.recent.held_back(now))
+        is_known.then(|| self.recent.blocked_engines(now))
     }
 
     /// Notes that orders to an engine are about to be given; returns whether a record has to list it first.
     pub fn begin_orders(&mut self, fence: Fence, engine: EngineKey, now: Moment) -> bool {
-        if self.fenced || self.standing() != Some(fence) {
+        if self.fenced || self.held_fence() != Some(fence) {
             return false;
         }
         self.recent.begin(engine, now);
@@ -211,7 +211,7 @@
 
     /// Notes that no more orders of a change follow.
     pub fn end_orders(&mut self, fence: Fence, engine: EngineKey, now: Moment) {
-        if self.standing() == Some(fence) {
+        if self.held_fence() == Some(fence) {
             self.recent.end(engine, now);
         }
     }
@@ -220,64 +220,64 @@
     ///
     /// A late renewal pauses orders. It ends the tenure only when another daemon proves to have the
     /// lease: until then what was ordered goes on, and what is known stays known.
-    pub fn standing(&self) -> Option<Fence> {
+    pub fn held_fence(&self) -> Option<Fence> {
         self.held.map(|h| h.fence)
     }
 
-    fn is_valid(&self, held: &Held, now: Moment) -> bool {
+    fn is_valid(&self, held: &HeldLease, now: Moment) -> bool {
         // Where engines check fences, a holder that cannot renew goes on until somebody proves to
         // have taken over: an outage of the store must not stop all placement. The failed renewal
         // must be recent, so that a holder that wakes from a freeze asks the store first.
         let outage = self.outage.is_some_and(|t| now < t + OUTAGE_SHOWN);
-        now < held.sent + VALID || self.fenced && outage
+        now < held.sent + LEASE_TTL || self.fenced && outage
     }
 
     /// Returns what is to be told to peers while the lease is valid.
-    pub fn claim(&self, now: Moment) -> Option<TenureClaim> {
+    pub fn claim(&self, now: Moment) -> Option<LeaseClaim> {
         let held = self.held.filter(|h| self.is_valid(h, now))?;
-        let left = (held.sent + VALID).saturating_sub(now);
-        let left = if left.is_zero() { VALID } else { left };
-        Some(TenureClaim { fence: held.fence, left, end: held.end })
+        let left = (held.sent + LEASE_TTL).saturating_sub(now);
+        let left = if left.is_zero() { LEASE_TTL } else { left };
+        Some(LeaseClaim { fence: held.fence, valid_for: left, end: held.end })
     }
 
     /// Returns the next step; `heard` is another daemon's claim.
-    pub fn next(&mut self, now: Moment, heard: Option<HeardTenure>) -> Step {
+    pub fn next_step(&mut self, now: Moment, heard: Option<HeardTenure>) -> LeaseStep {
         self.follow(heard);
         if now < self.retry_at {
-            return Step::Sleep(self.retry_at);
+            return LeaseStep::Sleep(self.retry_at);
         }
         let Some(end) = self.end else {
-            return Step::Read;
+            return LeaseStep::Read;
         };
         if let Some(held) = self.held {
-            if held.leaving {
-                return Step::Sleep(now + LEAVE_LOOK);
+            if held.releasing {
+                return LeaseStep::Sleep(now + LEAVE_LOOK);
             }
             let due = held.sent + RENEW_EVERY;
             // A record says nothing of orders while those before are unknown.
-            let is_due = !self.fenced && now >= held.orders_from && self.recent.is_due();
+            let is_due = !self.fenced && now >= held.orders_from && self.recent.needs_record();
             if now < due && !is_due {
-                return Step::Sleep(due);
+                return LeaseStep::Sleep(due);
             }
-            return Step::Append(end, self.record(Some(held.fence), end, now));
+            return LeaseStep::Append(end, self.record(Some(held.fence), end, now));
         }
         if heard.is_some() {
-            return Step::Sleep(now + LOOK_EVERY);
+            return LeaseStep::Sleep(now + LOOK_EVERY);
         }
         let is_over = |e: &LeaseEntry| e.released || self.replaced(e).is_some();
-        let is_free = self.entry.as_ref().map_or(end == 0, is_over);
-        let from = if is_free { Moment::ZERO } else { self.others_until + MARGIN };
+        let is_free = self.newest_entry.as_ref().map_or(end == 0, is_over);
+        let from = if is_free { Moment::ZERO } else { self.peer_expiry + MARGIN };
         if now < from + self.patience {
-            return Step::Sleep((from + self.patience).min(now + LOOK_EVERY));
+            return LeaseStep::Sleep((from + self.patience).min(now + LOOK_EVERY));
         }
         self.is_handed = self.take_over(end, now);
-        Step::Append(end, self.record(None, end, now))
+        LeaseStep::Append(end, self.record(None, end, now))
     }
 
     /// Takes over what the holder before wrote of its orders; returns whether it did.
     fn take_over(&mut self, end: Offset, now: Moment) -> bool {
         self.recent.forget();
-        let last = self.entry.as_ref().filter(|e| e.at.is_some_and(|at| at + 1 == end));
+        let last = self.newest_entry.as_ref().filter(|e| e.at.is_some_and(|at| at + 1 == end));
         let Some(last) = last else { return end == 0 };
         let Some(orders) = &last.orders else { return false };
         // This daemon's own orders may be newer than what it heard of itself.
@@ -285,8 +285,8 @@
         let handover = if let Some(since) = self.replaced(last) {
             Handover { written: since, ended: since }
         } else if is_lapsed {
-            let written = self.others_until.saturating_sub(VALID).min(now);
-            Handover { written, ended: self.others_until.min(now) }
+            let written = self.peer_expiry.saturating_sub(LEASE_TTL).min(now);
+            Handover { written, ended: self.peer_expiry.min(now) }
         } else {
             Handover { written: now, ended: now }
         };
@@ -297,11 +297,11 @@
     /// Takes in what is heard of another holder now, or that none is heard.
     fn follow(&mut self, heard: Option<HeardTenure>) {
         if let Some(heard) = heard {
-            self.others_until = self.others_until.max(heard.until);
+            self.peer_expiry = self.peer_expiry.max(heard.until);
             if self.held.is_some_and(|h| h.fence < heard.fence) {
-                self.lost();
+                self.step_down();
             }
-            self.heard = Some(heard);
+            self.peer_claim = Some(heard);
         } else if self.followed && self.held.is_none() {
             // What was read before the holder's renewals is of no use: a bid at that end would fail,
             // and the wait would begin anew.
@@ -318,7 +318,7 @@
             Some(held) => now >= held.orders_from,
             None => self.is_handed,
         };
-        let orders = if self.fenced || !is_known { None } else { self.recent.notes(now) };
+        let orders = if self.fenced || !is_known { None } else { self.recent.propose(now) };
         LeaseEntry { holder, process, addr, fence, released: false, at: Some(at), share, orders }
     }
 
@@ -327,35 +327,35 @@
     /// While the store is away nobody could take over: the holder keeps the lease for as long as its
     /// process lives.
     pub fn release(&mut self, now: Moment) -> Option<(Offset, LeaseEntry)> {
-        let held = self.held.filter(|h| now < h.sent + VALID)?;
+        let held = self.held.filter(|h| now < h.sent + LEASE_TTL)?;
         let end = self.end?;
         let entry = LeaseEntry { released: true, ..self.record(Some(held.fence), end, now) };
         self.recent.withdraw();
-        self.held = Some(Held { leaving: !self.fenced, ..held });
+        self.held = Some(HeldLease { releasing: !self.fenced, ..held });
         Some((end, entry))
     }
 
     /// Takes in that the store did not let the lease be given up.
-    pub fn kept(&mut self) {
-        self.held = self.held.map(|held| Held { leaving: false, ..held });
+    pub fn on_release_failed(&mut self) {
+        self.held = self.held.map(|held| HeldLease { releasing: false, ..held });
     }
 
     /// Takes in that the lease was given up.
-    pub fn released(&mut self) {
-        self.lost();
+    pub fn on_released(&mut self) {
+        self.step_down();
     }
 
     /// Returns whether it holds the lease or has an append that may have taken it.
-    pub fn is_involved(&self) -> bool {
-        self.held.is_some() || self.unsettled.is_some()
+    pub fn may_hold(&self) -> bool {
+        self.held.is_some() || self.pending_append.is_some()
     }
 
     /// Takes in that an append, sent at `sent`, was acknowledged.
-    pub fn appended(&mut self, sent: Moment, now: Moment, offset: Offset) {
+    pub fn on_appended(&mut self, sent: Moment, now: Moment, offset: Offset) {
         self.outage = None;
-        self.unsettled = None;
+        self.pending_append = None;
         self.end = Some(offset + 1);
-        self.recent.acknowledged();
+        self.recent.commit();
         if let Some(held) = &mut self.held {
             held.sent = sent;
             held.end = offset + 1;
@@ -365,15 +365,16 @@
         // may have held the lease just before it. Only an empty feed proves that nobody did.
         let wait = if self.fenced || self.is_handed { Duration::ZERO } else { self.apart };
         let fence = offset + 1;
-        self.held = Some(Held { fence, sent, end: fence, orders_from: now + wait, leaving: false });
-        self.entry = Some(self.record(Some(fence), offset, now));
+        self.held =
+            Some(HeldLease { fence, sent, end: fence, orders_from: now + wait, releasing: false });
+        self.newest_entry = Some(self.record(Some(fence), offset, now));
     }
 
     /// Takes in proof that another daemon has a later lease.
-    pub fn lost(&mut self) {
+    pub fn step_down(&mut self) {
         if self.held.take().is_some() {
             self.end = None;
         }
-        self.unsettled = None;
+        self.pending_append = None;
     }
 }
--- a/lib/src/placement/load_options.rs
+++ b/lib/src/placement/load_options.rs
@@ -14,8 +14,8 @@
 use crate::ids::ServerId;
 use crate::placement::engine_table::Engine;
 use crate::placement::engine_table::Source;
-use crate::placement::plan_index::Survey;
-use crate::placement::planner::Scene;
+use crate::placement::plan_index::PlanIndex;
+use crate::placement::planner::PlanInput;
 
 /// Arrivals a second of a model from which it counts as busy: it is then asked for about as often
 /// as a load takes, so it must stay loaded.
@@ -52,7 +52,7 @@
 
 /// What it takes to load a model at an engine.
 #[derive(Clone, Debug)]
-pub struct Offer<'a> {
+pub struct LoadOption<'a> {
     /// The engine.
     pub engine: &'a Engine,
     /// Models that make way.
@@ -68,7 +68,7 @@
     pub can_start: bool,
 }
 
-impl<'a> Offer<'a> {
+impl<'a> LoadOption<'a> {
     /// An offer that cannot begin now; `price` is what it costs beside the time.
     fn later(engine: &'a Engine, source: Source, time: Duration, price: f64) -> Self {
         let cost = time.as_secs_f64() + price;
@@ -78,26 +78,26 @@
 
 /// A model that requests wait for.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct WaitStats {
     /// Its arrivals a second.
     pub rate: f64,
     /// How long its first request has waited.
     pub waited: Duration,
 }
 
-fn is_usable(scene: &Scene<'_>, engine: &Engine) -> bool {
-    !engine.server.leaving && !scene.unreachable.contains(&engine.server.id)
+fn is_usable(input: &PlanInput<'_>, engine: &Engine) -> bool {
+    !engine.server.leaving && !input.unreachable.contains(&engine.server.id)
 }
 
 /// The offers of all engines, while a plan is made.
 #[derive(Debug)]
-pub struct Offers<'a> {
+pub struct LoadOptions<'a> {
     /// What the plan looks at.
-    pub scene: &'a Scene<'a>,
+    pub input: &'a PlanInput<'a>,
     /// Counts of it.
-    pub survey: Survey<'a>,
+    pub index: PlanIndex<'a>,
     /// Models with waiting requests: their last replica stays where it is.
-    pub waited: HashSet<(SmolStr, ModelName)>,
+    pub waiting_models: HashSet<(SmolStr, ModelName)>,
     /// Engines that got a step in this plan.
     pub taken: HashSet<ServerId>,
     /// How long engines will be at work for models that chose them in this plan, those that only wait for them
@@ -106,13 +106,13 @@
     /// Loads from the weight store, those of this plan included.
     pub fetching: usize,
     /// Loads from the weight store that may still begin.
-    pub store_room: usize,
+    pub fetches_left: usize,
 }
 
-impl<'a> Offers<'a> {
+impl<'a> LoadOptions<'a> {
     /// Returns what the engines of a service have in common.
     pub fn spec(&self, service: &str) -> Option<&'a EngineSpec> {
-        self.scene.config.services.get(service)?.engine.as_ref()
+        self.input.config.services.get(service)?.engine.as_ref()
     }
 
     /// Returns the engines of a service that may get steps.
@@ -120,19 +120,19 @@
         &'b self,
         service: &'b str,
     ) -> impl Iterator<Item = &'a Engine> + use<'a, 'b> {
-        let scene = self.scene;
-        let engines = scene.ledger.engines.values();
-        engines.filter(move |e| e.server.service == service && is_usable(scene, e))
+        let input = self.input;
+        let engines = input.ledger.engines.values();
+        engines.filter(move |e| e.server.service == service && is_usable(input, e))
     }
 
     /// Returns whether an engine may get steps.
     pub fn is_usable(&self, engine: &Engine) -> bool {
-        is_usable(self.scene, engine)
+        is_usable(self.input, engine)
     }
 
     /// Returns arrivals a second of a model, with a small figure for one never asked for.
     pub fn rate(&self, service: &str, model: &str) -> f64 {
-        self.survey.rate(service, model).max(UNKNOWN_RATE)
+        self.index.rate(service, model).max(UNKNOWN_RATE)
     }
 
     /// Notes that a model will be at an engine after `time`: what else goes there comes after it.
@@ -142,15 +142,15 @@
     }
 
     fn is_used(&self, engine: &Engine, model: &ModelName) -> bool {
-        self.survey.running_at(&engine.server.id, model) > 0
+        self.index.running_at(&engine.server.id, model) > 0
     }
 
     /// Expected loss of evicting a model from one engine, in requests a second that meet no replica.
     fn loss(&self, engine: &Engine, model: &ModelName) -> f64 {
         let service = &engine.server.service;
         let rate = self.rate(service, model);
-        let replicas = self.survey.replicas(service, model);
-        if replicas > self.needed(service, model).max(1) {
+        let replicas = self.index.replicas(service, model);
+        if replicas > self.needed_replicas(service, model).max(1) {
             return rate * SPARE_PART;
         }
         if replicas > 1 { rate * NEEDED_PART } else { rate }
@@ -160,7 +160,7 @@
     /// one is about as long as a whole one on the mean.
     fn delay(&self, engine: &Engine, model: &ModelName) -> Duration {
         let is_used = self.is_used(engine, model);
-        if is_used { self.scene.run_times.mean(&engine.server.service) } else { Duration::ZERO }
+        if is_used { self.input.run_times.mean(&engine.server.service) } else { Duration::ZERO }
     }
 
     /// What a load that begins later at an engine costs beside its time: something makes way there as well, though it
@@ -171,7 +171,7 @@
         engine: &Engine,
         spec: &EngineSpec,
         need: Mebibytes,
-        wanted: Option<Wanted>,
+        wanted: Option<WaitStats>,
     ) -> f64 {
         let now = self.victims(engine, spec, need, wanted).map(|(_, loss)| loss);
         let losses = engine.models.iter().map(|m| self.loss(engine, &m.name));
@@ -181,19 +181,19 @@
 
     /// What other arrivals at an engine cost a model's callers there, in seconds of waiting.
     fn crowd(&self, engine: &Engine) -> f64 {
-        self.survey.arrivals(&engine.server.id) * CROWD_SECONDS
+        self.index.arrivals(&engine.server.id) * CROWD_SECONDS
     }
 
     /// Replicas that a model's demand asks for: by its arrivals, and by its requests in progress, which
     /// pile up where these take longer than expected.
-    pub fn needed(&self, service: &str, model: &ModelName) -> usize {
+    pub fn needed_replicas(&self, service: &str, model: &ModelName) -> usize {
         if self.rate(service, model) < BUSY_RATE {
             return 1;
         }
         let slots = self.spec(service).map_or(1, |s| s.slots.max(1));
-        let running = f64::from(self.survey.running(service, model));
+        let running = f64::from(self.index.running(service, model));
         let by_work = running / (f64::from(slots) * FILLED);
-        let by_rate = self.survey.peak(service, model) / RATE_PER_REPLICA;
+        let by_rate = self.index.peak(service, model) / RATE_PER_REPLICA;
         (by_rate.max(by_work).ceil() as usize).max(LEAST_BUSY)
     }
 
@@ -201,8 +201,8 @@
     /// more replica could.
     pub fn excess(&self, service: &str, model: &ModelName) -> f64 {
         let slots = self.spec(service).map_or(1, |s| s.slots.max(1));
-        let each = f64::from(slots) / self.scene.run_times.mean(service).as_secs_f64();
-        let replicas = self.survey.replicas(service, model) as f64;
+        let each = f64::from(slots) / self.input.run_times.mean(service).as_secs_f64();
+        let replicas = self.index.replicas(service, model) as f64;
         (self.rate(service, model) - replicas * each * CARRIED).clamp(0.0, each)
     }
 
@@ -211,15 +211,15 @@
     /// A model that is wanted now and has no replica may take the place of another's second one,
     /// and of a last one that is asked for less, or after a long wait. Otherwise models that were
     /// loaded first would keep all places, and the others would never be served.
-    fn must_stay(&self, engine: &Engine, model: &ModelName, wanted: Option<Wanted>) -> bool {
+    fn must_stay(&self, engine: &Engine, model: &ModelName, wanted: Option<WaitStats>) -> bool {
         let service = &engine.server.service;
         let rate = self.rate(service, model);
-        let replicas = self.survey.replicas(service, model);
+        let replicas = self.index.replicas(service, model);
         if rate < BUSY_RATE {
             return false;
         }
         match wanted {
-            None => replicas <= self.needed(service, model).min(LEAST_BUSY),
+            None => replicas <= self.needed_replicas(service, model).min(LEAST_BUSY),
             Some(wanted) => {
                 let yields = rate < wanted.rate || wanted.waited > LONG_WAIT;
                 replicas <= 1 && !yields
@@ -227,11 +227,11 @@
         }
     }
 
-    fn may_leave(&self, engine: &Engine, model: &ModelName, wanted: Option<Wanted>) -> bool {
+    fn may_leave(&self, engine: &Engine, model: &ModelName, wanted: Option<WaitStats>) -> bool {
         let key = (engine.server.service.clone(), model.clone());
-        let settles = engine.used.get(model).is_some_and(|t| self.scene.now < *t + SETTLE);
-        let is_last = self.survey.replicas(&key.0, model) <= 1;
-        let is_waited = is_last && self.waited.contains(&key);
+        let settles = engine.used.get(model).is_some_and(|t| self.input.now < *t + SETTLE);
+        let is_last = self.index.replicas(&key.0, model) <= 1;
+        let is_waited = is_last && self.waiting_models.contains(&key);
         let leaves = engine.job.as_ref().is_some_and(|job| job.victims.contains(model));
         !leaves && !settles && !is_waited && !self.must_stay(engine, model, wanted)
     }
@@ -242,11 +242,11 @@
         engine: &Engine,
         spec: &EngineSpec,
         need: Mebibytes,
-        wanted: Option<Wanted>,
+        wanted: Option<WaitStats>,
     ) -> bool {
         let soon = engine.models.iter().filter(|m| !self.must_stay(engine, &m.name, wanted));
-        let room: Mebibytes = soon.map(|m| engine.weight(spec, m)).sum();
-        spec.memory.saturating_sub(engine.taken(spec)) + room >= need
+        let room: Mebibytes = soon.map(|m| engine.model_memory(spec, m)).sum();
+        spec.memory.saturating_sub(engine.memory_used(spec)) + room >= need
     }
 
     /// Victims that free room for `need`, the least loss first; none where it cannot be had.
@@ -255,9 +255,9 @@
         engine: &Engine,
         spec: &EngineSpec,
         need: Mebibytes,
-        wanted: Option<Wanted>,
+        wanted: Option<WaitStats>,
     ) -> Option<(Vec<ModelName>, f64)> {
-        let mut free = spec.memory.saturating_sub(engine.taken(spec));
+        let mut free = spec.memory.saturating_sub(engine.memory_used(spec));
         if free >= need {
             return Some((Vec::new(), 0.0));
         }
@@ -269,7 +269,7 @@
                 // A victim in use is the last choice: the load would wait for its requests.
                 let delay = self.delay(engine, &m.name).as_secs_f64() / LOSS_SECONDS;
                 let used = engine.used.get(&m.name).copied().unwrap_or_default();
-                (self.loss(engine, &m.name) + delay, used, engine.weight(spec, m), &m.name)
+                (self.loss(engine, &m.name) + delay, used, engine.model_memory(spec, m), &m.name)
             })
             .collect();
         options.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
@@ -300,26 +300,26 @@
         match source {
             Source::Memory => spec.warm,
             Source::Disk => spec.disk,
-            Source::Store => self.scene.share.time(spec.load, self.fetching + 1),
+            Source::Store => self.input.share.time(spec.load, self.fetching + 1),
         }
     }
 
     /// Returns what it takes to load a model at an engine; none where it cannot be done.
-    pub fn offer(
+    pub fn load_option(
         &self,
         engine: &'a Engine,
         spec: &EngineSpec,
         model: &str,
-        wanted: Option<Wanted>,
-    ) -> Option<Offer<'a>> {
+        wanted: Option<WaitStats>,
+    ) -> Option<LoadOption<'a>> {
         let model_spec = spec.models.get(model)?;
         if engine.holds(model) || model_spec.size > spec.memory {
             return None;
         }
-        let now = self.scene.now;
+        let now = self.input.now;
         let source = engine.source(model);
         let mut time = self.load_time(model_spec, source) + ORDER_TIME;
-        time += engine.rest_until.saturating_sub(now);
+        time += engine.backoff_until.saturating_sub(now);
         let reserved = self.reserved.get(&engine.server.id).copied();
         if let Some(job) = &engine.job {
             if job.model == model {
@@ -328,11 +328,11 @@
             // Whatever makes way then, the job's own end comes first.
             let busy = job.eta.saturating_sub(now).max(reserved.unwrap_or_default());
             let price = self.later_price(engine, spec, model_spec.size, wanted);
-            return Some(Offer::later(engine, source, time + busy + ORDER_TIME, price));
+            return Some(LoadOption::later(engine, source, time + busy + ORDER_TIME, price));
         }
         if let Some(reserved) = reserved {
             let price = self.later_price(engine, spec, model_spec.size, wanted);
-            return Some(Offer::later(engine, source, time + reserved, price));
+            return Some(LoadOption::later(engine, source, time + reserved, price));
         }
         let Some((victims, loss)) = self.victims(engine, spec, model_spec.size, wanted) else {
             if !self.has_room_soon(engine, spec, model_spec.size, wanted) {
@@ -342,7 +342,7 @@
             // another engine takes longer.
             time += SETTLE + ORDER_TIME;
             let price = self.later_price(engine, spec, model_spec.size, wanted);
-            return Some(Offer::later(engine, source, time, price));
+            return Some(LoadOption::later(engine, source, time, price));
         };
         if !victims.is_empty() {
             time += ORDER_TIME;
@@ -350,10 +350,10 @@
         let delay = victims.iter().map(|v| self.delay(engine, v)).max().unwrap_or_default();
         let cost = (time + delay).as_secs_f64() + loss * LOSS_SECONDS + self.crowd(engine);
         let can_start = engine.confirmed
-            && engine.adapters.is_empty()
-            && now >= engine.rest_until
+            && engine.adapter_jobs.is_empty()
+            && now >= engine.backoff_until
             && !self.taken.contains(&engine.server.id)
-            && (source != Source::Store || self.store_room > 0);
-        Some(Offer { engine, victims, source, time, cost, can_start })
+            && (source != Source::Store || self.fetches_left > 0);
+        Some(LoadOption { engine, victims, source, time, cost, can_start })
     }
 }
--- a/lib/src/placement/order_effect.rs
+++ b/lib/src/placement/order_effect.rs
@@ -11,7 +11,7 @@
 /// The number of accepted orders alone does not tell whose order was the last one: an engine may carry out an
 /// unanswered order long after the change that it belonged to was given up, with the same number expected. Taken for
 /// the next change's order, it let that one go on, and the engine was filled beyond its memory.
-pub fn is_carried_out(
+pub fn is_applied(
     report: &EngineReport,
     kind: &OrderKind,
     model: &ModelName,
--- a/lib/src/placement/plan_index.rs
+++ b/lib/src/placement/plan_index.rs
@@ -12,7 +12,7 @@
 use crate::ids::ServerId;
 use crate::placement::demand::Demand;
 use crate::placement::engine_table::Engine;
-use crate::placement::engine_table::Ledger;
+use crate::placement::engine_table::EngineTable;
 use crate::placement::engine_table::Source;
 
 /// A service and a model.
@@ -31,7 +31,7 @@
 
 /// Counts over all engines and all demand at one moment.
 #[derive(Debug)]
-pub struct Survey<'a> {
+pub struct PlanIndex<'a> {
     rates: HashMap<ModelKey<'a>, f64>,
     replicas: HashMap<ModelKey<'a>, Replicas<'a>>,
     holders: EnginesByModel<'a>,
@@ -53,10 +53,10 @@
     list.map_or(&[], Vec::as_slice)
 }
 
-impl<'a> Survey<'a> {
+impl<'a> PlanIndex<'a> {
     /// Counts.
-    pub fn new(ledger: &'a Ledger, demand: &'a Demand, work: &WorkTable, now: Moment) -> Self {
-        let mut survey = Self {
+    pub fn new(ledger: &'a EngineTable, demand: &'a Demand, work: &WorkTable, now: Moment) -> Self {
+        let mut index = Self {
             rates: HashMap::new(),
             replicas: HashMap::new(),
             holders: HashMap::new(),
@@ -69,20 +69,20 @@
             fetching: 0,
         };
         for (item, rate) in demand.rates(now) {
-            *survey.rates.entry((&item.service, &item.model)).or_default() += rate;
+            *index.rates.entry((&item.service, &item.model)).or_default() += rate;
         }
         for engine in ledger.engines.values().filter(|e| !e.server.leaving) {
-            survey.count_engine(engine);
+            index.count_engine(engine);
         }
         for (item, peak) in demand.peaks(now) {
-            *survey.peaks.entry((&item.service, &item.model)).or_default() += peak;
+            *index.peaks.entry((&item.service, &item.model)).or_default() += peak;
         }
-        survey.count_running(ledger, work);
-        survey.count_arrivals(ledger);
-        survey
+        index.count_running(ledger, work);
+        index.count_arrivals(ledger);
+        index
     }
 
-    fn count_arrivals(&mut self, ledger: &'a Ledger) {
+    fn count_arrivals(&mut self, ledger: &'a EngineTable) {
         for engine in ledger.engines.values() {
             let service = engine.server.service.as_str();
             let share = |model: &'a str| {
@@ -93,7 +93,7 @@
         }
     }
 
-    fn count_running(&mut self, ledger: &'a Ledger, work: &WorkTable) {
+    fn count_running(&mut self, ledger: &'a EngineTable, work: &WorkTable) {
         for engine in ledger.engines.values() {
             let service = engine.server.service.as_str();
             let server = server_key(&engine.server.start());
@@ -111,7 +111,7 @@
         let service = engine.server.service.as_str();
         let centre = engine.server.centre.as_str();
         let job = engine.job.as_ref();
-        let fetches = job.map_or(engine.occupied, |j| j.source == Source::Store);
+        let fetches = job.map_or(engine.reported_busy, |j| j.source == Source::Store);
         self.fetching += usize::from(fetches);
         let kept = engine.models.iter().map(|m| &m.name);
         let kept = kept.filter(|name| !job.is_some_and(|j| j.victims.contains(name)));
@@ -128,10 +128,10 @@
                 self.adapters.insert((service, &held.name, adapter));
             }
         }
-        for job in &engine.adapters {
+        for job in &engine.adapter_jobs {
             self.adapters.insert((service, &job.model, &job.adapter));
         }
-        let on_host = engine.disk.iter().chain(&engine.memory);
+        let on_host = engine.disk_copies.iter().chain(&engine.memory_copies);
         let coming = job.map(|j| &j.model);
         for model in on_host.chain(engine.models.iter().map(|m| &m.name)).chain(coming) {
             let copies = self.copies.entry(service).or_default();
@@ -173,7 +173,7 @@
     }
 
     /// Returns the engines that hold a model, load it, or have a copy of its weights on their host.
-    pub fn near(&self, service: &str, model: &str) -> &[&'a Engine] {
+    pub fn engines_with_copy(&self, service: &str, model: &str) -> &[&'a Engine] {
         find(&self.copies, service, model)
     }
 
@@ -184,7 +184,7 @@
 
     /// Returns whether some engine holds a model or has a copy of its weights.
     pub fn has_copy(&self, service: &str, model: &str) -> bool {
-        !self.near(service, model).is_empty()
+        !self.engines_with_copy(service, model).is_empty()
     }
 
     /// Returns the arrivals a second of a model that its replicas must carry: a rise counts at once, a
--- a/lib/src/placement/recent_orders.rs
+++ b/lib/src/placement/recent_orders.rs
@@ -126,17 +126,17 @@
     }
 
     /// Returns whether orders wait for a record that lists their engine.
-    pub fn is_due(&self) -> bool {
+    pub fn needs_record(&self) -> bool {
         self.own.iter().any(|(engine, recent)| recent.open > 0 && !self.is_listed(*engine))
     }
 
     /// Returns from when on an engine may be ordered in view of earlier holders.
-    pub fn free_from(&self, engine: EngineKey) -> Moment {
+    pub fn orderable_from(&self, engine: EngineKey) -> Moment {
         self.inherited.get(&engine).copied().unwrap_or_default()
     }
 
     /// Returns how many engines are left alone at a moment because of earlier holders' orders.
-    pub fn held_back(&self, now: Moment) -> usize {
+    pub fn blocked_engines(&self, now: Moment) -> usize {
         self.inherited.values().filter(|free| now < **free).count()
     }
 
@@ -144,7 +144,7 @@
     ///
     /// A record whose append is never answered may land all the same, and a successor then relies on it: from here
     /// on only engines that it lists may be ordered.
-    pub fn notes(&mut self, now: Moment) -> Option<Vec<OrderNote>> {
+    pub fn propose(&mut self, now: Moment) -> Option<Vec<OrderNote>> {
         let apart = self.apart;
         self.own.retain(|_, recent| recent.open > 0 || now < recent.last + apart);
         self.inherited.retain(|_, free| now < *free);
@@ -177,7 +177,7 @@
     }
 
     /// Takes in that the record of the newest notes is in the feed.
-    pub fn acknowledged(&mut self) {
+    pub fn commit(&mut self) {
         self.listed.clone_from(&self.proposed);
     }
 }
--- a/lib/src/placement/urgency.rs
+++ b/lib/src/placement/urgency.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::boot_clock::Moment;
-use crate::placement::demand::Wait;
+use crate::placement::demand::Backlog;
 use crate::placement::load_options::BUSY_RATE;
 
 /// Time of the shortest loads, from a host's memory or disk.
@@ -27,15 +27,15 @@
     ///
     /// Served by age alone, a queue that has once grown longer than callers' goals makes everybody late:
     /// each load is for somebody who has just become late.
-    pub fn new(wait: &Wait, rate: f64, now: Moment) -> Self {
+    pub fn new(wait: &Backlog, rate: f64, now: Moment) -> Self {
         if rate >= BUSY_RATE {
             return Self::Busy(wait.since);
         }
         if wait.due >= now + SOONEST {
             return Self::Punctual(wait.due);
         }
-        if wait.until >= now + SOONEST {
-            return Self::Late(wait.until);
+        if wait.deadline >= now + SOONEST {
+            return Self::Late(wait.deadline);
         }
         Self::Lost(wait.since)
     }
--- a/lib/src/serve/adapter_loading.rs
+++ b/lib/src/serve/adapter_loading.rs
@@ -29,7 +29,7 @@
             "adapter" => job.adapter.as_str(), "result" => ?result,
             "victim" => job.victim.as_ref().map_or("-", |(_, a)| a.as_str()));
         self.with_engine(&server, |engine| {
-            engine.adapters.retain(|a| *a != job);
+            engine.adapter_jobs.retain(|a| *a != job);
             match result {
                 Ok(()) => {
                     let held = engine.models.iter_mut().find(|m| m.name == job.model);
@@ -42,7 +42,7 @@
                 }
                 Err(_failure) => {
                     engine.confirmed = false;
-                    engine.rest_until = now + REST;
+                    engine.backoff_until = now + REST;
                 }
             }
         });
@@ -57,7 +57,7 @@
     ) -> Result<(), OrderFailure> {
         // Orders to one engine go one after the other: each expects the number of those before.
         while self
-            .with_engine(server, |e| e.adapters.first().is_some_and(|first| first != job))
+            .with_engine(server, |e| e.adapter_jobs.first().is_some_and(|first| first != job))
             .unwrap_or(false)
         {
             sleep(Duration::from_millis(3)).await;
--- a/lib/src/serve/apply_updates.rs
+++ b/lib/src/serve/apply_updates.rs
@@ -195,7 +195,7 @@
         centre: settings.centre.clone(),
         small: settings.host.is_small(),
     };
-    let record = || FeedRecord { key: settings.id.clone(), value: Some(entries::write(&me)) };
+    let record = || FeedRecord { key: settings.id.clone(), value: Some(entries::encode(&me)) };
     loop {
         let call = entry.store.append(Feed::Daemons, record(), None);
         if noted(&entry, Feed::Daemons, call).await.is_ok() {
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -17,7 +17,7 @@
 use crate::cluster::quarantine_report::Passed;
 use crate::cluster::server_instance::ServerStart;
 use crate::cluster::workloads::Place;
-use crate::placement::demand::Item;
+use crate::placement::demand::ModelTarget;
 use crate::protocol::CallerTerms;
 use crate::protocol::SendTerms;
 use crate::serve::choose::Chosen;
@@ -104,10 +104,10 @@
 
 impl Attempt {
     /// Returns what it needs of an engine, where its service has engines.
-    pub fn item(&self) -> Option<Item> {
+    pub fn item(&self) -> Option<ModelTarget> {
         let service = self.config.services.get(&self.service)?;
         service.engine.as_ref()?;
-        Some(Item {
+        Some(ModelTarget {
             service: self.service.clone(),
             model: self.terms.model.clone()?,
             adapter: self.terms.adapter.clone(),
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -15,7 +15,7 @@
 use crate::cluster::workloads::Loads;
 use crate::cluster::workloads::Work;
 use crate::ids::CentreId;
-use crate::placement::demand::Item;
+use crate::placement::demand::ModelTarget;
 use crate::serve::near_best;
 use crate::serve::near_best::Candidate;
 
@@ -126,7 +126,7 @@
     }
 
     /// Chooses an engine that holds what `item` names.
-    pub fn engine(&self, item: &Item, tried: &[ServerStart]) -> Choice {
+    pub fn engine(&self, item: &ModelTarget, tried: &[ServerStart]) -> Choice {
         // An engine that cannot be reached serves nobody, though its entry may stand for seconds: the
         // request waits, and the model is loaded elsewhere.
         let holds = |s: &Server| {
@@ -150,11 +150,11 @@
     pub fn spare(
         &self,
         service: &str,
-        item: Option<&Item>,
+        item: Option<&ModelTarget>,
         tried: &[ServerStart],
     ) -> Option<Chosen> {
         let fits = |s: &Server| {
-            let holds = |i: &Item| self.holdings.holds(s, &i.model, i.adapter.as_deref());
+            let holds = |i: &ModelTarget| self.holdings.holds(s, &i.model, i.adapter.as_deref());
             !self.health.is_avoided(&s.start(), self.now)
                 && item.is_none_or(holds)
                 && self.loads.at(&s.start(), self.now).running < s.slots
@@ -170,7 +170,7 @@
     /// Returns whether a model is held by an engine, or its weights lie on the host of one.
     ///
     /// Where no engine of the service tells of copies, every model may have some.
-    pub fn has_copy(&self, item: &Item) -> bool {
+    pub fn has_copy(&self, item: &ModelTarget) -> bool {
         let engines = self.directory.known().filter(|s| s.service == item.service);
         let mut tells = false;
         for server in engines {
@@ -223,7 +223,7 @@
 
     /// Returns when a limited server can be sent a request that has no other server: an engine that holds what `item`
     /// names, where one is given. None where another one is in reach, or there is none at all.
-    pub fn next_turn(&self, service: &str, item: Option<&Item>) -> Option<Turn> {
+    pub fn next_turn(&self, service: &str, item: Option<&ModelTarget>) -> Option<Turn> {
         let holds = |s: &Server| {
             item.is_none_or(|i| self.holdings.holds(s, &i.model, i.adapter.as_deref()))
         };
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -39,8 +39,8 @@
 use crate::ids::Fence;
 use crate::metrics::Metrics;
 use crate::placement::demand::Demand;
-use crate::placement::engine_table::Ledger;
-use crate::placement::lease_state::Tenure;
+use crate::placement::engine_table::EngineTable;
+use crate::placement::lease_state::LeaseState;
 use crate::protocol::Protocol;
 use crate::serve::choose::Chooser;
 use crate::serve::freshness::Coverage;
@@ -172,7 +172,7 @@
     /// Signalled when a reader tells of something that has to be fetched from it.
     pub fetch: Notify,
     /// The placement lease.
-    pub tenure: RefCell<Tenure>,
+    pub tenure: RefCell<LeaseState>,
     /// Signalled when orders wait for a record of the lease that lists their engine.
     pub lease_due: Notify,
     /// Signalled when such a record is in the store.
@@ -180,7 +180,7 @@
     /// Demand of all daemons, filled at the holder of the lease.
     pub demand: RefCell<Demand>,
     /// Engines as the holder knows them.
-    pub ledger: RefCell<Ledger>,
+    pub ledger: RefCell<EngineTable>,
     /// Wakes the holder.
     pub plan: Notify,
     /// Wakes those who tell peers of a version that has come into force.
@@ -225,8 +225,13 @@
         let peers = PeerTable::new(settings.readers_from);
         // Set anew before each bid.
         let patience = Duration::ZERO;
-        let tenure =
-            Tenure::new(settings.id.clone(), process, settings.fenced, settings.apart, patience);
+        let tenure = LeaseState::new(
+            settings.id.clone(),
+            process,
+            settings.fenced,
+            settings.apart,
+            patience,
+        );
         Rc::new(Self {
             budget: RefCell::new(Budget::new(settings.budget)),
             settings: RefCell::new(Rc::new(settings)),
@@ -387,7 +392,7 @@
 
     /// Returns the fencing number of this daemon's tenure, though orders may be paused.
     pub fn standing(&self) -> Option<Fence> {
-        self.tenure.borrow().standing()
+        self.tenure.borrow().held_fence()
     }
 
     /// Returns how long this daemon waits before it bids for a lease that nobody holds.
@@ -395,7 +400,7 @@
         let rank = self.rank();
         let bidders = self.peers.borrow().bidders(rank.is_small);
         let draw = (self.process % DRAWS) as f64 / DRAWS as f64;
-        bidders.patience(rank.is_small, draw)
+        bidders.bid_delay(rank.is_small, draw)
     }
 
     /// Returns whether the budget has a repeated send left.
--- a/lib/src/serve/engine_orders.rs
+++ b/lib/src/serve/engine_orders.rs
@@ -14,7 +14,7 @@
 use crate::ids::Fence;
 use crate::ids::ModelName;
 use crate::placement::engine_table::Engine;
-use crate::placement::order_effect::is_carried_out;
+use crate::placement::order_effect::is_applied;
 use crate::placement::recent_orders::engine_key;
 use crate::protocol::EngineOrder;
 use crate::protocol::EngineReport;
@@ -80,7 +80,7 @@
         start: &ServerStart,
         f: impl FnOnce(&mut Engine) -> T,
     ) -> Option<T> {
-        self.entry.ledger.borrow_mut().engine_of(start).map(f)
+        self.entry.ledger.borrow_mut().engine_mut(start).map(f)
     }
 
     /// Returns the server where the start that an order is meant for still runs, as far as known.
@@ -126,7 +126,7 @@
             holder: self.entry.settings().id.clone(),
             fence,
         };
-        let has_strays = self.with_engine(server, |e| e.strays).unwrap_or(true);
+        let has_strays = self.with_engine(server, |e| e.orders_inflight).unwrap_or(true);
         let mut silent = 0;
         let mut unanswered = false;
         let mut pause = BUSY_PAUSE;
@@ -156,7 +156,7 @@
                 }
                 Ok(OrderReply::Fenced) => {
                     slog::warn!(self.entry.log, "order-fenced"; "server" => %server, "fence" => fence);
-                    self.entry.tenure.borrow_mut().lost();
+                    self.entry.tenure.borrow_mut().step_down();
                     return Err(OrderFailure::LeaseLost);
                 }
                 Ok(OrderReply::Misdirected | OrderReply::Refused) => {
@@ -166,7 +166,7 @@
                     silent += 1;
                     if error == CallError::Unanswered {
                         unanswered = true;
-                        self.with_engine(server, |engine| engine.strays = true);
+                        self.with_engine(server, |engine| engine.orders_inflight = true);
                     }
                     if silent < SILENT_TRIES {
                         sleep(BUSY_PAUSE).await;
@@ -254,10 +254,10 @@
         let now = self.entry.now();
         self.with_engine(server, |engine| {
             engine.sequence = order.expect + 1;
-            engine.strays = false;
+            engine.orders_inflight = false;
             engine.changed = now;
             if order.kind == OrderKind::Unload {
-                engine.drop_held(&order.model, order.adapter.as_ref());
+                engine.remove_target(&order.model, order.adapter.as_ref());
             }
         });
     }
@@ -282,8 +282,7 @@
                 return Err(OrderFailure::LeaseLost);
             }
             let report = report.ok_or(OrderFailure::Silent)?;
-            let is_shown =
-                is_carried_out(&report, &order.kind, &order.model, order.adapter.as_ref());
+            let is_shown = is_applied(&report, &order.kind, &order.model, order.adapter.as_ref());
             slog::info!(self.entry.log, "order-conflict"; "server" => %server,
                 "expect" => order.expect, "sequence" => report.sequence, "busy" => report.busy,
                 "shown" => is_shown);
@@ -303,7 +302,7 @@
                 return Err(OrderFailure::Mismatch);
             }
             let now = self.entry.now();
-            self.with_engine(server, |engine| engine.confirm(&report, now));
+            self.with_engine(server, |engine| engine.apply_report(&report, now));
             return Ok(true);
         }
     }
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -10,7 +10,7 @@
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::ModelSpec;
 use crate::cluster::server_instance::ServerStart;
-use crate::placement::demand::Item;
+use crate::placement::demand::ModelTarget;
 use crate::serve::admission::Admission;
 use crate::serve::admission::Outlook;
 use crate::serve::attempt::Attempt;
@@ -129,7 +129,7 @@
 }
 
 /// Chooses an engine; a suspect gets one to itself among suspects, when it is its turn.
-fn engine(entry: &Entry, attempt: &mut Attempt, item: &Item) -> Choice {
+fn engine(entry: &Entry, attempt: &mut Attempt, item: &ModelTarget) -> Choice {
     if !may_go(entry, attempt) {
         return Choice::Missing;
     }
@@ -182,7 +182,7 @@
 fn hopeless(
     entry: &Entry,
     attempt: &Attempt,
-    item: &Item,
+    item: &ModelTarget,
     began: Moment,
     give_up: Moment,
 ) -> Option<Refusal> {
@@ -233,18 +233,18 @@
 }
 
 /// What the configuration says of a model.
-fn model_spec<'a>(attempt: &'a Attempt, item: &Item) -> Option<&'a ModelSpec> {
+fn model_spec<'a>(attempt: &'a Attempt, item: &ModelTarget) -> Option<&'a ModelSpec> {
     let engine = attempt.config.services.get(&item.service)?.engine.as_ref()?;
     engine.models.get(&item.model)
 }
 
 /// Time of the model's load from the weight store.
-fn load_time(attempt: &Attempt, item: &Item) -> Duration {
+fn load_time(attempt: &Attempt, item: &ModelTarget) -> Duration {
     model_spec(attempt, item).map_or(COME_BACK, |m| m.load)
 }
 
 /// Time that an item which is not on its way takes at least until its first event.
-fn soonest(attempt: &Attempt, item: &Item) -> Duration {
+fn soonest(attempt: &Attempt, item: &ModelTarget) -> Duration {
     let spec = model_spec(attempt, item).filter(|_| item.adapter.is_none());
     spec.map_or(WORD_TIME, |m| m.warm.min(m.disk).min(m.load) + FIRST_EVENT)
 }
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -114,7 +114,7 @@
             }
             Content::Demand(note) => {
                 if entry.fence().is_some() {
-                    entry.demand.borrow_mut().hear(&message.from, note, now);
+                    entry.demand.borrow_mut().update(&message.from, note, now);
                     entry.plan.notify_one();
                 }
             }
--- a/lib/src/serve/lease_manager.rs
+++ b/lib/src/serve/lease_manager.rs
@@ -9,8 +9,8 @@
 
 use crate::placement::entries;
 use crate::placement::entries::LeaseEntry;
-use crate::placement::entries::PLACEMENT;
-use crate::placement::lease_state::Step;
+use crate::placement::entries::PLACEMENT_KEY;
+use crate::placement::lease_state::LeaseStep;
 use crate::serve::daemon_state::Entry;
 use crate::serve::gossip::Gossip;
 use crate::serve::store_calls::noted;
@@ -46,7 +46,7 @@
         let mut vacant = None;
         loop {
             // A daemon that stops takes no new lease; one that it could not give up it keeps.
-            if entry.stopping.get().is_some() && !entry.tenure.borrow().is_involved() {
+            if entry.stopping.get().is_some() && !entry.tenure.borrow().may_hold() {
                 return;
             }
             // Who does not know its peers would bid beside all of them.
@@ -60,14 +60,14 @@
             if heard.is_some() {
                 vacant = None;
             }
-            entry.tenure.borrow_mut().set_patience(patience);
-            let step = entry.tenure.borrow_mut().next(now, heard);
+            entry.tenure.borrow_mut().set_bid_delay(patience);
+            let step = entry.tenure.borrow_mut().next_step(now, heard);
             match step {
-                Step::Sleep(until) => {
+                LeaseStep::Sleep(until) => {
                     let _woken =
                         timeout(until.saturating_sub(now), entry.lease_due.notified()).await;
                 }
-                Step::Read if self.is_bystander() => {
+                LeaseStep::Read if self.is_bystander() => {
                     let due = *vacant.get_or_insert(now) + patience;
                     if now >= due {
                         self.read_lease().await;
@@ -75,8 +75,8 @@
                         sleep(LOOK_EVERY.min(due.saturating_sub(now))).await;
                     }
                 }
-                Step::Read => self.read_lease().await,
-                Step::Append(at, record) => self.append_lease(at, &record).await,
+                LeaseStep::Read => self.read_lease().await,
+                LeaseStep::Append(at, record) => self.append_lease(at, &record).await,
             }
         }
     }
@@ -86,7 +86,7 @@
     /// Hundreds read it each time that its holder was lost; all but the first few hear of the next holder before
     /// their turn.
     fn is_bystander(&self) -> bool {
-        self.entry.is_large() && !self.entry.tenure.borrow().is_involved()
+        self.entry.is_large() && !self.entry.tenure.borrow().may_hold()
     }
 
     async fn read_lease(&self) {
@@ -96,28 +96,28 @@
         match result {
             Ok(batch) => {
                 entry.note_batch(Feed::Leases, &batch);
-                let newest = batch.records.iter().rev().find(|r| r.key == PLACEMENT);
+                let newest = batch.records.iter().rev().find(|r| r.key == PLACEMENT_KEY);
                 let raw = newest.and_then(|r| r.value.as_ref());
                 let record = raw.and_then(|raw| self.read_record(raw));
                 let was_held = entry.fence().is_some();
-                entry.tenure.borrow_mut().read(now, record.clone(), batch.end);
+                entry.tenure.borrow_mut().on_read(now, record.clone(), batch.end);
                 if was_held != entry.fence().is_some() {
                     slog::info!(entry.log, "lease"; "held" => !was_held,
                         "record" => ?record, "end" => batch.end);
                 }
             }
-            Err(_failed) => entry.tenure.borrow_mut().refused(now),
+            Err(_failed) => entry.tenure.borrow_mut().on_store_failure(now),
         }
     }
 
     fn read_record(&self, raw: &[u8]) -> Option<LeaseEntry> {
         match entries::read(raw) {
             Ok(record) => {
-                self.entry.unread.borrow_mut().clear(Feed::Leases, PLACEMENT);
+                self.entry.unread.borrow_mut().clear(Feed::Leases, PLACEMENT_KEY);
                 Some(record)
             }
             Err(error) => {
-                self.entry.note_unread(Feed::Leases, PLACEMENT, &error.0);
+                self.entry.note_unread(Feed::Leases, PLACEMENT_KEY, &error.0);
                 None
             }
         }
@@ -126,19 +126,19 @@
     async fn append_lease(&self, at: u64, record: &LeaseEntry) {
         let entry = &self.entry;
         let sent = entry.now();
-        let value = entries::write(record);
-        let feed_record = FeedRecord { key: SmolStr::new(PLACEMENT), value: Some(value) };
+        let value = entries::encode(record);
+        let feed_record = FeedRecord { key: SmolStr::new(PLACEMENT_KEY), value: Some(value) };
         let call = entry.store.append(Feed::Leases, feed_record, Some(at));
         let result = noted(entry, Feed::Leases, call).await;
         let now = entry.now();
         let mut tenure = entry.tenure.borrow_mut();
         match result {
             Ok(offset) => {
-                tenure.appended(sent, now, offset);
+                tenure.on_appended(sent, now, offset);
                 drop(tenure);
                 entry.orders_listed.notify_waiters();
                 if record.fence.is_none() {
-                    let held_back = entry.tenure.borrow().held_back(now);
+                    let held_back = entry.tenure.borrow().blocked_engines(now);
                     slog::info!(entry.log, "lease"; "held" => true, "fence" => offset + 1,
                         "sent_ms_ago" => now.saturating_sub(sent).as_millis(),
                         "engines_held_back" => held_back.map_or("all".into(), |n| n.to_string()));
@@ -149,12 +149,12 @@
             }
             Err(StoreError::Moved | StoreError::Expired) => {
                 slog::info!(entry.log, "lease-append-refused"; "at" => at);
-                tenure.moved();
+                tenure.on_conflict();
             }
-            Err(StoreError::Refused(_)) => tenure.refused(now),
+            Err(StoreError::Refused(_)) => tenure.on_store_failure(now),
             Err(StoreError::Doubtful(error)) => {
                 slog::info!(entry.log, "lease-append-doubtful"; "at" => at, "error" => error);
-                tenure.doubtful(sent, now);
+                tenure.on_unknown_outcome(sent, now);
             }
         }
     }
@@ -175,16 +175,16 @@
         let entry = &self.entry;
         let released = entry.tenure.borrow_mut().release(entry.now());
         let Some((at, record)) = released else { return false };
-        let value = Some(entries::write(&record));
-        let feed_record = FeedRecord { key: SmolStr::new(PLACEMENT), value };
+        let value = Some(entries::encode(&record));
+        let feed_record = FeedRecord { key: SmolStr::new(PLACEMENT_KEY), value };
         let call = entry.store.append(Feed::Leases, feed_record, Some(at));
         let result = noted(entry, Feed::Leases, call).await;
         slog::info!(entry.log, "lease-release"; "done" => result.is_ok(), "at" => at);
         // An append without an answer may have given it up: only proof of the contrary keeps it.
         if matches!(result, Ok(_) | Err(StoreError::Doubtful(_))) {
-            entry.tenure.borrow_mut().released();
+            entry.tenure.borrow_mut().on_released();
         } else {
-            entry.tenure.borrow_mut().kept();
+            entry.tenure.borrow_mut().on_release_failed();
         }
         self.gossip.tell_digest();
         matches!(result, Err(StoreError::Moved))
--- a/lib/src/serve/lifecycle.rs
+++ b/lib/src/serve/lifecycle.rs
@@ -57,7 +57,7 @@
     let front = socket::listen(settings.front)?;
     let ready = socket::listen(settings.ready)?;
     let peers = socket::listen(settings.peer)?;
-    entry.tenure.borrow_mut().sit(settings.peer, entry.now());
+    entry.tenure.borrow_mut().set_address(settings.peer, entry.now());
     let gossip = Gossip::new(Rc::clone(entry), socket::datagrams(settings.peer)?);
     let calls = Rc::new(PooledCalls::new(Rc::clone(entry)));
     let orders = Orders::new(Rc::clone(entry), Rc::clone(&gossip), calls);
--- a/lib/src/serve/model_loading.rs
+++ b/lib/src/serve/model_loading.rs
@@ -14,9 +14,9 @@
 use crate::ids::Fence;
 use crate::ids::ModelName;
 use crate::placement::engine_table::Engine;
-use crate::placement::engine_table::Job;
+use crate::placement::engine_table::LoadJob;
 use crate::placement::engine_table::Source;
-use crate::placement::eta_accuracy::LoadTrust;
+use crate::placement::eta_accuracy::EtaAccuracy;
 use crate::protocol::EngineReport;
 use crate::protocol::OrderKind;
 use crate::serve::engine_orders::OrderFailure;
@@ -45,7 +45,7 @@
 
 impl Orders {
     /// Loads a model, and notes what came of it.
-    pub(super) async fn run_load(self: Rc<Self>, server: ServerStart, job: Job, fence: Fence) {
+    pub(super) async fn run_load(self: Rc<Self>, server: ServerStart, job: LoadJob, fence: Fence) {
         let result = self.carry_out(&server, &job, fence).await;
         let entry = &self.entry;
         let now = entry.now();
@@ -58,10 +58,10 @@
         self.with_engine(&server, |engine| {
             engine.job = None;
             match result {
-                Ok(()) => engine.loaded(&job.model, now),
+                Ok(()) => engine.add_model(&job.model, now),
                 Err(_failure) => {
                     engine.confirmed = false;
-                    engine.rest_until = now + REST;
+                    engine.backoff_until = now + REST;
                 }
             }
         });
@@ -72,7 +72,7 @@
     async fn carry_out(
         self: &Rc<Self>,
         server: &ServerStart,
-        job: &Job,
+        job: &LoadJob,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
         let change = self.engines.announce(server, fence);
@@ -106,7 +106,7 @@
     async fn await_end(
         self: &Rc<Self>,
         server: &ServerStart,
-        job: &Job,
+        job: &LoadJob,
         known: Option<Moment>,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
@@ -117,7 +117,7 @@
                 return Err(OrderFailure::LeaseLost);
             }
             if let Some(known) = known
-                && self.desk.borrow().trust.is_given(self.entry.now())
+                && self.desk.borrow().trust.is_reliable(self.entry.now())
             {
                 if self.entry.now() >= known {
                     self.verify(server, &job.model, known, fence);
@@ -135,7 +135,7 @@
             {
                 if job.source == Source::Disk {
                     let now = self.entry.now();
-                    self.desk.borrow_mut().trust.ended(now.saturating_sub(eta), now);
+                    self.desk.borrow_mut().trust.record(now.saturating_sub(eta), now);
                 }
                 return Ok(());
             }
@@ -151,7 +151,7 @@
     fn verify(self: &Rc<Self>, server: &ServerStart, model: &ModelName, due: Moment, fence: Fence) {
         let (orders, server, model) = (Rc::clone(self), server.clone(), model.clone());
         spawn_local(async move {
-            let until = due + LoadTrust::limit();
+            let until = due + EtaAccuracy::tolerance();
             sleep(REPORT_LAG).await;
             while orders.entry.standing() == Some(fence) {
                 let report = orders.engines.report(&server).await;
@@ -159,7 +159,7 @@
                 let is_there = report.as_ref().is_some_and(|r| holds(r, &model));
                 let is_wanted = orders.with_engine(&server, |e| e.holds(&model)).unwrap_or(false);
                 if is_there {
-                    orders.desk.borrow_mut().trust.ended(Duration::ZERO, now);
+                    orders.desk.borrow_mut().trust.record(Duration::ZERO, now);
                 }
                 if is_there || !is_wanted {
                     return;
@@ -167,9 +167,9 @@
                 if now > until && report.is_some() {
                     slog::info!(orders.entry.log, "load-late"; "server" => %server,
                         "model" => model.as_str(), "ms" => now.saturating_sub(due).as_millis());
-                    orders.desk.borrow_mut().trust.ended(now.saturating_sub(due), now);
+                    orders.desk.borrow_mut().trust.record(now.saturating_sub(due), now);
                     orders.with_engine(&server, |engine| {
-                        engine.unloaded(&model);
+                        engine.remove_model(&model);
                         engine.confirmed = false;
                     });
                     orders.publish(&server, &model, fence);
@@ -226,7 +226,7 @@
 
     /// The time of a load from a copy on the host, of which nothing else takes a part; none where there is no copy. A
     /// copy in the host's memory may have made way by now, while that on its disk is still there.
-    fn copy_time(&self, server: &ServerStart, job: &Job) -> Option<Duration> {
+    fn copy_time(&self, server: &ServerStart, job: &LoadJob) -> Option<Duration> {
         if job.source == Source::Store {
             return None;
         }
@@ -236,12 +236,12 @@
 
     fn fetching(&self) -> usize {
         let is_fetch =
-            |e: &&Engine| e.job.as_ref().map_or(e.occupied, |j| j.source == Source::Store);
+            |e: &&Engine| e.job.as_ref().map_or(e.reported_busy, |j| j.source == Source::Store);
         self.entry.ledger.borrow().engines.values().filter(is_fetch).count()
     }
 
     /// The time of a load that shares the weight store with those under way.
-    fn plain_time(&self, server: &ServerStart, job: &Job) -> Duration {
+    fn plain_time(&self, server: &ServerStart, job: &LoadJob) -> Duration {
         let service = self.with_engine(server, |e| e.server.service.clone());
         let Some(spec) = service.and_then(|service| self.model_spec(&service, &job.model)) else {
             return job.eta.saturating_sub(job.since);
--- a/lib/src/serve/model_waits.rs
+++ b/lib/src/serve/model_waits.rs
@@ -12,7 +12,7 @@
 use crate::cluster::digest::DemandNote;
 use crate::cluster::digest::WantNote;
 use crate::cluster::server_instance::ServerStart;
-use crate::placement::demand::Item;
+use crate::placement::demand::ModelTarget;
 
 /// Arrivals of an item are told for this long after the last one.
 const TOLD_FOR: Duration = Duration::from_secs(4);
@@ -26,8 +26,8 @@
 
 #[derive(Debug, Default)]
 struct Tables {
-    waiting: BTreeMap<Item, BTreeMap<u64, Waiting>>,
-    counts: BTreeMap<Item, (Moment, u32)>,
+    waiting: BTreeMap<ModelTarget, BTreeMap<u64, Waiting>>,
+    counts: BTreeMap<ModelTarget, (Moment, u32)>,
     next: u64,
 }
 
@@ -45,13 +45,13 @@
 #[derive(Debug)]
 pub struct WaitGuard {
     waits: Waits,
-    item: Item,
+    item: ModelTarget,
     number: u64,
 }
 
 impl Waits {
     /// Counts an arrival.
-    pub fn arrived(&self, item: &Item, now: Moment) {
+    pub fn arrived(&self, item: &ModelTarget, now: Moment) {
         let mut tables = self.tables.borrow_mut();
         let count = tables.counts.entry(item.clone()).or_insert((now, 0));
         *count = (now, count.1 + 1);
@@ -61,7 +61,7 @@
     /// any; `avoid` are engines that this request cannot use.
     pub fn begin(
         &self,
-        item: Item,
+        item: ModelTarget,
         due: Moment,
         until: Moment,
         avoid: Vec<ServerStart>,
@@ -77,7 +77,7 @@
     }
 
     /// Returns how many requests wait for an item.
-    pub fn waiting(&self, item: &Item) -> usize {
+    pub fn waiting(&self, item: &ModelTarget) -> usize {
         self.tables.borrow().waiting.get(item).map_or(0, BTreeMap::len)
     }
 
@@ -101,7 +101,7 @@
     }
 }
 
-fn want(item: &Item, list: &BTreeMap<u64, Waiting>, now: Moment) -> WantNote {
+fn want(item: &ModelTarget, list: &BTreeMap<u64, Waiting>, now: Moment) -> WantNote {
     let until = list.values().map(|w| w.until).max().unwrap_or_default();
     let due = list.values().map(|w| w.due).max().unwrap_or_default();
     let mut avoid = list.values().next().map(|w| w.avoid.clone()).unwrap_or_default();
--- a/lib/src/serve/placement_controller.rs
+++ b/lib/src/serve/placement_controller.rs
@@ -19,12 +19,12 @@
 use crate::placement::demand::Demand;
 use crate::placement::engine_table::AdapterJob;
 use crate::placement::engine_table::Engine;
-use crate::placement::engine_table::Job;
+use crate::placement::engine_table::LoadJob;
 use crate::placement::engine_table::Source;
-use crate::placement::eta_accuracy::LoadTrust;
-use crate::placement::fetch_limiter::StorePace;
+use crate::placement::eta_accuracy::EtaAccuracy;
+use crate::placement::fetch_limiter::FetchLimiter;
 use crate::placement::planner::Action;
-use crate::placement::planner::Scene;
+use crate::placement::planner::PlanInput;
 use crate::placement::recent_orders::engine_key;
 use crate::protocol::EngineReport;
 use crate::serve::daemon_state::Entry;
@@ -60,9 +60,9 @@
     /// The fence under which the ledger is kept.
     fence: Option<Fence>,
     /// Loads from the weight store.
-    pub(super) pace: StorePace,
+    pub(super) pace: FetchLimiter,
     /// Whether loads from hosts' copies end on time.
-    pub(super) trust: LoadTrust,
+    pub(super) trust: EtaAccuracy,
     /// How often each engine's holding is still to be told.
     untold: BTreeMap<ServerId, u8>,
     /// When holdings were last told to all.
@@ -85,8 +85,8 @@
     pub fn new(entry: Rc<Entry>, gossip: Rc<Gossip>, calls: Rc<dyn EngineCalls>) -> Rc<Self> {
         let desk = Desk {
             fence: None,
-            pace: StorePace::new(Moment::ZERO),
-            trust: LoadTrust::default(),
+            pace: FetchLimiter::new(Moment::ZERO),
+            trust: EtaAccuracy::default(),
             untold: BTreeMap::new(),
             told: Moment::ZERO,
             reading: Vec::new(),
@@ -115,7 +115,7 @@
             if desk.fence != standing {
                 desk.fence = standing;
                 desk.pace.restart(entry.now(), entry.tenure.borrow().share());
-                entry.ledger.borrow_mut().doubt_all();
+                entry.ledger.borrow_mut().invalidate_all();
                 *entry.demand.borrow_mut() = Demand::default();
             }
         }
@@ -143,8 +143,8 @@
         // Engines that the holder before ordered just now are left alone for a while.
         let tenure = entry.tenure.borrow();
         for engine in entry.ledger.borrow_mut().engines.values_mut() {
-            let free = tenure.free_from(engine_key(&engine.server.id));
-            engine.rest_until = engine.rest_until.max(free);
+            let free = tenure.orderable_from(engine_key(&engine.server.id));
+            engine.backoff_until = engine.backoff_until.max(free);
         }
     }
 
@@ -152,13 +152,13 @@
     fn look_at_store(&self) {
         let entry = &self.entry;
         let mut desk = self.desk.borrow_mut();
-        let is_fewer = desk.pace.look(entry.now());
+        let is_fewer = desk.pace.update_limit(entry.now());
         let share = desk.pace.share();
         if is_fewer {
             slog::info!(entry.log, "weight-store-shared"; "full_speed" => share.limit,
                 "proven" => share.proven);
         }
-        entry.tenure.borrow_mut().keep_share(share);
+        entry.tenure.borrow_mut().set_share(share);
     }
 
     fn plan(&self, config: &Configuration) -> Vec<Action> {
@@ -175,10 +175,11 @@
         let window = entry.settings().load_window;
         let mut desk = self.desk.borrow_mut();
         let share = desk.pace.share();
-        let store_room = if rate.is_finite() { desk.pace.room(rate, window, now) } else { 0 };
+        let store_room =
+            if rate.is_finite() { desk.pace.fetches_left(rate, window, now) } else { 0 };
         drop(desk);
         let work = entry.loads.fleet_table(now);
-        let scene = Scene {
+        let scene = PlanInput {
             now,
             config,
             ledger: &ledger,
@@ -187,7 +188,7 @@
             run_times: &entry.run_times,
             unreachable: avoided.chain(directory.suspended().cloned()).collect(),
             share,
-            store_room,
+            fetches_left: store_room,
         };
         scene.plan()
     }
@@ -200,8 +201,8 @@
         let mut desk = self.desk.borrow_mut();
         for engine in ledger.engines.values() {
             let start = engine.server.start();
-            let is_idle = engine.job.is_none() && engine.adapters.is_empty();
-            let is_due = is_idle && !engine.confirmed && now >= engine.rest_until;
+            let is_idle = engine.job.is_none() && engine.adapter_jobs.is_empty();
+            let is_due = is_idle && !engine.confirmed && now >= engine.backoff_until;
             if !is_due || desk.reading.contains(&start) {
                 continue;
             }
@@ -219,8 +220,8 @@
         let entry = &self.entry;
         let now = entry.now();
         let mut ledger = entry.ledger.borrow_mut();
-        let Some(engine) = ledger.engine_of(start) else { return };
-        if engine.job.is_some() || !engine.adapters.is_empty() {
+        let Some(engine) = ledger.engine_mut(start) else { return };
+        if engine.job.is_some() || !engine.adapter_jobs.is_empty() {
             return;
         }
         if let Some(report) = report {
@@ -229,15 +230,15 @@
                 "holds" => held_names(&report.models));
         }
         match report {
-            Some(report) if !report.busy && engine.is_credible(report) => {
-                engine.confirm(report, now);
+            Some(report) if !report.busy && engine.accepts_report(report) => {
+                engine.apply_report(report, now);
                 self.desk.borrow_mut().untold.insert(start.id.clone(), TELLINGS);
                 drop(ledger);
                 entry.plan.notify_one();
             }
             _ => {
-                engine.rest_until = now + REST;
-                engine.occupied = report.is_some_and(|report| report.busy);
+                engine.backoff_until = now + REST;
+                engine.reported_busy = report.is_some_and(|report| report.busy);
             }
         }
     }
@@ -247,15 +248,15 @@
         let now = entry.now();
         let mut ledger = entry.ledger.borrow_mut();
         match action {
-            Action::Load { server, model, victims, source, time, reason } => {
-                let occupied = ledger.engines.values().filter(|e| e.occupied).count();
+            Action::LoadModel { server, model, victims, source, time, reason } => {
+                let occupied = ledger.engines.values().filter(|e| e.reported_busy).count();
                 let Some(engine) = ledger.engines.get_mut(&server) else { return };
                 slog::info!(entry.log, "load"; "server" => %server, "model" => model.as_str(),
                     "victims" => victims.join(","), "source" => ?source, "reason" => reason,
                     "expected_ms" => time.as_millis(), "fence" => fence,
                     "sequence" => engine.sequence,
-                    "waiting" => entry.demand.borrow().waits(now).values().map(|w| w.waiting).sum::<u32>());
-                let job = Job { model, victims, source, since: now, eta: now + time };
+                    "waiting" => entry.demand.borrow().backlogs(now).values().map(|w| w.waiting).sum::<u32>());
+                let job = LoadJob { model, victims, source, since: now, eta: now + time };
                 engine.job = Some(job.clone());
                 let start = engine.server.start();
                 let service = engine.server.service.clone();
@@ -267,11 +268,11 @@
                 let orders = Rc::clone(self);
                 spawn_local(async move { orders.run_load(start, job, fence).await });
             }
-            Action::Adapter { server, model, adapter, victim } => {
+            Action::LoadAdapter { server, model, adapter, victim } => {
                 let Some(engine) = ledger.engines.get_mut(&server) else { return };
                 let eta = now + ADAPTER_TIME;
                 let job = AdapterJob { model, adapter, victim, eta };
-                engine.adapters.push(job.clone());
+                engine.adapter_jobs.push(job.clone());
                 let start = engine.server.start();
                 self.desk.borrow_mut().untold.insert(server, TELLINGS);
                 let orders = Rc::clone(self);
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -265,7 +265,7 @@
         }
         if entry.fence().is_some() {
             let id = entry.settings().id.clone();
-            entry.demand.borrow_mut().hear(&id, note, now);
+            entry.demand.borrow_mut().update(&id, note, now);
             entry.plan.notify_one();
             return;
         }
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -186,7 +186,7 @@
 async fn store_held(entry: Rc<Entry>, print: Fingerprint) {
     let crashes = entry.quarantine.borrow().crashed_by(&print).into_iter().cloned().collect();
     let held = HeldEntry { crashes };
-    append(entry, FeedRecord { key: print.key(), value: Some(entries::write(&held)) }).await;
+    append(entry, FeedRecord { key: print.key(), value: Some(entries::encode(&held)) }).await;
 }
 
 async fn append(entry: Rc<Entry>, record: FeedRecord) {
--- a/lib/tests/test_bid_patience.rs
+++ b/lib/tests/test_bid_patience.rs
@@ -14,8 +14,8 @@
 #[case::all_large(400, 400)]
 fn large_first(#[case] daemons: usize, #[case] large: usize) {
     let bidders = Bidders { daemons, large };
-    let last_large = bidders.patience(false, 1.0);
-    let first_small = bidders.patience(true, 0.0);
+    let last_large = bidders.bid_delay(false, 1.0);
+    let first_small = bidders.bid_delay(true, 0.0);
     let answer = Duration::from_millis(100);
     assert!(last_large + answer < first_small, "{last_large:?}, {first_small:?}");
 }
@@ -24,8 +24,8 @@
 #[test]
 fn bids_spread() {
     let few = Bidders { daemons: 6, large: 6 };
-    assert_eq!(few.patience(false, 0.5), Duration::from_millis(125));
+    assert_eq!(few.bid_delay(false, 0.5), Duration::from_millis(125));
     let none_large = Bidders { daemons: 295, large: 0 };
-    let between = none_large.patience(true, 0.51).saturating_sub(none_large.patience(true, 0.5));
+    let between = none_large.bid_delay(true, 0.51).saturating_sub(none_large.bid_delay(true, 0.5));
     assert!(between > Duration::from_millis(18), "three bid while one asks the store: {between:?}");
 }
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -13,7 +13,7 @@
 use comfreymux_lib::cluster::send_permit::Turns;
 use comfreymux_lib::cluster::server_health::Health;
 use comfreymux_lib::cluster::workloads::Loads;
-use comfreymux_lib::placement::demand::Item;
+use comfreymux_lib::placement::demand::ModelTarget;
 use comfreymux_lib::serve::choose::Choice;
 use comfreymux_lib::serve::choose::Chooser;
 
@@ -235,9 +235,9 @@
         unseen: 1.0,
         draw: 0.0,
     };
-    let item = Item { service: "draft".into(), model: "m1".into(), adapter: None };
+    let item = ModelTarget { service: "draft".into(), model: "m1".into(), adapter: None };
     assert!(matches!(chooser.engine(&item, &[]), Choice::Missing));
     assert!(chooser.has_copy(&item));
-    let other = Item { model: "m2".into(), ..item };
+    let other = ModelTarget { model: "m2".into(), ..item };
     assert!(!chooser.has_copy(&other));
 }
--- a/lib/tests/test_fetching.rs
+++ b/lib/tests/test_fetching.rs
@@ -4,7 +4,7 @@
 
 use comfreymux_lib::cluster::digest::DemandNote;
 use comfreymux_lib::cluster::digest::WantNote;
-use comfreymux_lib::placement::engine_table::Job;
+use comfreymux_lib::placement::engine_table::LoadJob;
 use comfreymux_lib::placement::engine_table::Source;
 use comfreymux_lib::placement::fetch_limiter::StoreShare;
 use comfreymux_testutils::placing_site::NOW;
@@ -28,7 +28,7 @@
         avoid: vec!["e2".into()],
     };
     let note = DemandNote { wants: vec![want], counts: Vec::new() };
-    site.demand.hear(&"d1".into(), note, NOW);
+    site.demand.update(&"d1".into(), note, NOW);
     let plan = site.plan();
     let (server, _, source) = load_of(&plan, "rare").expect("loaded");
     assert_eq!((server, source), ("e1", Source::Store));
@@ -70,7 +70,7 @@
 #[test]
 fn copyless_begun() {
     let mut site = Site::new(&["a", "b", "c", "d", "asked"].map(|n| (n, 70_000, 0)));
-    site.engine("e1", &["a", "b"], &[]).job = Some(Job {
+    site.engine("e1", &["a", "b"], &[]).job = Some(LoadJob {
         model: "c".into(),
         victims: vec!["b".into()],
         source: Source::Disk,
--- a/lib/tests/test_handover.rs
+++ b/lib/tests/test_handover.rs
@@ -4,9 +4,9 @@
 
 use comfreymux_lib::boot_clock::Moment;
 use comfreymux_lib::placement::entries::LeaseEntry;
-use comfreymux_lib::placement::lease_state::Step;
-use comfreymux_lib::placement::lease_state::Tenure;
-use comfreymux_lib::placement::lease_state::VALID;
+use comfreymux_lib::placement::lease_state::LEASE_TTL;
+use comfreymux_lib::placement::lease_state::LeaseState;
+use comfreymux_lib::placement::lease_state::LeaseStep;
 use comfreymux_lib::placement::recent_orders::EngineKey;
 use rstest::rstest;
 
@@ -26,19 +26,19 @@
 }
 
 impl Fleet {
-    fn daemon(process: u64, fenced: bool) -> Tenure {
-        Tenure::new(format!("d{process}").into(), process, fenced, APART, ms(0))
+    fn daemon(process: u64, fenced: bool) -> LeaseState {
+        LeaseState::new(format!("d{process}").into(), process, fenced, APART, ms(0))
     }
 
-    fn settle(&mut self, tenure: &mut Tenure, now: Moment) {
+    fn settle(&mut self, tenure: &mut LeaseState, now: Moment) {
         loop {
-            match tenure.next(now, None) {
-                Step::Sleep(_) => return,
-                Step::Read => tenure.read(now, self.newest.clone(), self.end),
-                Step::Append(at, _) if at != self.end => tenure.moved(),
-                Step::Append(_, entry) => {
+            match tenure.next_step(now, None) {
+                LeaseStep::Sleep(_) => return,
+                LeaseStep::Read => tenure.on_read(now, self.newest.clone(), self.end),
+                LeaseStep::Append(at, _) if at != self.end => tenure.on_conflict(),
+                LeaseStep::Append(_, entry) => {
                     let offset = self.append(entry);
-                    tenure.appended(now, now, offset);
+                    tenure.on_appended(now, now, offset);
                 }
             }
         }
@@ -51,17 +51,17 @@
     }
 
     /// Lets a holder begin a change at an engine.
-    fn change(&mut self, tenure: &mut Tenure, engine: EngineKey, now: Moment) {
-        let fence = tenure.standing().expect("it holds the lease");
+    fn change(&mut self, tenure: &mut LeaseState, engine: EngineKey, now: Moment) {
+        let fence = tenure.held_fence().expect("it holds the lease");
         tenure.begin_orders(fence, engine, now);
         self.settle(tenure, now);
     }
 
     /// Returns when a daemon may first order an engine, looking every 50 ms.
-    fn first_order(&mut self, tenure: &mut Tenure, engine: EngineKey, from: u64) -> Moment {
+    fn first_order(&mut self, tenure: &mut LeaseState, engine: EngineKey, from: u64) -> Moment {
         let first = (from..from + 20_000).step_by(50).map(ms).find(|now| {
             self.settle(tenure, *now);
-            if tenure.standing().is_none() {
+            if tenure.held_fence().is_none() {
                 return false;
             }
             self.change(tenure, engine, *now);
@@ -144,9 +144,11 @@
     fleet.settle(&mut a, ms(0));
     fleet.change(&mut a, ORDERED, ms(100));
     a.end_orders(1, ORDERED, ms(200));
-    let Step::Append(_, entry) = a.next(ms(700), None) else { panic!("a renewal was due") };
+    let LeaseStep::Append(_, entry) = a.next_step(ms(700), None) else {
+        panic!("a renewal was due")
+    };
     fleet.append(entry);
-    a.doubtful(ms(700), ms(800));
+    a.on_unknown_outcome(ms(700), ms(800));
     a.begin_orders(1, ORDERED, ms(900));
     assert_eq!(a.fence_for(ORDERED, ms(900)), None);
     fleet.settle(&mut a, ms(1_200));
@@ -162,8 +164,11 @@
     fleet.change(&mut a, ORDERED, ms(100));
     a.release(ms(200)).expect("held");
     assert_eq!(a.fence_for(ORDERED, ms(200)), None);
-    assert!(matches!(a.next(ms(900), None), Step::Sleep(_)), "a renewal would come first");
-    a.kept();
+    assert!(
+        matches!(a.next_step(ms(900), None), LeaseStep::Sleep(_)),
+        "a renewal would come first"
+    );
+    a.on_release_failed();
     assert_eq!(a.fence_for(ORDERED, ms(300)), Some(1));
 }
 
@@ -174,12 +179,14 @@
     let mut fleet = Fleet::default();
     let mut a = Fleet::daemon(1, false);
     fleet.settle(&mut a, ms(0));
-    let Step::Append(_, renewal) = a.next(ms(600), None) else { panic!("a renewal was due") };
+    let LeaseStep::Append(_, renewal) = a.next_step(ms(600), None) else {
+        panic!("a renewal was due")
+    };
     a.begin_orders(1, ORDERED, ms(601));
     a.release(ms(602)).expect("held");
     let offset = fleet.append(renewal);
-    a.appended(ms(600), ms(603), offset);
-    a.kept();
+    a.on_appended(ms(600), ms(603), offset);
+    a.on_release_failed();
     assert_eq!(a.fence_for(ORDERED, ms(604)), None);
     fleet.settle(&mut a, ms(610));
     assert_eq!(a.fence_for(ORDERED, ms(610)), Some(1));
@@ -204,22 +211,22 @@
     fleet.settle(&mut a, ms(0));
     assert!(!a.begin_orders(1, ORDERED, ms(100)));
     assert_eq!(a.fence_for(ORDERED, ms(100)), Some(1));
-    assert!(matches!(a.next(ms(100), None), Step::Sleep(_)));
+    assert!(matches!(a.next_step(ms(100), None), LeaseStep::Sleep(_)));
 }
 
 /// All daemons lose power and start again two seconds later. Each waited until the last holder's lease had surely ended,
 /// though the one at the holder's address knows that it has: callers of cold models waited on.
 #[rstest]
 #[case::same_host(8_001, ms(2_100))]
-#[case::other_host(8_002, ms(2_100) + VALID)]
+#[case::other_host(8_002, ms(2_100) + LEASE_TTL)]
 fn power_returns(#[case] port: u16, #[case] least: Duration) {
     let mut fleet = Fleet::default();
     let mut a = Fleet::daemon(1, false);
-    a.sit(([10, 0, 0, 1], 8_001).into(), ms(0));
+    a.set_address(([10, 0, 0, 1], 8_001).into(), ms(0));
     fleet.settle(&mut a, ms(0));
     fleet.change(&mut a, ORDERED, ms(100));
     let mut again = Fleet::daemon(9, false);
-    again.sit(([10, 0, 0, 1], port).into(), ms(2_100));
+    again.set_address(([10, 0, 0, 1], port).into(), ms(2_100));
     let first = fleet.first_order(&mut again, OTHER, 2_100);
     assert!(first >= least && first < least + ms(400), "{first:?}");
     assert_eq!(again.fence_for(ORDERED, ms(2_100) + APART), None);
--- a/lib/tests/test_order_effect.rs
+++ b/lib/tests/test_order_effect.rs
@@ -3,7 +3,7 @@
 use comfreymux_lib::cluster::directory::Copies;
 use comfreymux_lib::cluster::directory::HeldModel;
 use comfreymux_lib::ids::ModelName;
-use comfreymux_lib::placement::order_effect::is_carried_out;
+use comfreymux_lib::placement::order_effect::is_applied;
 use comfreymux_lib::protocol::EngineReport;
 use comfreymux_lib::protocol::OrderKind;
 use rstest::rstest;
@@ -37,5 +37,5 @@
 ) {
     let model: ModelName = "m".into();
     let adapter = adapter.map(Into::into);
-    assert_eq!(is_carried_out(&report(held), &kind, &model, adapter.as_ref()), expected);
+    assert_eq!(is_applied(&report(held), &kind, &model, adapter.as_ref()), expected);
 }
--- a/lib/tests/test_planner.rs
+++ b/lib/tests/test_planner.rs
@@ -6,7 +6,7 @@
 use comfreymux_lib::cluster::digest::WantNote;
 use comfreymux_lib::cluster::workloads::Place;
 use comfreymux_lib::placement::engine_table::AdapterJob;
-use comfreymux_lib::placement::engine_table::Job;
+use comfreymux_lib::placement::engine_table::LoadJob;
 use comfreymux_lib::placement::engine_table::Source;
 use comfreymux_lib::placement::planner::Action;
 use comfreymux_testutils::placing_site::NOW;
@@ -52,7 +52,7 @@
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
     site.engine("e1", &["a", "b"], &[]);
     let engine = site.engine("e2", &["a"], &["rare"]);
-    engine.job = Some(Job {
+    engine.job = Some(LoadJob {
         model: "b".into(),
         victims: Vec::new(),
         source: Source::Disk,
@@ -69,7 +69,7 @@
     let mut site = Site::new(&[("a", 70_000, 12)]);
     let engine = site.engine("e1", &["a"], &[]);
     engine.models[0].adapters = (1..=8).map(|n| format!("a{n}").into()).collect();
-    engine.adapters = vec![AdapterJob {
+    engine.adapter_jobs = vec![AdapterJob {
         model: "a".into(),
         adapter: "a9".into(),
         victim: Some(("a".into(), "a1".into())),
@@ -77,7 +77,7 @@
     }];
     site.want("a", Some("a10"));
     let plan = site.plan();
-    let Some(Action::Adapter { victim: Some((_, victim)), .. }) = plan.first() else {
+    let Some(Action::LoadAdapter { victim: Some((_, victim)), .. }) = plan.first() else {
         panic!("an adapter in place of another: {plan:?}");
     };
     assert_ne!(victim, "a1");
@@ -96,7 +96,7 @@
     engine.models[1].adapters = vec!["a1".into()];
     site.want("b", Some("a2"));
     let plan = site.plan();
-    let Some(Action::Adapter { victim: Some((model, _)), .. }) = plan.first() else {
+    let Some(Action::LoadAdapter { victim: Some((model, _)), .. }) = plan.first() else {
         panic!("an adapter in place of another: {plan:?}");
     };
     assert_eq!(model, "b");
@@ -125,8 +125,8 @@
     let _runs = [site.loads.begin(place("a"), 10), site.loads.begin(place("b"), 10)];
     site.want("wanted", None);
     let time = site.plan().iter().find_map(|action| match action {
-        Action::Load { time, .. } => Some(*time),
-        Action::Adapter { .. } => None,
+        Action::LoadModel { time, .. } => Some(*time),
+        Action::LoadAdapter { .. } => None,
     });
     let time = time.expect("a load");
     assert!(time < Duration::from_secs(2), "{time:?}; the load itself takes 1.6 s");
@@ -157,7 +157,7 @@
 #[test]
 fn replica_yields() {
     let mut site = Site::new(&["a", "b", "c", "rare"].map(|n| (n, 70_000, 0)));
-    let job = Job {
+    let job = LoadJob {
         model: "c".into(),
         victims: Vec::new(),
         source: Source::Store,
@@ -181,7 +181,7 @@
 #[case::in_use(2)]
 fn start_first(#[case] running: usize) {
     let mut site = Site::new(&["a", "b", "c", "d", "new", "rare"].map(|n| (n, 90_000, 0)));
-    let job = Job {
+    let job = LoadJob {
         model: "new".into(),
         victims: vec!["a".into()],
         source: Source::Disk,
@@ -228,7 +228,7 @@
     engine.models[0].adapters = (1..=8).map(|n| format!("a{n}").into()).collect();
     site.want("a", Some("a9"));
     let plan = site.plan();
-    let [Action::Adapter { server, adapter, victim, .. }] = plan.as_slice() else {
+    let [Action::LoadAdapter { server, adapter, victim, .. }] = plan.as_slice() else {
         panic!("{plan:?}");
     };
     assert_eq!((server.as_str(), adapter.as_str()), ("e1", "a9"));
@@ -252,7 +252,7 @@
         };
         for now in [NOW.saturating_sub(Duration::from_secs(seconds)), NOW] {
             let note = DemandNote { wants: vec![want.clone()], counts: Vec::new() };
-            site.demand.hear(&format!("d-{model}").into(), note, now);
+            site.demand.update(&format!("d-{model}").into(), note, now);
         }
     }
     let plan = site.plan();
@@ -316,18 +316,18 @@
         let engine_spec = site.config.services[SERVICE].engine.clone().expect("engines");
         let mut seen = Vec::new();
         for action in site.plan() {
-            let (Action::Load { server, .. } | Action::Adapter { server, .. }) = &action;
+            let (Action::LoadModel { server, .. } | Action::LoadAdapter { server, .. }) = &action;
             assert!(!seen.contains(server), "two steps for {server}");
             seen.push(server.clone());
             let engine = site.ledger.engines.get_mut(server).expect("known");
             match action {
-                Action::Load { model, victims, .. } => {
+                Action::LoadModel { model, victims, .. } => {
                     for victim in victims {
-                        engine.unloaded(&victim);
+                        engine.remove_model(&victim);
                     }
-                    engine.loaded(&model, NOW);
+                    engine.add_model(&model, NOW);
                 }
-                Action::Adapter { model, adapter, victim, .. } => {
+                Action::LoadAdapter { model, adapter, victim, .. } => {
                     if let Some((model, adapter)) = victim {
                         let held = engine.models.iter_mut().find(|m| m.name == model);
                         held.expect("held").adapters.retain(|a| *a != adapter);
@@ -336,7 +336,7 @@
                     held.expect("held").adapters.push(adapter);
                 }
             }
-            assert!(engine.taken(&engine_spec) <= engine_spec.memory);
+            assert!(engine.memory_used(&engine_spec) <= engine_spec.memory);
             assert!(engine.adapter_count() <= engine_spec.adapter_slots);
         }
     }
--- a/lib/tests/test_replicas.rs
+++ b/lib/tests/test_replicas.rs
@@ -5,7 +5,7 @@
 use comfreymux_lib::cluster::digest::CountNote;
 use comfreymux_lib::cluster::digest::DemandNote;
 use comfreymux_lib::cluster::workloads::Place;
-use comfreymux_lib::placement::engine_table::Job;
+use comfreymux_lib::placement::engine_table::LoadJob;
 use comfreymux_lib::placement::engine_table::Source;
 use comfreymux_testutils::placing_site::NOW;
 use comfreymux_testutils::placing_site::SERVICE;
@@ -29,7 +29,7 @@
 fn copy_awaited() {
     let mut site = Site::new(&["a", "b", "c", "d", "busy"].map(|n| (n, 70_000, 0)));
     site.engine("e1", &["busy", "a"], &[]);
-    site.engine("e22", &["b", "c"], &["busy"]).job = Some(Job {
+    site.engine("e22", &["b", "c"], &["busy"]).job = Some(LoadJob {
         model: "d".into(),
         victims: vec!["b".into()],
         source: Source::Disk,
@@ -55,7 +55,7 @@
         |count| CountNote { service: SERVICE.into(), model: "hot".into(), adapter: None, count };
     for (seconds, total) in [(10, 0), (8, 16), (6, 32), (4, 48), (2, 64), (0, 112)] {
         let note = DemandNote { wants: Vec::new(), counts: vec![count(total)] };
-        site.demand.hear(&"d1".into(), note, NOW.saturating_sub(Duration::from_secs(seconds)));
+        site.demand.update(&"d1".into(), note, NOW.saturating_sub(Duration::from_secs(seconds)));
     }
     assert_eq!(load_of(&site.plan(), "hot").map(|l| l.0), Some("e4444"));
 }
--- a/lib/tests/test_starts.rs
+++ b/lib/tests/test_starts.rs
@@ -23,9 +23,9 @@
 use comfreymux_lib::cluster::workloads::Work;
 use comfreymux_lib::ids::Birth;
 use comfreymux_lib::placement::engine_table::AdapterJob;
-use comfreymux_lib::placement::engine_table::Job;
+use comfreymux_lib::placement::engine_table::LoadJob;
 use comfreymux_lib::placement::engine_table::Source;
-use comfreymux_lib::placement::fetch_limiter::StorePace;
+use comfreymux_lib::placement::fetch_limiter::FetchLimiter;
 use comfreymux_lib::protocol::EngineReport;
 use comfreymux_testutils::placing_site::NOW;
 use comfreymux_testutils::placing_site::SERVICE;
@@ -286,18 +286,18 @@
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
     assert!(site.ledger.follow(&directory, &site.config, NOW).is_empty());
-    let job = Job {
+    let job = LoadJob {
         model: "cuff".into(),
         victims: Vec::new(),
         source: Source::Store,
         since: ms(0),
         eta: ms(6_000),
     };
-    let engine = site.ledger.engine_of(&start(FIRST)).expect("an engine");
+    let engine = site.ledger.engine_mut(&start(FIRST)).expect("an engine");
     engine.sequence = 12;
     engine.confirmed = true;
     engine.job = Some(job);
-    engine.adapters = vec![AdapterJob {
+    engine.adapter_jobs = vec![AdapterJob {
         model: "hem".into(),
         adapter: "a1".into(),
         victim: None,
@@ -306,10 +306,10 @@
     engine.used.insert("hem".into(), ms(0));
     put(&mut directory, server(Some(SECOND), 1, &[]), 1_000);
     assert_eq!(site.ledger.follow(&directory, &site.config, NOW), [start(FIRST)]);
-    assert!(site.ledger.engine_of(&start(FIRST)).is_none());
-    let engine = site.ledger.engine_of(&start(SECOND)).expect("an engine");
-    assert!(engine.models.is_empty() && engine.memory.is_empty() && engine.used.is_empty());
-    assert!(engine.job.is_none() && engine.adapters.is_empty());
+    assert!(site.ledger.engine_mut(&start(FIRST)).is_none());
+    let engine = site.ledger.engine_mut(&start(SECOND)).expect("an engine");
+    assert!(engine.models.is_empty() && engine.memory_copies.is_empty() && engine.used.is_empty());
+    assert!(engine.job.is_none() && engine.adapter_jobs.is_empty());
     assert_eq!((engine.sequence, engine.confirmed), (0, false));
     let report = EngineReport {
         models: Vec::new(),
@@ -318,7 +318,7 @@
         sequence: 1,
         born: Some(SECOND),
     };
-    engine.confirm(&report, NOW);
+    engine.apply_report(&report, NOW);
     assert_eq!((engine.sequence, engine.source("hem")), (1, Source::Disk));
 }
 
@@ -330,18 +330,18 @@
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
     site.ledger.follow(&directory, &site.config, NOW);
-    site.ledger.engine_of(&start(FIRST)).expect("an engine").sequence = 12;
+    site.ledger.engine_mut(&start(FIRST)).expect("an engine").sequence = 12;
     put(&mut directory, server(Some(SECOND), 40, &["hem"]), 60_000);
-    site.ledger.doubt_all();
+    site.ledger.invalidate_all();
     site.ledger.follow(&directory, &site.config, NOW);
-    assert_eq!(site.ledger.engine_of(&start(SECOND)).expect("an engine").sequence, 0);
+    assert_eq!(site.ledger.engine_mut(&start(SECOND)).expect("an engine").sequence, 0);
 }
 
 /// An engine starts again in the middle of a load from the weight store, and loads something else. The
 /// load that is over must neither count beside the new one nor be ended in its place.
 #[test]
 fn pace_apart() {
-    let mut pace = StorePace::new(ms(0));
+    let mut pace = FetchLimiter::new(ms(0));
     pace.begin(&start(FIRST), ms(6_000), 0, ms(0));
     pace.end(&start(FIRST), false, ms(1_000));
     pace.begin(&start(SECOND), ms(6_000), 0, ms(1_000));
--- a/lib/tests/test_tenure.rs
+++ b/lib/tests/test_tenure.rs
@@ -5,9 +5,9 @@
 use comfreymux_lib::boot_clock::Moment;
 use comfreymux_lib::cluster::peer_table::HeardTenure;
 use comfreymux_lib::placement::entries::LeaseEntry;
-use comfreymux_lib::placement::lease_state::Step;
-use comfreymux_lib::placement::lease_state::Tenure;
-use comfreymux_lib::placement::lease_state::VALID;
+use comfreymux_lib::placement::lease_state::LEASE_TTL;
+use comfreymux_lib::placement::lease_state::LeaseState;
+use comfreymux_lib::placement::lease_state::LeaseStep;
 use comfreymux_lib::placement::recent_orders::EngineKey;
 use proptest::prelude::Strategy;
 use proptest::prelude::any;
@@ -29,8 +29,8 @@
     Duration::from_millis(ms)
 }
 
-fn daemon(process: u64, fenced: bool) -> Tenure {
-    Tenure::new(format!("d{process}").into(), process, fenced, APART, ms(process * 20))
+fn daemon(process: u64, fenced: bool) -> LeaseState {
+    LeaseState::new(format!("d{process}").into(), process, fenced, APART, ms(process * 20))
 }
 
 /// The store's feed of the lease: the newest record and the end.
@@ -62,29 +62,34 @@
     }
 
     /// Carries out a step at once; returns whether there was one.
-    fn step(&mut self, tenure: &mut Tenure, now: Moment) -> bool {
+    fn step(&mut self, tenure: &mut LeaseState, now: Moment) -> bool {
         self.hearing(tenure, now, None)
     }
 
     /// The same at a daemon that hears another's claim.
-    fn hearing(&mut self, tenure: &mut Tenure, now: Moment, heard: Option<HeardTenure>) -> bool {
-        match tenure.next(now, heard) {
-            Step::Sleep(_) => false,
-            Step::Read => {
-                tenure.read(now, self.newest.clone(), self.end);
+    fn hearing(
+        &mut self,
+        tenure: &mut LeaseState,
+        now: Moment,
+        heard: Option<HeardTenure>,
+    ) -> bool {
+        match tenure.next_step(now, heard) {
+            LeaseStep::Sleep(_) => false,
+            LeaseStep::Read => {
+                tenure.on_read(now, self.newest.clone(), self.end);
                 true
             }
-            Step::Append(at, entry) => {
+            LeaseStep::Append(at, entry) => {
                 match self.append(at, entry) {
-                    Some(offset) => tenure.appended(now, now, offset),
-                    None => tenure.moved(),
+                    Some(offset) => tenure.on_appended(now, now, offset),
+                    None => tenure.on_conflict(),
                 }
                 true
             }
         }
     }
 
-    fn settle(&mut self, tenure: &mut Tenure, now: Moment) {
+    fn settle(&mut self, tenure: &mut LeaseState, now: Moment) {
         while self.step(tenure, now) {}
     }
 }
@@ -139,7 +144,7 @@
         }
         let fresh = heard.filter(|(at, _)| t <= at + 900).map(|(at, claim)| HeardTenure {
             fence: claim.fence,
-            until: ms(at) + claim.left,
+            until: ms(at) + claim.valid_for,
             end: claim.end,
         });
         while feed.hearing(&mut b, ms(t), fresh) {}
@@ -164,7 +169,7 @@
     let mut first = None;
     for t in (200..20_000).step_by(50) {
         feed.settle(&mut b, ms(t));
-        if let Some(fence) = b.standing() {
+        if let Some(fence) = b.held_fence() {
             b.begin_orders(fence, ENGINE, ms(t));
             feed.settle(&mut b, ms(t));
         }
@@ -201,8 +206,8 @@
     let mut a = daemon(1, fenced);
     feed.settle(&mut a, ms(100));
     for t in (900..8_000).step_by(100) {
-        if matches!(a.next(ms(t), None), Step::Append(..)) {
-            a.refused(ms(t));
+        if matches!(a.next_step(ms(t), None), LeaseStep::Append(..)) {
+            a.on_store_failure(ms(t));
         }
     }
     assert_eq!(a.fence(ms(8_000)).is_some(), fenced);
@@ -214,10 +219,10 @@
 fn answer_lost() {
     let mut feed = Feed::default();
     let mut a = daemon(1, true);
-    a.read(ms(100), None, 0);
-    let Step::Append(at, entry) = a.next(ms(200), None) else { panic!("a bid was due") };
+    a.on_read(ms(100), None, 0);
+    let LeaseStep::Append(at, entry) = a.next_step(ms(200), None) else { panic!("a bid was due") };
     feed.append(at, entry);
-    a.doubtful(ms(200), ms(1_200));
+    a.on_unknown_outcome(ms(200), ms(1_200));
     for t in [1_300, 1_600] {
         feed.settle(&mut a, ms(t));
     }
@@ -230,7 +235,7 @@
     let mut feed = Feed::default();
     let mut a = daemon(1, true);
     feed.settle(&mut a, ms(100));
-    let mut again = Tenure::new("d1".into(), 77, true, APART, ms(0));
+    let mut again = LeaseState::new("d1".into(), 77, true, APART, ms(0));
     feed.settle(&mut again, ms(200));
     assert_eq!(again.fence(ms(200)), None);
 }
@@ -243,7 +248,7 @@
     feed.settle(&mut a, ms(100));
     let (at, entry) = a.release(ms(300)).expect("held");
     feed.append(at, entry);
-    a.released();
+    a.on_released();
     feed.settle(&mut b, ms(400));
     assert_eq!(b.fence(ms(400)), Some(3));
     assert_eq!(a.fence(ms(400)), None);
@@ -255,7 +260,7 @@
     let mut feed = Feed::default();
     let mut a = daemon(1, true);
     feed.settle(&mut a, ms(100));
-    a.next(ms(200), Some(HeardTenure { fence: 9, until: ms(2_000), end: 9 }));
+    a.next_step(ms(200), Some(HeardTenure { fence: 9, until: ms(2_000), end: 9 }));
     assert_eq!(a.fence(ms(200)), None);
 }
 
@@ -300,11 +305,11 @@
 
 impl Course {
     /// Begins or ends a change at an engine.
-    fn turn(&mut self, tenure: &mut Tenure, who: usize, engine: usize, now: Moment) {
+    fn turn(&mut self, tenure: &mut LeaseState, who: usize, engine: usize, now: Moment) {
         match self.changes[who][engine].take() {
             Some(fence) => tenure.end_orders(fence, engine as EngineKey, now),
             None => {
-                if let Some(fence) = tenure.standing() {
+                if let Some(fence) = tenure.held_fence() {
                     tenure.begin_orders(fence, engine as EngineKey, now);
                     self.changes[who][engine] = Some(fence);
                 }
@@ -313,7 +318,7 @@
     }
 
     /// Everybody orders what it may: never two at once, and one engine's orders by two lie apart.
-    fn look(&mut self, daemons: &[Tenure], now: Moment) {
+    fn look(&mut self, daemons: &[LeaseState], now: Moment) {
         let holders: Vec<_> =
             daemons.iter().enumerate().filter_map(|(i, d)| Some((i, d.fence(now)?))).collect();
         assert!(holders.len() <= 1, "{holders:?} at {now:?}");
@@ -360,32 +365,32 @@
         }
         course.turn(&mut daemons[who], who, pause as usize % ENGINES, now);
         let tenure = &mut daemons[who];
-        match tenure.next(now, None) {
-            Step::Sleep(_) => {}
-            Step::Read => match fate {
-                Fate::Answered => tenure.read(now, feed.newest.clone(), feed.end),
-                _ => tenure.refused(now),
+        match tenure.next_step(now, None) {
+            LeaseStep::Sleep(_) => {}
+            LeaseStep::Read => match fate {
+                Fate::Answered => tenure.on_read(now, feed.newest.clone(), feed.end),
+                _ => tenure.on_store_failure(now),
             },
-            Step::Append(at, entry) => match fate {
+            LeaseStep::Append(at, entry) => match fate {
                 Fate::Answered => match feed.append(at, entry) {
-                    Some(offset) => tenure.appended(now, now, offset),
-                    None => tenure.moved(),
+                    Some(offset) => tenure.on_appended(now, now, offset),
+                    None => tenure.on_conflict(),
                 },
                 Fate::Lost => {
                     feed.append(at, entry);
-                    tenure.doubtful(now, now);
+                    tenure.on_unknown_outcome(now, now);
                 }
-                Fate::LostAndUndone => tenure.doubtful(now, now),
+                Fate::LostAndUndone => tenure.on_unknown_outcome(now, now),
                 Fate::Late(tenths) => {
                     late.push((now + ms(u64::from(tenths) * 100), at, entry));
-                    tenure.doubtful(now, now);
+                    tenure.on_unknown_outcome(now, now);
                 }
-                Fate::Refused => tenure.refused(now),
+                Fate::Refused => tenure.on_store_failure(now),
             },
         }
         course.look(&daemons, now);
     }
-    assert!(VALID > Duration::ZERO);
+    assert!(LEASE_TTL > Duration::ZERO);
 }
 
 proptest! {
@@ -420,7 +425,7 @@
     let mut a = daemon(1, true);
     feed.settle(&mut a, ms(100));
     assert_eq!(a.fence(ms(3_000)), None);
-    assert_eq!(a.standing(), Some(1));
+    assert_eq!(a.held_fence(), Some(1));
     feed.settle(&mut a, ms(3_100));
     assert_eq!(a.fence(ms(3_100)), Some(1));
 }
@@ -440,7 +445,7 @@
         }
         feed.settle(&mut b, ms(t));
         feed.settle(&mut a, ms(t));
-        assert_eq!((a.fence(ms(t)), b.standing()), (Some(1), None), "at {t} ms");
+        assert_eq!((a.fence(ms(t)), b.held_fence()), (Some(1), None), "at {t} ms");
     }
 }
 
@@ -476,7 +481,7 @@
     assert!(b.fence(ms(4_000)).is_some());
     feed.overwrite();
     feed.settle(&mut a, ms(4_000));
-    assert_eq!(a.standing(), None);
+    assert_eq!(a.held_fence(), None);
     feed.settle(&mut b, ms(4_050));
     assert!(b.fence(ms(4_050)).is_some());
 }
@@ -505,10 +510,10 @@
 fn busy_answer() {
     let mut feed = Feed::default();
     let mut a = daemon(1, true);
-    a.read(ms(100), None, 0);
-    let Step::Append(at, entry) = a.next(ms(200), None) else { panic!("a bid was due") };
+    a.on_read(ms(100), None, 0);
+    let LeaseStep::Append(at, entry) = a.next_step(ms(200), None) else { panic!("a bid was due") };
     feed.append(at, entry);
-    a.doubtful(ms(200), ms(1_200));
+    a.on_unknown_outcome(ms(200), ms(1_200));
     feed.grow();
     for t in [1_300, 1_600] {
         feed.settle(&mut a, ms(t));
--- a/lib/testutils/src/placing_site.rs
+++ b/lib/testutils/src/placing_site.rs
@@ -20,11 +20,11 @@
 use comfreymux_lib::cluster::workloads::Loads;
 use comfreymux_lib::placement::demand::Demand;
 use comfreymux_lib::placement::engine_table::Engine;
-use comfreymux_lib::placement::engine_table::Ledger;
+use comfreymux_lib::placement::engine_table::EngineTable;
 use comfreymux_lib::placement::engine_table::Source;
 use comfreymux_lib::placement::fetch_limiter::StoreShare;
 use comfreymux_lib::placement::planner::Action;
-use comfreymux_lib::placement::planner::Scene;
+use comfreymux_lib::placement::planner::PlanInput;
 use smol_str::SmolStr;
 
 /// The moment of the plan.
@@ -38,7 +38,7 @@
     /// The configuration.
     pub config: Configuration,
     /// What the engines hold.
-    pub ledger: Ledger,
+    pub ledger: EngineTable,
     /// What callers ask for.
     pub demand: Demand,
     /// Requests in progress.
@@ -75,7 +75,7 @@
         };
         Self {
             config: Configuration::new(1, Vec::new(), vec![service], limits),
-            ledger: Ledger::default(),
+            ledger: EngineTable::default(),
             demand: Demand::default(),
             loads: Loads::default(),
             room: 8,
@@ -106,18 +106,18 @@
             models: server.models.clone(),
             server: Rc::new(server),
             sequence: 0,
-            memory: Vec::new(),
-            disk: disk.iter().chain(held).map(|m| (*m).into()).collect(),
+            memory_copies: Vec::new(),
+            disk_copies: disk.iter().chain(held).map(|m| (*m).into()).collect(),
             confirmed: true,
-            strays: false,
-            behind: 0,
+            orders_inflight: false,
+            stale_reports: 0,
             changed: NOW,
             compared: 0,
             job: None,
-            occupied: false,
-            adapters: Vec::new(),
+            reported_busy: false,
+            adapter_jobs: Vec::new(),
             used: BTreeMap::new(),
-            rest_until: Moment::ZERO,
+            backoff_until: Moment::ZERO,
         };
         self.ledger.engines.entry(id.into()).or_insert(engine)
     }
@@ -134,7 +134,7 @@
             avoid: Vec::new(),
         };
         let note = DemandNote { wants: vec![want], counts: Vec::new() };
-        self.demand.hear(&format!("d-{model}").into(), note, NOW);
+        self.demand.update(&format!("d-{model}").into(), note, NOW);
     }
 
     /// Makes a model asked for `rate` times a second.
@@ -148,14 +148,14 @@
             let count =
                 CountNote { service: SERVICE.into(), model: model.into(), adapter: None, count };
             let note = DemandNote { wants: Vec::new(), counts: vec![count] };
-            self.demand.hear(&format!("busy-{model}").into(), note, NOW);
+            self.demand.update(&format!("busy-{model}").into(), note, NOW);
         }
     }
 
     /// Returns the next steps.
     pub fn plan(&self) -> Vec<Action> {
         let work = self.loads.fleet_table(NOW);
-        let scene = Scene {
+        let scene = PlanInput {
             now: NOW,
             config: &self.config,
             ledger: &self.ledger,
@@ -164,7 +164,7 @@
             run_times: &RunTimes::default(),
             unreachable: Vec::new(),
             share: self.share,
-            store_room: self.room,
+            fetches_left: self.room,
         };
         scene.plan()
     }
@@ -173,7 +173,7 @@
 /// Returns engine, victims and source of a model's load in a plan.
 pub fn load_of<'a>(plan: &'a [Action], model: &str) -> Option<(&'a str, Vec<&'a str>, Source)> {
     plan.iter().find_map(|action| match action {
-        Action::Load { server, model: m, victims, source, .. } if m == model => {
+        Action::LoadModel { server, model: m, victims, source, .. } if m == model => {
             Some((server.as_str(), victims.iter().map(SmolStr::as_str).collect(), *source))
         }
         _ => None,
