--- a/lib/src/placement/entries.rs
+++ b/lib/src/placement/entries.rs
@@ -72,6 +72,6 @@
 /// # Errors
 ///
 /// The text is not such a record.
-pub fn read<'a, T: Deserialize<'a>>(raw: &'a [u8]) -> Result<T, FormatError> {
+pub fn decode<'a, T: Deserialize<'a>>(raw: &'a [u8]) -> Result<T, FormatError> {
     serde_json::from_slice(raw).map_err(|e| FormatError(e.to_string()))
 }
--- a/lib/src/placement/load_options.rs
+++ b/lib/src/placement/load_options.rs
@@ -99,7 +99,7 @@
     /// Models with waiting requests: their last replica stays where it is.
     pub waiting_models: HashSet<(SmolStr, ModelName)>,
     /// Engines that got a step in this plan.
-    pub taken: HashSet<ServerId>,
+    pub assigned: HashSet<ServerId>,
     /// How long engines will be at work for models that chose them in this plan, those that only wait for them
     /// included.
     pub reserved: HashMap<ServerId, Duration>,
@@ -352,7 +352,7 @@
         let can_start = engine.confirmed
             && engine.adapter_jobs.is_empty()
             && now >= engine.backoff_until
-            && !self.taken.contains(&engine.server.id)
+            && !self.assigned.contains(&engine.server.id)
             && (source != Source::Store || self.fetches_left > 0);
         Some(LoadOption { engine, victims, source, time, cost, can_start })
     }
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -117,7 +117,7 @@
             input: self,
             index,
             waiting_models,
-            taken: HashSet::new(),
+            assigned: HashSet::new(),
             reserved: HashMap::new(),
             fetching,
             fetches_left: self.fetches_left,
@@ -146,7 +146,7 @@
         reason: &'static str,
     ) {
         let server = offer.engine.server.id.clone();
-        self.options.taken.insert(server.clone());
+        self.options.assigned.insert(server.clone());
         self.options.reserve(offer.engine, offer.time);
         self.placed.insert((offer.engine.server.service.clone(), model.clone()));
         if offer.source == Source::Store {
@@ -237,7 +237,7 @@
 
     fn begin_adapter(&mut self, action: Action) {
         if let Action::LoadAdapter { server, .. } = &action {
-            self.options.taken.insert(server.clone());
+            self.options.assigned.insert(server.clone());
         }
         self.actions.push(action);
     }
@@ -262,7 +262,7 @@
             e.confirmed
                 && e.job.is_none()
                 && self.input.now >= e.backoff_until
-                && !self.options.taken.contains(&e.server.id)
+                && !self.options.assigned.contains(&e.server.id)
         };
         let work = |e: &Engine| self.input.work.at(server_key(&e.server.start())).running;
         let engine = holders.iter().filter(is_free).min_by_key(|e| (e.adapter_count(), work(e)))?;
--- a/lib/src/serve/apply_updates.rs
+++ b/lib/src/serve/apply_updates.rs
@@ -241,7 +241,7 @@
     entry.note_batch(Feed::Daemons, batch);
     for record in batch.records.iter().filter(|r| r.key != *id) {
         let Some(raw) = &record.value else { continue };
-        match entries::read::<DaemonEntry>(raw) {
+        match entries::decode::<DaemonEntry>(raw) {
             Ok(peer) => {
                 entry.unread.borrow_mut().clear(Feed::Daemons, &record.key);
                 entry.peers.borrow_mut().list(&record.key, &peer, now);
--- a/lib/src/serve/lease_manager.rs
+++ b/lib/src/serve/lease_manager.rs
@@ -111,7 +111,7 @@
     }
 
     fn read_record(&self, raw: &[u8]) -> Option<LeaseEntry> {
-        match entries::read(raw) {
+        match entries::decode(raw) {
             Ok(record) => {
                 self.entry.unread.borrow_mut().clear(Feed::Leases, PLACEMENT_KEY);
                 Some(record)
