--- a/lib/src/cluster/configuration.rs
+++ b/lib/src/cluster/configuration.rs
@@ -46,22 +46,22 @@
     /// Longest time that a request may be kept.
     pub timeout: Duration,
     /// Time within which an answer, or a stream's first event, is punctual.
-    pub goal: Duration,
+    pub latency_goal: Duration,
     /// Rank among routes; 0 is the most urgent.
     pub priority: u8,
     /// Services and their weights; never empty.
     pub targets: Vec<(ServiceName, u32)>,
     /// Most backend servers that may run one attempt of a caller; at least 1.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether a stream may go on at another backend server after its last event.
     pub resumable: bool,
     /// Longest pause between events that is punctual.
-    pub gap: Option<Duration>,
+    pub gap_target: Option<Duration>,
 }
 
 impl Route {
     /// Returns whether a request that may have run may be sent again.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::NonIdempotent => false,
@@ -70,9 +70,9 @@
     }
 
     /// Returns for how long a caller waits for the first or the next event of a stream.
-    pub fn patience(&self) -> Duration {
-        let gap = self.gap.unwrap_or_default() * PATIENCE_GAPS;
-        LEAST_PATIENCE.max(self.goal * PATIENCE_GOALS).max(gap)
+    pub fn stall_timeout(&self) -> Duration {
+        let gap = self.gap_target.unwrap_or_default() * PATIENCE_GAPS;
+        LEAST_PATIENCE.max(self.latency_goal * PATIENCE_GOALS).max(gap)
     }
 }
 
@@ -82,11 +82,11 @@
     /// Size of its weights.
     pub size: Mebibytes,
     /// Time of a load from the weight store.
-    pub load: Duration,
+    pub store_load: Duration,
     /// Time of a load from the backend server's disk.
-    pub disk: Duration,
+    pub disk_load: Duration,
     /// Time of a load from the backend server's memory.
-    pub warm: Duration,
+    pub memory_load: Duration,
     /// Names of its adapters.
     pub adapters: Vec<SmolStr>,
     /// Size of each adapter.
@@ -121,13 +121,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CallerLimits {
     /// Largest head of a request, in bytes.
-    pub head: usize,
+    pub max_head: usize,
     /// Largest body of a request, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// Longest time for a whole head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time that a connection stays open between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// One version of the configuration; never changed once published.
--- a/lib/src/cluster/digest.rs
+++ b/lib/src/cluster/digest.rs
@@ -7,13 +7,13 @@
 
 use crate::cluster::configuration::ConfigVersion;
 use crate::cluster::configuration::ServiceName;
-use crate::cluster::directory::HeldModel;
-use crate::cluster::engine_inventories::Holding;
-use crate::cluster::quarantine_report::QuarantineNote;
-use crate::cluster::rate_limits::LimitNote;
-use crate::cluster::reader_report::Word;
-use crate::cluster::server_instance::ServerStart;
-use crate::cluster::trial_report::TrialNote;
+use crate::cluster::directory::LoadedModel;
+use crate::cluster::engine_inventories::EngineInventory;
+use crate::cluster::quarantine_report::QuarantineReport;
+use crate::cluster::rate_limits::LimitReport;
+use crate::cluster::reader_report::ReaderReport;
+use crate::cluster::server_instance::ServerInstance;
+use crate::cluster::trial_report::TrialReport;
 use crate::ids::CentreId;
 use crate::ids::DaemonId;
 use crate::ids::Fence;
@@ -27,7 +27,7 @@
 
 /// Who holds the lease for placement, as its holder says.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct TenureNote {
+pub struct LeaseReport {
     /// The fencing number of its orders.
     pub fence: Fence,
     /// For how long the lease is still valid, in milliseconds.
@@ -36,7 +36,7 @@
     pub end: Offset,
 }
 
-impl From<LeaseClaim> for TenureNote {
+impl From<LeaseClaim> for LeaseReport {
     fn from(claim: LeaseClaim) -> Self {
         Self { fence: claim.fence, left_ms: claim.valid_for.as_millis() as u32, end: claim.end }
     }
@@ -44,24 +44,24 @@
 
 /// A server's load from one daemon's requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct LoadNote {
+pub struct WorkloadReport {
     /// The server.
-    pub server: ServerStart,
+    pub server: ServerInstance,
     /// The model, where the server is an engine.
     pub model: Option<ModelName>,
     /// Requests in progress.
     pub running: u32,
     /// Prompt tokens that wait to be read.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
 }
 
 /// A server that left, by the last that was known of it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct LeftNote {
+pub struct ServerDeparture {
     /// The start that left.
-    pub server: ServerStart,
+    pub server: ServerInstance,
     /// Its last heartbeat; a later one shows that it came back.
-    pub beat: u64,
+    pub heartbeat: u64,
 }
 
 /// A daemon's state, told several times a second.
@@ -70,30 +70,30 @@
     /// Its data centre.
     pub centre: CentreId,
     /// Configuration that it follows; 0 before the first.
-    pub config: ConfigVersion,
+    pub config_version: ConfigVersion,
     /// For how long the store has not told it whether the configuration changed, in milliseconds.
     pub config_age: u32,
     /// Place in the platform's feed of servers that it has read up to.
-    pub servers: Offset,
+    pub servers_end: Offset,
     /// Servers that it saw leave in the last seconds.
-    pub left: Vec<LeftNote>,
+    pub departures: Vec<ServerDeparture>,
     /// Whether it takes new callers.
     pub ready: bool,
     /// Whether its host is small.
-    pub small: bool,
+    pub is_small: bool,
     /// Its requests by server.
-    pub loads: Vec<LoadNote>,
+    pub workloads: Vec<WorkloadReport>,
     /// Limits that servers name.
-    pub limits: Vec<LimitNote>,
+    pub limits: Vec<LimitReport>,
     /// Requests under which servers crashed.
-    pub quarantine: QuarantineNote,
+    pub quarantine: QuarantineReport,
     /// Set by the holder of the placement lease.
-    pub tenure: Option<TenureNote>,
+    pub lease: Option<LeaseReport>,
 }
 
 /// Requests that wait for a model, or for an adapter of it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct WantNote {
+pub struct QueuedDemand {
     /// The service.
     pub service: ServiceName,
     /// The model.
@@ -103,17 +103,17 @@
     /// Waiting requests.
     pub waiting: u32,
     /// Time that the most patient of them has left, in milliseconds.
-    pub left_ms: u32,
+    pub remaining_ms: u32,
     /// Time within which the last of them must be served to be punctual, in milliseconds; 0 where all
     /// are late.
     pub due_ms: u32,
     /// Servers that cannot be reached from here, or that have just failed to serve it.
-    pub avoid: Vec<ServerStart>,
+    pub avoid: Vec<ServerInstance>,
 }
 
 /// Arrivals of requests for a model since the daemon's start.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct CountNote {
+pub struct ArrivalCount {
     /// The service.
     pub service: ServiceName,
     /// The model.
@@ -126,26 +126,26 @@
 
 /// A daemon's demand, told to the holder of the placement lease.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct DemandNote {
+pub struct DemandReport {
     /// What requests wait for.
-    pub wants: Vec<WantNote>,
+    pub queued: Vec<QueuedDemand>,
     /// Arrivals of models that were asked for lately.
-    pub counts: Vec<CountNote>,
+    pub arrivals: Vec<ArrivalCount>,
 }
 
 /// What a message carries.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Content {
+pub enum Payload {
     /// The sender's state.
     Digest(Digest),
     /// The sender's demand.
-    Demand(DemandNote),
+    Demand(DemandReport),
     /// What servers hold, from the holder of the placement lease.
-    Holdings(Fence, Vec<Holding>),
+    Inventories(Fence, Vec<EngineInventory>),
     /// A reader's word.
-    Word(Word),
+    ReaderReport(ReaderReport),
     /// The sender's suspected requests.
-    Trials(Vec<TrialNote>),
+    Trials(Vec<TrialReport>),
 }
 
 /// Number of the form of datagrams; a change of these types takes the next one.
@@ -176,7 +176,7 @@
     /// Where the sender takes datagrams and connections from other daemons.
     pub port: u16,
     /// What it says.
-    pub content: Content,
+    pub payload: Payload,
 }
 
 impl PeerMessage {
@@ -201,20 +201,20 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum PeerRequest {
     /// The configuration and the servers' entries.
-    Picture,
+    Snapshot,
     /// The configuration.
     Configuration,
 }
 
 /// The platform's records, relayed to a daemon that the platform turns away.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct PictureReply {
+pub struct SnapshotReply {
     /// Version of the configuration.
-    pub config: ConfigVersion,
+    pub config_version: ConfigVersion,
     /// The configuration as the platform wrote it.
     pub raw_config: Vec<u8>,
     /// Place in the feed of servers.
-    pub servers: Offset,
+    pub servers_end: Offset,
     /// Servers' entries as the platform wrote them.
     pub raw_servers: Vec<(ServerId, Vec<u8>)>,
     /// Servers whose entries are missing or name no server, and which may be back in a moment.
@@ -223,21 +223,21 @@
 
 /// A model with its adapters on the wire between daemons.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct HeldNote {
+pub struct LoadedModelReport {
     /// The model.
     pub name: ModelName,
     /// Its loaded adapters.
     pub adapters: Vec<SmolStr>,
 }
 
-impl From<&HeldModel> for HeldNote {
-    fn from(held: &HeldModel) -> Self {
+impl From<&LoadedModel> for LoadedModelReport {
+    fn from(held: &LoadedModel) -> Self {
         Self { name: held.name.clone(), adapters: held.adapters.clone() }
     }
 }
 
-impl From<HeldNote> for HeldModel {
-    fn from(note: HeldNote) -> Self {
+impl From<LoadedModelReport> for LoadedModel {
+    fn from(note: LoadedModelReport) -> Self {
         Self { name: note.name, adapters: note.adapters }
     }
 }
--- a/lib/src/cluster/directory.rs
+++ b/lib/src/cluster/directory.rs
@@ -11,10 +11,10 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::ServiceName;
-use crate::cluster::digest::LeftNote;
-use crate::cluster::latest_instances::StartOrder;
-use crate::cluster::latest_instances::Starts;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::digest::ServerDeparture;
+use crate::cluster::latest_instances::InstanceOrder;
+use crate::cluster::latest_instances::LatestInstances;
+use crate::cluster::server_instance::ServerInstance;
 use crate::cluster::workload_table::server_key;
 use crate::ids::Birth;
 use crate::ids::CentreId;
@@ -41,7 +41,7 @@
 
 /// A model that a backend server holds.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct HeldModel {
+pub struct LoadedModel {
     /// Its name.
     pub name: ModelName,
     /// Names of the adapters that are loaded with it.
@@ -50,7 +50,7 @@
 
 /// Copies of weights that make a load short.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Copies {
+pub struct WeightCopies {
     /// Models with a copy in the host's memory.
     pub memory: Vec<ModelName>,
     /// Models with a copy on the host's disk.
@@ -73,33 +73,33 @@
     /// Whether it leaves: no new request may be sent to it.
     pub leaving: bool,
     /// Models that it holds.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Copies of weights near its accelerator.
-    pub copies: Copies,
+    pub copies: WeightCopies,
     /// Number of its heartbeat; a later entry of one start has a greater one.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// When it started, where it says so.
     pub born: Option<Birth>,
 }
 
 impl Server {
     /// Returns which start of the server says this.
-    pub fn start(&self) -> ServerStart {
-        ServerStart { id: self.id.clone(), born: self.born }
+    pub fn instance(&self) -> ServerInstance {
+        ServerInstance { id: self.id.clone(), born: self.born }
     }
 
-    fn left_note(&self) -> LeftNote {
-        LeftNote { server: self.start(), beat: self.beat }
+    fn left_note(&self) -> ServerDeparture {
+        ServerDeparture { server: self.instance(), heartbeat: self.heartbeat }
     }
 
     /// Turns this into what is known of a newer start whose entry has not been read yet: where it may
     /// listen, and that it holds nothing of before.
     fn restart(&mut self, born: Option<Birth>) {
         self.born = born;
-        self.beat = 0;
+        self.heartbeat = 0;
         self.leaving = false;
         self.models.clear();
-        self.copies = Copies::default();
+        self.copies = WeightCopies::default();
     }
 }
 
@@ -127,11 +127,11 @@
     ///
     /// The feed is read in order: who knows a later heartbeat has read an entry that was written after
     /// the end that the peer speaks of.
-    fn leave(&mut self, note: &LeftNote, now: Moment) -> bool {
+    fn leave(&mut self, note: &ServerDeparture, now: Moment) -> bool {
         if self.server.leaving || self.back.is_some() {
             return false;
         }
-        self.back = (self.server.beat > note.beat).then_some(now);
+        self.back = (self.server.heartbeat > note.heartbeat).then_some(now);
         Rc::make_mut(&mut self.server).leaving = true;
         true
     }
@@ -181,20 +181,20 @@
     /// When it was first read after the store had been away.
     back: Option<Moment>,
     /// Servers that left lately, and when that was noticed.
-    left: Vec<(Moment, LeftNote)>,
+    left: Vec<(Moment, ServerDeparture)>,
     /// Servers that are gone by a peer's word or did not come back, and when that was noticed. Peers that read the
     /// feed find that out for themselves.
-    lost: Vec<(Moment, LeftNote)>,
+    lost: Vec<(Moment, ServerDeparture)>,
     /// Servers that came or came back lately, and when that was noticed.
     joined: Vec<(Moment, ServerId)>,
     /// When the feed was read lately, and from where on.
     reads: VecDeque<(Moment, Offset)>,
-    starts: Starts,
+    starts: LatestInstances,
 }
 
 impl Directory {
     /// Notes that the feed was read, before its records are taken in.
-    pub fn read(&mut self, now: Moment) {
+    pub fn record_read(&mut self, now: Moment) {
         self.note_pause(now);
         self.read = Some(now);
         self.reads.push_back((now, self.end));
@@ -219,18 +219,18 @@
     }
 
     /// Notes that the entries were listed anew: what changed meanwhile cannot be told in steps.
-    pub fn relisted(&mut self) {
+    pub fn clear_history(&mut self) {
         self.reads.clear();
         self.joined.clear();
     }
 
     /// Returns the place in the feed from which on [`Self::left`] and [`Self::joined`] have all changes.
-    pub fn told_from(&self) -> Offset {
+    pub fn history_start(&self) -> Offset {
         self.reads.front().map_or(self.end, |(_, from)| *from)
     }
 
     /// Returns the servers that came or came back lately, with their entries as the platform wrote them.
-    pub fn joined(&mut self, now: Moment) -> Vec<(ServerId, Bytes)> {
+    pub fn recent_joins(&mut self, now: Moment) -> Vec<(ServerId, Bytes)> {
         self.joined.retain(|(at, _)| now <= *at + TELL_FOR);
         let listed = self.joined.iter().filter_map(|(_, id)| Some((id, self.entries.get(id)?)));
         let named = listed.filter(|(_, e)| !e.is_awaited() && !e.server.leaving);
@@ -238,7 +238,7 @@
     }
 
     /// Returns the place in the feed up to which this was read.
-    pub fn end(&self) -> Offset {
+    pub fn feed_end(&self) -> Offset {
         self.end
     }
 
@@ -249,9 +249,9 @@
 
     /// Takes in that somebody named a start of a server. All ways by which daemons hear of servers
     /// come through here: an older start is passed over, and a newer one ends what was known.
-    pub fn hear(&mut self, start: &ServerStart, now: Moment) -> StartOrder {
-        let order = self.starts.hear(start, now);
-        if order == StartOrder::Newer
+    pub fn hear(&mut self, start: &ServerInstance, now: Moment) -> InstanceOrder {
+        let order = self.starts.observe(start, now);
+        if order == InstanceOrder::Newer
             && let Some(entry) = self.entries.get_mut(&start.id)
         {
             Rc::make_mut(&mut entry.server).restart(start.born);
@@ -262,14 +262,14 @@
     }
 
     /// Returns whether a start of a server is the one that is listed.
-    pub fn is_current(&self, start: &ServerStart) -> bool {
+    pub fn is_current(&self, start: &ServerInstance) -> bool {
         self.entries.get(&start.id).is_some_and(|e| e.server.born == start.born)
     }
 
     /// Takes in a server's entry.
     pub fn put(&mut self, mut server: Server, raw: Bytes, now: Moment) -> Change {
-        let order = self.hear(&server.start(), now);
-        if order == StartOrder::Older {
+        let order = self.hear(&server.instance(), now);
+        if order == InstanceOrder::Older {
             return Change::None;
         }
         let old = self.entries.get(&server.id);
@@ -278,7 +278,7 @@
         server.leaving |= back.is_some() && old.is_some_and(|old| old.server.leaving);
         // Feeds may repeat old entries; one start of a server that gave notice never comes back.
         if let Some(old) = old
-            && (old.server.beat > server.beat || old.server.leaving && !server.leaving)
+            && (old.server.heartbeat > server.heartbeat || old.server.leaving && !server.leaving)
         {
             if let Some(entry) = self.entries.get_mut(&server.id) {
                 entry.lapsed = None;
@@ -288,7 +288,7 @@
         let change = match old {
             None if server.leaving => Change::Leaving,
             None => Change::Joined,
-            Some(_) if order == StartOrder::Newer && !server.leaving => Change::Restarted,
+            Some(_) if order == InstanceOrder::Newer && !server.leaving => Change::Restarted,
             Some(old) if server.leaving && !old.server.leaving => Change::Leaving,
             Some(old) if old.suspended.is_some() => Change::Resumed,
             Some(old) if old.server.models != server.models => Change::Updated,
@@ -312,10 +312,10 @@
     /// Only a newer one is news: what is known may have lapsed or been written over since, which the peer has
     /// not heard of where it has the entry from a third one. Taken for a return, the entry of a crashed server
     /// stood for twenty seconds.
-    pub fn relayed(&mut self, server: Server, raw: Bytes, now: Moment) -> Change {
+    pub fn put_relayed(&mut self, server: Server, raw: Bytes, now: Moment) -> Change {
         let known = self.entries.get(&server.id).filter(|e| e.server.born == server.born);
         let is_notice = |e: &Entry| server.leaving && !e.server.leaving;
-        if known.is_some_and(|e| e.server.beat >= server.beat && !is_notice(e)) {
+        if known.is_some_and(|e| e.server.heartbeat >= server.heartbeat && !is_notice(e)) {
             return Change::None;
         }
         self.put(server, raw, now)
@@ -359,13 +359,13 @@
     }
 
     /// Returns the servers that left lately, to be told to peers: each daemon reads at other moments.
-    pub fn left(&mut self, now: Moment) -> Vec<LeftNote> {
+    pub fn left(&mut self, now: Moment) -> Vec<ServerDeparture> {
         self.left.retain(|(at, _)| now <= *at + TELL_FOR);
         self.left.iter().map(|(_, note)| note.clone()).collect()
     }
 
     /// Returns the servers that left lately or did not come back, for those who live by this daemon's word.
-    pub fn gone(&mut self, now: Moment) -> Vec<LeftNote> {
+    pub fn all_departures(&mut self, now: Moment) -> Vec<ServerDeparture> {
         self.lost.retain(|(at, _)| now <= *at + TELL_FOR);
         let mut list = self.left(now);
         list.extend(self.lost.iter().map(|(_, note)| note.clone()));
@@ -376,8 +376,8 @@
     ///
     /// It may only have been cut off until its entry ran out, and be back while the word still goes on;
     /// [`Self::settle`] finds that out.
-    pub fn leave(&mut self, note: &LeftNote, now: Moment) -> Change {
-        if self.hear(&note.server, now) == StartOrder::Older {
+    pub fn apply_departure(&mut self, note: &ServerDeparture, now: Moment) -> Change {
+        if self.hear(&note.server, now) == InstanceOrder::Older {
             return Change::None;
         }
         let entry = self.entries.get_mut(&note.server.id);
@@ -390,9 +390,9 @@
     }
 
     /// Returns a sum over the servers that may get requests, equal for equal pictures whatever their heartbeats.
-    pub fn usable(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         let usable = self.entries.values().filter(|e| !e.server.leaving);
-        usable.map(|e| u64::from(server_key(&e.server.start()))).fold(0, u64::wrapping_add)
+        usable.map(|e| u64::from(server_key(&e.server.instance()))).fold(0, u64::wrapping_add)
     }
 
     /// Returns the entries that are not among `listed`.
@@ -407,7 +407,7 @@
     }
 
     /// Returns the servers that are usable again: a peer saw their entries end, and they are back.
-    pub fn settle(&mut self, now: Moment) -> Vec<ServerId> {
+    pub fn confirm_returns(&mut self, now: Moment) -> Vec<ServerId> {
         let mut back = Vec::new();
         for (id, entry) in &mut self.entries {
             if entry.settle(now) {
@@ -447,7 +447,7 @@
     }
 
     /// Returns all servers, also those whose entries were written over: they may be back in a moment.
-    pub fn known(&self) -> impl Iterator<Item = &Rc<Server>> {
+    pub fn all_servers(&self) -> impl Iterator<Item = &Rc<Server>> {
         self.entries.values().map(|e| &e.server)
     }
 
@@ -462,7 +462,7 @@
     }
 
     /// Returns the entries as the platform wrote them, but for those that are missing or name no server.
-    pub fn raw(&self) -> impl Iterator<Item = (&ServerId, &Bytes)> {
+    pub fn raw_entries(&self) -> impl Iterator<Item = (&ServerId, &Bytes)> {
         let named = self.entries.iter().filter(|(_, e)| !e.is_awaited());
         named.map(|(id, e)| (id, &e.raw))
     }
--- a/lib/src/cluster/engine_inventories.rs
+++ b/lib/src/cluster/engine_inventories.rs
@@ -11,10 +11,10 @@
 use smol_str::SmolStr;
 
 use crate::boot_clock::Moment;
-use crate::cluster::digest::HeldNote;
-use crate::cluster::directory::HeldModel;
+use crate::cluster::digest::LoadedModelReport;
+use crate::cluster::directory::LoadedModel;
 use crate::cluster::directory::Server;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::Fence;
 use crate::ids::ModelName;
 
@@ -23,7 +23,7 @@
 
 /// Something on its way into an engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Coming {
+pub struct PendingLoad {
     /// The model.
     pub model: ModelName,
     /// The adapter, where one is being loaded.
@@ -38,17 +38,17 @@
 
 /// What one engine holds and what is on its way.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Holding {
+pub struct EngineInventory {
     /// The engine.
-    pub server: ServerStart,
+    pub server: ServerInstance,
     /// Orders that it had accepted.
     pub sequence: u64,
     /// Its newest heartbeat that the holder of the placement lease knew.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// Models that can serve.
-    pub models: Vec<HeldNote>,
+    pub models: Vec<LoadedModelReport>,
     /// Models and adapters on their way.
-    pub coming: Vec<Coming>,
+    pub pending: Vec<PendingLoad>,
 }
 
 #[derive(Debug)]
@@ -58,41 +58,41 @@
     sequence: u64,
     /// The newest heartbeat that the teller knew.
     beat: u64,
-    models: Vec<HeldModel>,
-    coming: Vec<Coming>,
+    models: Vec<LoadedModel>,
+    coming: Vec<PendingLoad>,
 }
 
 /// The newest word on each start of an engine.
 #[derive(Debug, Default)]
 pub struct Holdings {
-    told: HashMap<ServerStart, Told>,
+    told: HashMap<ServerInstance, Told>,
 }
 
 impl Holdings {
     /// Takes in word of the holder with `fence`; returns whether anything changed.
-    pub fn put(&mut self, fence: Fence, holding: Holding, now: Moment) -> bool {
+    pub fn put(&mut self, fence: Fence, holding: EngineInventory, now: Moment) -> bool {
         if let Some(old) = self.told.get(&holding.server)
             && (old.fence > fence || old.fence == fence && old.sequence > holding.sequence)
         {
             return false;
         }
-        let models = holding.models.into_iter().map(HeldModel::from).collect();
+        let models = holding.models.into_iter().map(LoadedModel::from).collect();
         let told = Told {
             at: now,
             fence,
             sequence: holding.sequence,
-            beat: holding.beat,
+            beat: holding.heartbeat,
             models,
-            coming: holding.coming,
+            coming: holding.pending,
         };
         self.told.insert(holding.server, told);
         true
     }
 
     /// Returns what `server` holds: the holder's word unless its own entry is newer.
-    pub fn models<'a>(&'a self, server: &'a Server) -> &'a [HeldModel] {
-        match self.told.get(&server.start()) {
-            Some(told) if server.beat < told.beat + NEWER_BEATS => &told.models,
+    pub fn models<'a>(&'a self, server: &'a Server) -> &'a [LoadedModel] {
+        match self.told.get(&server.instance()) {
+            Some(told) if server.heartbeat < told.beat + NEWER_BEATS => &told.models,
             _ => &server.models,
         }
     }
@@ -104,34 +104,34 @@
     }
 
     /// Returns when `server` will hold the model or adapter, as told.
-    pub fn expected(
+    pub fn expected_at(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         model: &str,
         adapter: Option<&str>,
         now: Moment,
     ) -> Option<Moment> {
         let told = self.told.get(server)?;
-        let is_it = |c: &&Coming| c.model == model && c.adapter.as_deref() == adapter;
+        let is_it = |c: &&PendingLoad| c.model == model && c.adapter.as_deref() == adapter;
         let coming = told.coming.iter().find(is_it)?;
         let at = told.at + Duration::from_millis(coming.eta_ms.into());
         (now < at + OVERDUE).then_some(at)
     }
 
     /// Notes that `server` said it does not hold the model or adapter.
-    pub fn lacks(&mut self, server: &Server, model: &str, adapter: Option<&str>) {
-        let told = self.told.entry(server.start()).or_insert_with(|| Told {
+    pub fn mark_missing(&mut self, server: &Server, model: &str, adapter: Option<&str>) {
+        let told = self.told.entry(server.instance()).or_insert_with(|| Told {
             at: Moment::ZERO,
             fence: 0,
             sequence: 0,
-            beat: server.beat,
+            beat: server.heartbeat,
             models: server.models.clone(),
             coming: Vec::new(),
         });
-        if server.beat >= told.beat + NEWER_BEATS {
+        if server.heartbeat >= told.beat + NEWER_BEATS {
             told.models.clone_from(&server.models);
         }
-        told.beat = server.beat;
+        told.beat = server.heartbeat;
         match adapter {
             None => told.models.retain(|m| m.name != model),
             Some(adapter) => {
@@ -143,7 +143,7 @@
     }
 
     /// Forgets servers other than `known`.
-    pub fn retain(&mut self, known: impl Fn(&ServerStart) -> bool) {
+    pub fn retain(&mut self, known: impl Fn(&ServerInstance) -> bool) {
         self.told.retain(|start, _| known(start));
     }
 }
--- a/lib/src/cluster/latest_instances.rs
+++ b/lib/src/cluster/latest_instances.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::boot_clock::Moment;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::Birth;
 use crate::ids::ServerId;
 
@@ -15,7 +15,7 @@
 
 /// How a start that somebody names stands to the newest one known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum StartOrder {
+pub enum InstanceOrder {
     /// It is over: what it says changes nothing.
     Older,
     /// It is the newest one, or none is known to compare it with.
@@ -36,28 +36,28 @@
 /// It outlives the server's entry. Otherwise an entry of the last start, relayed late, would bring a
 /// server back that is gone.
 #[derive(Debug, Default)]
-pub struct Starts {
+pub struct LatestInstances {
     newest: HashMap<ServerId, Newest>,
     swept: Moment,
 }
 
-impl Starts {
+impl LatestInstances {
     /// Takes in that somebody named a start, and returns how it stands to those known before.
     ///
     /// Without a time of its start a server cannot be told from itself: heartbeats alone decide then.
-    pub fn hear(&mut self, start: &ServerStart, now: Moment) -> StartOrder {
-        let Some(born) = start.born else { return StartOrder::Same };
+    pub fn observe(&mut self, start: &ServerInstance, now: Moment) -> InstanceOrder {
+        let Some(born) = start.born else { return InstanceOrder::Same };
         let first = || Newest { born, heard: now };
         let newest = self.newest.entry(start.id.clone()).or_insert_with(first);
         match born.cmp(&newest.born) {
-            Ordering::Less => StartOrder::Older,
+            Ordering::Less => InstanceOrder::Older,
             Ordering::Equal => {
                 newest.heard = now;
-                StartOrder::Same
+                InstanceOrder::Same
             }
             Ordering::Greater => {
                 *newest = first();
-                StartOrder::Newer
+                InstanceOrder::Newer
             }
         }
     }
--- a/lib/src/cluster/peer_table.rs
+++ b/lib/src/cluster/peer_table.rs
@@ -8,10 +8,10 @@
 use crate::cluster::configuration::ConfigVersion;
 use crate::cluster::digest::Digest;
 use crate::cluster::digest::ProcessId;
-use crate::cluster::rate_share::weight;
+use crate::cluster::rate_share::rendezvous_weight;
 use crate::cluster::reader_rank::ReaderRank;
-use crate::cluster::readers::HeardWord;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::readers::ReaderStatus;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::CentreId;
 use crate::ids::DaemonId;
 use crate::ids::Fence;
@@ -24,7 +24,7 @@
 /// Daemons from which on two readers a data centre gather and tell what daemons know of each other. In a smaller fleet
 /// each tells all others: it sends and takes a digest for every other one, and 36 a third of a second cost about
 /// one percent of a tenth of a core.
-pub const READERS_FROM: usize = 37;
+pub const LARGE_FLEET_SIZE: usize = 37;
 /// Digests after which a daemon of a large fleet has told each other one of its data centre: who comes to read
 /// must know of them.
 const ROUND: u64 = 10;
@@ -65,7 +65,7 @@
 
 /// A lease holder's claim as heard from it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HeardTenure {
+pub struct PeerLease {
     /// The fencing number.
     pub fence: Fence,
     /// Until when the lease is valid at the latest, on this host's clock.
@@ -86,17 +86,17 @@
     /// Its data centre, once heard.
     pub centre: CentreId,
     /// Configuration that it follows.
-    pub config: ConfigVersion,
+    pub config_version: ConfigVersion,
     /// When the store last told it whether the configuration changed.
-    pub config_seen: Moment,
+    pub config_checked: Moment,
     /// Place in the feed of servers that it has read up to.
-    pub servers: Offset,
+    pub servers_end: Offset,
     /// Its claim to the placement lease.
-    pub tenure: Option<HeardTenure>,
+    pub lease: Option<PeerLease>,
     /// Its place in the order of readers.
     pub rank: ReaderRank,
     /// Its newest word, where it reads for others.
-    pub word: Option<HeardWord>,
+    pub reader_status: Option<ReaderStatus>,
     listed: Moment,
 }
 
@@ -110,7 +110,7 @@
 
 impl Default for PeerTable {
     fn default() -> Self {
-        Self::new(READERS_FROM)
+        Self::new(LARGE_FLEET_SIZE)
     }
 }
 
@@ -121,7 +121,7 @@
     }
 
     /// Takes in a peer's address from the store's list.
-    pub fn list(&mut self, id: &DaemonId, listed: &DaemonEntry, now: Moment) {
+    pub fn put_listed(&mut self, id: &DaemonId, listed: &DaemonEntry, now: Moment) {
         let peer = self.entry(id, listed.addr, listed.process, now);
         // The list is older than what the peer itself says.
         if peer.heard.is_none() {
@@ -145,12 +145,12 @@
             process,
             heard: None,
             centre: CentreId::default(),
-            config: 0,
-            config_seen: Moment::ZERO,
-            servers: 0,
-            tenure: None,
+            config_version: 0,
+            config_checked: Moment::ZERO,
+            servers_end: 0,
+            lease: None,
             rank: ReaderRank::default(),
-            word: None,
+            reader_status: None,
             listed: now,
         })
     }
@@ -164,22 +164,22 @@
         digest: &Digest,
         now: Moment,
     ) -> bool {
-        let silent = self.silent_after();
+        let silent = self.peer_timeout();
         let peer = self.entry(id, addr, process, now);
         let was_silent = peer.heard.is_none_or(|h| now > h + silent);
         if peer.process != process {
-            peer.word = None;
+            peer.reader_status = None;
         }
         peer.addr = addr;
         peer.process = process;
-        peer.rank = ReaderRank { is_small: digest.small, process };
+        peer.rank = ReaderRank { is_small: digest.is_small, process };
         peer.heard = Some(now);
         peer.centre = digest.centre.clone();
-        peer.config = digest.config;
+        peer.config_version = digest.config_version;
         let age = Duration::from_millis(digest.config_age.into());
-        peer.config_seen = now.saturating_sub(age);
-        peer.servers = digest.servers;
-        peer.tenure = digest.tenure.map(|t| HeardTenure {
+        peer.config_checked = now.saturating_sub(age);
+        peer.servers_end = digest.servers_end;
+        peer.lease = digest.lease.map(|t| PeerLease {
             fence: t.fence,
             until: now + Duration::from_millis(t.left_ms.into()),
             end: t.end,
@@ -193,7 +193,7 @@
     }
 
     /// Returns whether the fleet is so large that daemons hear of each other through readers.
-    pub fn is_large(&self) -> bool {
+    pub fn is_large_fleet(&self) -> bool {
         self.daemons() >= self.readers_from
     }
 
@@ -202,12 +202,12 @@
     /// In a large one it tells the readers of its data centre, who sum up, and in turn each of its
     /// data centre and of the others, so that all know that it lives. All with all were 35,000 datagrams a second
     /// at 295 daemons, and still left a daemon with what others did 2.5 s ago.
-    pub fn listeners(&self, centre: &str, round: u64, now: Moment) -> Vec<SocketAddr> {
-        if !self.is_large() || round < FIRST_DIGESTS {
+    pub fn digest_targets(&self, centre: &str, round: u64, now: Moment) -> Vec<SocketAddr> {
+        if !self.is_large_fleet() || round < FIRST_DIGESTS {
             return self.peers.values().map(|p| p.addr).collect();
         }
         let mut list = self.reader_addrs(centre, now);
-        let mates = self.mates(centre).zip(0..).filter(|(_, n)| n % ROUND == round % ROUND);
+        let mates = self.in_centre(centre).zip(0..).filter(|(_, n)| n % ROUND == round % ROUND);
         list.extend(mates.map(|(p, _)| p.addr));
         let far: Vec<&Peer> = self.peers.values().filter(|p| p.centre != centre).collect();
         list.extend(far.get((round % far.len().max(1) as u64) as usize).map(|p| p.addr));
@@ -225,19 +225,19 @@
     }
 
     /// Returns the peers of a data centre.
-    pub fn mates<'a>(&'a self, centre: &'a str) -> impl Iterator<Item = &'a Peer> {
+    pub fn in_centre<'a>(&'a self, centre: &'a str) -> impl Iterator<Item = &'a Peer> {
         self.peers.values().filter(move |p| p.centre == centre)
     }
 
     /// Returns whether a peer is known to be gone: it was silent for much longer than it should be.
     pub(super) fn is_gone(&self, peer: &Peer, now: Moment) -> bool {
-        now > peer.heard.unwrap_or(peer.listed).max(peer.listed) + self.silent_after()
+        now > peer.heard.unwrap_or(peer.listed).max(peer.listed) + self.peer_timeout()
     }
 
     /// Returns the peers heard lately.
-    pub fn near(&self, now: Moment) -> impl Iterator<Item = (&DaemonId, &Peer)> {
-        let silent = self.silent_after();
-        self.peers.iter().filter(move |(_, p)| p.is_near(now, silent))
+    pub fn reachable(&self, now: Moment) -> impl Iterator<Item = (&DaemonId, &Peer)> {
+        let silent = self.peer_timeout();
+        self.peers.iter().filter(move |(_, p)| p.is_reachable(now, silent))
     }
 
     /// Returns where a daemon fetches a picture from: a peer with a later configuration, or one that has read
@@ -246,7 +246,7 @@
     /// Many daemons may be behind at once, and one peer's link does not carry pictures for all: they take turns
     /// that begin apart, and with each fetch go on to the next. Peers of the own data centre come first, since
     /// bytes between data centres are paid for.
-    pub fn ahead(
+    pub fn snapshot_source(
         &self,
         config: ConfigVersion,
         servers: Option<Offset>,
@@ -254,8 +254,9 @@
         turn: usize,
         now: Moment,
     ) -> Option<SocketAddr> {
-        let is_ahead = |p: &Peer| p.config > config || servers.is_some_and(|s| p.servers > s);
-        let ahead: Vec<_> = self.near(now).map(|(_, p)| p).filter(|p| is_ahead(p)).collect();
+        let is_ahead =
+            |p: &Peer| p.config_version > config || servers.is_some_and(|s| p.servers_end > s);
+        let ahead: Vec<_> = self.reachable(now).map(|(_, p)| p).filter(|p| is_ahead(p)).collect();
         let own: Vec<_> = ahead.iter().copied().filter(|p| p.centre == centre).collect();
         let list = if own.is_empty() { ahead } else { own };
         list.get(turn % list.len().max(1)).map(|p| p.addr)
@@ -267,7 +268,7 @@
     /// A reader that stopped, was cut off or hears nothing from the store no longer counts, and the next
     /// takes its part; where the store is away for all, all ask often. Readers that are counted wrongly cost
     /// calls, never time.
-    pub fn reads_often(&self, id: &str, centre: &str, now: Moment) -> bool {
+    pub fn polls_config(&self, id: &str, centre: &str, now: Moment) -> bool {
         let before = self.peers.iter().take_while(|(peer, _)| peer.as_str() < id);
         let readers = before.filter(|(_, p)| p.centre == centre);
         let known = readers.filter(|(_, p)| p.follows_config(now));
@@ -284,9 +285,9 @@
     /// Returns whether a daemon is one of the `senders` that may send to a limited server.
     ///
     /// Peers that are silent count here too: one that is only out of this daemon's reach goes on sending.
-    pub fn is_sender(&self, id: &str, server: &ServerStart, senders: usize) -> bool {
-        let own = weight(server, id);
-        let before = self.peers.keys().filter(|peer| weight(server, peer) > own);
+    pub fn is_sender(&self, id: &str, server: &ServerInstance, senders: usize) -> bool {
+        let own = rendezvous_weight(server, id);
+        let before = self.peers.keys().filter(|peer| rendezvous_weight(server, peer) > own);
         before.take(senders).count() < senders
     }
 
@@ -297,24 +298,24 @@
     }
 
     /// Returns the time between the digests of a daemon.
-    pub fn digest_gap(&self) -> Duration {
+    pub fn digest_interval(&self) -> Duration {
         DIGEST_EVERY
     }
 
     /// Returns the time between the digests of the lease holder, whose silence must show soon.
-    pub fn holder_gap(&self) -> Duration {
+    pub fn holder_interval(&self) -> Duration {
         let factor = (self.daemons() as f64 / HOLDER_FLEET as f64).max(1.0);
         DIGEST_EVERY.mul_f64(factor).min(HOLDER_LONGEST)
     }
 
     /// Returns how many requests at an engine peers may have begun or ended without this daemon's knowledge.
-    pub fn unseen(&self) -> f64 {
-        if self.is_large() { UNSEEN * TREE_AGE } else { UNSEEN }
+    pub fn unseen_requests(&self) -> f64 {
+        if self.is_large_fleet() { UNSEEN * TREE_AGE } else { UNSEEN }
     }
 
     /// Returns after which silence a peer of the own data centre is out of reach.
-    pub fn silent_after(&self) -> Duration {
-        let turns = if self.is_large() { ROUND as u32 } else { 1 };
+    pub fn peer_timeout(&self) -> Duration {
+        let turns = if self.is_large_fleet() { ROUND as u32 } else { 1 };
         DIGEST_EVERY * turns * MISSED
     }
 
@@ -322,25 +323,25 @@
     ///
     /// One that fell silent is not returned, so that others look at the lease while its validity runs
     /// out; they bid only after that.
-    pub fn holder(&self, now: Moment) -> Option<(&DaemonId, &Peer, HeardTenure)> {
-        let claims = self.peers.iter().filter_map(|(id, p)| Some((id, p, p.tenure?)));
-        let silent = self.holder_gap() * MISSED_BY_HOLDER;
+    pub fn holder(&self, now: Moment) -> Option<(&DaemonId, &Peer, PeerLease)> {
+        let claims = self.peers.iter().filter_map(|(id, p)| Some((id, p, p.lease?)));
+        let silent = self.holder_interval() * MISSED_BY_HOLDER;
         let is_fresh = |p: &Peer| p.heard.is_some_and(|h| now <= h + silent);
         claims.filter(|(_, p, t)| now <= t.until && is_fresh(p)).max_by_key(|(_, _, t)| t.fence)
     }
 
     /// Returns whether every peer of another data centre that was heard before is silent now.
-    pub fn cut_off(&self, centre: &str, now: Moment) -> bool {
-        if self.is_large() {
+    pub fn is_isolated(&self, centre: &str, now: Moment) -> bool {
+        if self.is_large_fleet() {
             let others = self.peers.values().filter(|p| p.centre != centre).count();
-            return others > 1 && now > self.others_heard(centre, now) + OTHERS_SILENT;
+            return others > 1 && now > self.remote_heard(centre, now) + OTHERS_SILENT;
         }
         let mut others = self.peers.values().filter(|p| p.heard.is_some() && p.centre != centre);
-        let silent = self.silent_after();
+        let silent = self.peer_timeout();
         let mut count = 0;
         let all_silent = others.all(|p| {
             count += 1;
-            !p.is_near(now, silent)
+            !p.is_reachable(now, silent)
         });
         all_silent && count > 1
     }
@@ -348,7 +349,7 @@
     /// Forgets peers that have long been silent.
     pub fn sweep(&mut self, now: Moment) {
         let turns = DIGEST_EVERY * self.daemons() as u32 * FORGET_TURNS;
-        let forget = if self.is_large() { turns.max(FORGET_AFTER) } else { FORGET_AFTER };
+        let forget = if self.is_large_fleet() { turns.max(FORGET_AFTER) } else { FORGET_AFTER };
         self.peers.retain(|_, p| now <= p.heard.unwrap_or(p.listed).max(p.listed) + forget);
     }
 }
@@ -357,11 +358,11 @@
     /// Returns whether it can be counted on to hear of a change of the configuration: it was heard lately, and
     /// the store told it lately whether there is one.
     fn follows_config(&self, now: Moment) -> bool {
-        self.is_near(now, READER_SILENT) && now <= self.config_seen + READER_BLIND
+        self.is_reachable(now, READER_SILENT) && now <= self.config_checked + READER_BLIND
     }
 
     /// Returns whether it was heard lately: less than `silent` ago.
-    pub fn is_near(&self, now: Moment, silent: Duration) -> bool {
+    pub fn is_reachable(&self, now: Moment, silent: Duration) -> bool {
         self.heard.is_some_and(|h| now <= h + silent)
     }
 }
--- a/lib/src/cluster/quarantine.rs
+++ b/lib/src/cluster/quarantine.rs
@@ -7,11 +7,11 @@
 use crate::boot_clock::Moment;
 use crate::cluster::fingerprint::Fingerprint;
 use crate::cluster::quarantine_report::CrashId;
-use crate::cluster::quarantine_report::CrashNote;
-use crate::cluster::quarantine_report::Passed;
-use crate::cluster::quarantine_report::QuarantineNote;
-use crate::cluster::quarantine_report::Stage;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::quarantine_report::CrashReport;
+use crate::cluster::quarantine_report::CrashStage;
+use crate::cluster::quarantine_report::QuarantineReport;
+use crate::cluster::quarantine_report::RequestProgress;
+use crate::cluster::server_instance::ServerInstance;
 
 /// Crashes that a request may cause before it is held, where it was the only suspect of one at least.
 const CRASHES: usize = 3;
@@ -22,7 +22,7 @@
 /// Others that began beside a request have an event elsewhere within this time of the crash, if they did not do it.
 const DECIDED: Duration = Duration::from_millis(500);
 /// A request is held until nobody has asked for it for this long.
-pub const HELD_FOR: Duration = Duration::from_hours(1);
+pub const HOLD_TIME: Duration = Duration::from_hours(1);
 /// What was learned of crashes counts for this long, for callers that come back rarely.
 const KEPT_FOR: Duration = Duration::from_mins(10);
 /// News is told for this long, in ten digests: loss alone does not explain that a peer in reach missed all.
@@ -43,9 +43,9 @@
     learned: Moment,
     /// Whether this daemon saw it.
     is_own: bool,
-    requests: BTreeMap<Fingerprint, Stage>,
+    requests: BTreeMap<Fingerprint, CrashStage>,
     /// The most suspicious stage of all its requests, those cleared since included.
-    worst: Stage,
+    worst: CrashStage,
 }
 
 impl Crash {
@@ -61,7 +61,7 @@
 pub struct Quarantine {
     crashes: HashMap<CrashId, Crash>,
     /// Suspects that came further, and when.
-    cleared: HashMap<(Fingerprint, Passed), Moment>,
+    cleared: HashMap<(Fingerprint, RequestProgress), Moment>,
     /// Held requests, and when they were last asked for.
     held: HashMap<Fingerprint, Moment>,
 }
@@ -69,27 +69,27 @@
 impl Quarantine {
     /// Takes in that a server crashed while it had a request that it was `sent` before. Returns whether the request is
     /// held from now on.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
-        server: &ServerStart,
+        server: &ServerInstance,
         sent: Moment,
         print: Fingerprint,
-        stage: Stage,
+        stage: CrashStage,
         now: Moment,
     ) -> bool {
         let requests = [(print, stage)];
         let id = self.crash_after(server, sent);
         self.take_crash(&id, now, &requests, true, now);
-        self.judge(print, now)
+        self.evaluate(print, now)
     }
 
     /// Returns whether a server is known to have crashed after a request was `sent` to it.
-    pub fn has_crashed(&self, server: &ServerStart, sent: Moment) -> bool {
+    pub fn has_crashed(&self, server: &ServerInstance, sent: Moment) -> bool {
         self.crashes.contains_key(&self.crash_after(server, sent))
     }
 
     /// Returns the first crash of a server after `sent`, which may not be known yet.
-    fn crash_after(&self, server: &ServerStart, sent: Moment) -> CrashId {
+    fn crash_after(&self, server: &ServerInstance, sent: Moment) -> CrashId {
         let mut id = CrashId { server: server.clone(), earlier: 0 };
         while self.crashes.get(&id).is_some_and(|crash| crash.at < sent) {
             id.earlier += 1;
@@ -99,8 +99,13 @@
 
     /// Takes in that a server came further with a request: it did not crash those that came less far. Returns whether
     /// that is news.
-    pub fn passed(&mut self, print: Fingerprint, passed: Passed, now: Moment) -> bool {
-        let is_released = passed == Passed::Whole && self.held.contains_key(&print);
+    pub fn record_progress(
+        &mut self,
+        print: Fingerprint,
+        passed: RequestProgress,
+        now: Moment,
+    ) -> bool {
+        let is_released = passed == RequestProgress::Complete && self.held.contains_key(&print);
         let is_cleared = |c: &Crash| passed.clears(c.worst) && self.is_suspect(&print, c);
         let is_news = is_released || self.crashes.values().any(is_cleared);
         if is_news {
@@ -110,7 +115,7 @@
     }
 
     /// Returns the crashes that a request is believed to have caused.
-    pub fn crashed_by(&self, print: &Fingerprint) -> Vec<&CrashId> {
+    pub fn suspected_crashes(&self, print: &Fingerprint) -> Vec<&CrashId> {
         let crashes = self.crashes.iter().filter(|(_, crash)| self.is_suspect(print, crash));
         crashes.map(|(id, _)| id).collect()
     }
@@ -122,7 +127,7 @@
     /// Returns whether a request came further than it had at a crash, and has crashed no server since. One whose servers
     /// crash about when its first event is due comes further now and then.
     fn has_passed(&self, print: &Fingerprint, crash: &Crash) -> bool {
-        let passed = Passed::ALL.iter().filter(|passed| passed.clears(crash.worst));
+        let passed = RequestProgress::ALL.iter().filter(|passed| passed.clears(crash.worst));
         let newest = passed.filter_map(|passed| self.cleared.get(&(*print, *passed))).max();
         let relapsed =
             |since: &Moment| self.crashes.values().any(|c| c.at > *since && c.has_worst(print));
@@ -136,7 +141,7 @@
     }
 
     /// Holds a request if what is known by now is enough; returns whether it is held from now on.
-    pub fn judge(&mut self, print: Fingerprint, now: Moment) -> bool {
+    pub fn evaluate(&mut self, print: Fingerprint, now: Moment) -> bool {
         let suspected = self.crashes.values().filter(|crash| self.is_suspect(&print, crash));
         let crashes: Vec<&Crash> = suspected.collect();
         let is_solved = || crashes.iter().any(|crash| self.is_solved(crash, now));
@@ -145,7 +150,7 @@
     }
 
     /// Returns how long to wait before a request that may crash one too many is sent.
-    pub fn undecided(&self, print: &Fingerprint, now: Moment) -> Duration {
+    pub fn decision_delay(&self, print: &Fingerprint, now: Moment) -> Duration {
         let suspected = self.crashes.values().filter(|crash| self.is_suspect(print, crash));
         let times: Vec<Moment> = suspected.map(|crash| crash.at).collect();
         let newest = times.iter().max().filter(|_| times.len() + 1 >= CRASHES);
@@ -164,7 +169,7 @@
     }
 
     /// Returns what peers should know; a reader also tells what it heard from others.
-    pub fn note(&self, now: Moment, is_reader: bool) -> QuarantineNote {
+    pub fn note(&self, now: Moment, is_reader: bool) -> QuarantineReport {
         let is_fresh = |since: Moment| now <= since + TOLD_FOR;
         let mut crashes: Vec<_> = self
             .crashes
@@ -178,17 +183,17 @@
             requests.sort_by_key(|(_, stage)| *stage);
             requests.truncate(TOLD);
             let age = now.saturating_sub(crash.at);
-            CrashNote { id: id.clone(), age, worst: crash.worst, requests }
+            CrashReport { id: id.clone(), age, worst: crash.worst, requests }
         };
-        QuarantineNote {
+        QuarantineReport {
             crashes: crashes.into_iter().take(TOLD).map(crash).collect(),
             cleared: newest(&self.cleared, now, TOLD_FOR),
-            held: newest(&self.held, now, HELD_FOR),
+            held: newest(&self.held, now, HOLD_TIME),
         }
     }
 
     /// Takes in what a peer knows; returns the requests that are held from now on.
-    pub fn hear(&mut self, note: &QuarantineNote, now: Moment) -> Vec<Fingerprint> {
+    pub fn hear(&mut self, note: &QuarantineReport, now: Moment) -> Vec<Fingerprint> {
         for ((print, passed), age) in &note.cleared {
             self.clear_at(*print, *passed, now.saturating_sub(*age));
         }
@@ -200,11 +205,11 @@
                 known.worst = known.worst.min(crash.worst);
             }
             let prints = crash.requests.iter().map(|(print, _)| *print);
-            held.extend(prints.filter(|print| self.judge(*print, now)));
+            held.extend(prints.filter(|print| self.evaluate(*print, now)));
         }
         for (print, age) in &note.held {
             let asked = now.saturating_sub(*age);
-            let cleared = self.cleared.get(&(*print, Passed::Whole));
+            let cleared = self.cleared.get(&(*print, RequestProgress::Complete));
             let is_cleared = cleared.is_some_and(|at| *at >= asked);
             if !is_cleared && self.hold(*print, asked) {
                 held.push(*print);
@@ -217,7 +222,7 @@
     pub fn sweep(&mut self, now: Moment) -> Vec<Fingerprint> {
         self.crashes.retain(|_, crash| now <= crash.at + KEPT_FOR);
         self.cleared.retain(|_, at| now <= *at + KEPT_FOR);
-        let over = self.held.extract_if(|_, asked| now > *asked + HELD_FOR);
+        let over = self.held.extract_if(|_, asked| now > *asked + HOLD_TIME);
         over.map(|(print, _)| print).collect()
     }
 
@@ -225,7 +230,7 @@
         &mut self,
         id: &CrashId,
         at: Moment,
-        requests: &[(Fingerprint, Stage)],
+        requests: &[(Fingerprint, CrashStage)],
         is_own: bool,
         now: Moment,
     ) {
@@ -238,13 +243,13 @@
             learned: now,
             is_own,
             requests: BTreeMap::new(),
-            worst: Stage::Other,
+            worst: CrashStage::Other,
         });
         crash.at = crash.at.min(at);
         crash.is_own |= is_own;
         for (print, stage) in requests {
             crash.worst = crash.worst.min(*stage);
-            let cleared = self.cleared.get(&(*print, Passed::Whole));
+            let cleared = self.cleared.get(&(*print, RequestProgress::Complete));
             let is_cleared = cleared.is_some_and(|at| *at >= crash.at);
             if is_cleared || crash.requests.len() >= REQUESTS_KEPT {
                 continue;
@@ -271,8 +276,8 @@
         true
     }
 
-    fn clear_at(&mut self, print: Fingerprint, passed: Passed, at: Moment) {
-        if passed == Passed::Whole {
+    fn clear_at(&mut self, print: Fingerprint, passed: RequestProgress, at: Moment) {
+        if passed == RequestProgress::Complete {
             self.held.remove(&print);
             for crash in self.crashes.values_mut().filter(|c| c.at <= at) {
                 crash.requests.remove(&print);
--- a/lib/src/cluster/quarantine_report.rs
+++ b/lib/src/cluster/quarantine_report.rs
@@ -6,28 +6,28 @@
 use serde::Serialize;
 
 use crate::cluster::fingerprint::Fingerprint;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 
 /// How far a server had come with a request when it crashed, the most suspicious first.
 ///
 /// A request that crashes servers does so as soon as it runs. One whose answer goes on for a while, or that
 /// waits for its turn, had its server taken away by another.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub enum Stage {
+pub enum CrashStage {
     /// The answer had begun, without an event.
-    Begun,
+    BeforeEvents,
     /// Its first event had just come.
-    Young,
+    FirstEvent,
     /// Its events had gone on for a while, or there was no answer yet.
     Other,
 }
 
-impl Stage {
+impl CrashStage {
     /// Returns its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Begun => "begun",
-            Self::Young => "young",
+            Self::BeforeEvents => "begun",
+            Self::FirstEvent => "young",
             Self::Other => "other",
         }
     }
@@ -35,26 +35,26 @@
 
 /// How far a server came with a request without a crash.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum Passed {
+pub enum RequestProgress {
     /// To its first event.
     Begun,
     /// To events that went on for a while.
     Young,
     /// To the end of a whole answer.
-    Whole,
+    Complete,
 }
 
-impl Passed {
+impl RequestProgress {
     /// All of them.
-    pub const ALL: [Self; 3] = [Self::Begun, Self::Young, Self::Whole];
+    pub const ALL: [Self; 3] = [Self::Begun, Self::Young, Self::Complete];
 
     /// Returns whether a request that came so far is not to blame for a crash at a stage: it crashes each server at the
     /// same place, if it does.
-    pub fn clears(self, stage: Stage) -> bool {
+    pub fn clears(self, stage: CrashStage) -> bool {
         match self {
-            Self::Begun => stage == Stage::Begun,
-            Self::Young => stage < Stage::Other,
-            Self::Whole => true,
+            Self::Begun => stage == CrashStage::BeforeEvents,
+            Self::Young => stage < CrashStage::Other,
+            Self::Complete => true,
         }
     }
 }
@@ -63,31 +63,31 @@
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct CrashId {
     /// The start that ended, as far as daemons knew.
-    pub server: ServerStart,
+    pub server: ServerInstance,
     /// Number of earlier crashes of it: the server may have started again unnoticed, and crashed again.
     pub earlier: u32,
 }
 
 /// What is known of a crash.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct CrashNote {
+pub struct CrashReport {
     /// Which one.
     pub id: CrashId,
     /// How long ago.
     pub age: Duration,
     /// The most suspicious stage of all its requests, listed or not.
-    pub worst: Stage,
+    pub worst: CrashStage,
     /// Requests that it had.
-    pub requests: Vec<(Fingerprint, Stage)>,
+    pub requests: Vec<(Fingerprint, CrashStage)>,
 }
 
 /// A daemon's knowledge of such requests, as far as it is news; ages are those of the event.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct QuarantineNote {
+pub struct QuarantineReport {
     /// Crashes.
-    pub crashes: Vec<CrashNote>,
+    pub crashes: Vec<CrashReport>,
     /// Requests that came further since.
-    pub cleared: Vec<((Fingerprint, Passed), Duration)>,
+    pub cleared: Vec<((Fingerprint, RequestProgress), Duration)>,
     /// Requests that go to no server, and when they were last asked for.
     pub held: Vec<(Fingerprint, Duration)>,
 }
--- a/lib/src/cluster/rate_limits.rs
+++ b/lib/src/cluster/rate_limits.rs
@@ -10,11 +10,11 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::rate_limit::RateLimit;
-use crate::cluster::rate_share::Bucket;
 use crate::cluster::rate_share::RateShare;
-use crate::cluster::send_permit::Turn;
-use crate::cluster::send_permit::Turns;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::rate_share::TokenBucket;
+use crate::cluster::send_permit::SendPermit;
+use crate::cluster::send_permit::SendPermits;
+use crate::cluster::server_instance::ServerInstance;
 
 /// The end of a limit is told for this long, in ten digests: loss alone does not explain that a peer missed all.
 const END_TOLD: Duration = Duration::from_secs(3);
@@ -36,9 +36,9 @@
 
 /// What a server last said of its limit, as told to peers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct LimitNote {
+pub struct LimitReport {
     /// The server.
-    pub server: ServerStart,
+    pub server: ServerInstance,
     /// Its limit; none where it no longer names one.
     pub limit: Option<RateLimit>,
     /// How long ago it said so.
@@ -48,11 +48,11 @@
 /// Limits by start of a server.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    words: HashMap<ServerStart, Word>,
+    words: HashMap<ServerInstance, Word>,
     /// Servers that named a limit that cannot be read.
-    unread: HashSet<ServerStart>,
+    unread: HashSet<ServerInstance>,
     /// Buckets for the limited servers that this daemon may send to.
-    buckets: HashMap<ServerStart, Bucket>,
+    buckets: HashMap<ServerInstance, TokenBucket>,
 }
 
 impl RateLimits {
@@ -60,9 +60,9 @@
     ///
     /// Answers overtake each other: one that names no limit ends it only where its request was sent after the
     /// limit was last named.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
-        server: &ServerStart,
+        server: &ServerInstance,
         limit: Option<RateLimit>,
         sent: Moment,
         now: Moment,
@@ -76,7 +76,7 @@
     }
 
     /// Takes in what a peer heard; returns the servers whose limit changed.
-    pub fn hear(&mut self, notes: &[LimitNote], now: Moment) -> Vec<ServerStart> {
+    pub fn hear(&mut self, notes: &[LimitReport], now: Moment) -> Vec<ServerInstance> {
         let mut changed = Vec::new();
         for note in notes {
             let at = now.saturating_sub(note.age);
@@ -94,13 +94,13 @@
     }
 
     /// Returns what peers should know; a reader also tells what it heard from others.
-    pub fn note(&self, now: Moment, is_reader: bool) -> Vec<LimitNote> {
+    pub fn note(&self, now: Moment, is_reader: bool) -> Vec<LimitReport> {
         let is_told = |word: &Word| {
             (word.is_own || is_reader) && (word.limit.is_some() || now <= word.at + END_TOLD)
         };
         let mut told: Vec<_> = self.words.iter().filter(|(_, word)| is_told(word)).collect();
         told.sort_by_key(|(_, word)| Reverse(word.at));
-        let note = |(server, word): (&ServerStart, &Word)| LimitNote {
+        let note = |(server, word): (&ServerInstance, &Word)| LimitReport {
             server: server.clone(),
             limit: word.limit,
             age: now.saturating_sub(word.at),
@@ -109,12 +109,12 @@
     }
 
     /// Takes in that a server named a limit that cannot be read; returns whether that is news.
-    pub fn unread(&mut self, server: &ServerStart) -> bool {
+    pub fn record_unreadable(&mut self, server: &ServerInstance) -> bool {
         self.unread.insert(server.clone())
     }
 
     /// Returns a server's limit.
-    pub fn limit(&self, server: &ServerStart) -> Option<RateLimit> {
+    pub fn limit(&self, server: &ServerInstance) -> Option<RateLimit> {
         self.words.get(server)?.limit
     }
 
@@ -124,34 +124,34 @@
     }
 
     /// Returns this daemon's turns; `share` gives its part of a server's limit, none where other daemons send.
-    pub fn turns(
+    pub fn send_permits(
         &mut self,
         now: Moment,
-        share: impl Fn(&ServerStart, RateLimit) -> Option<RateShare>,
-    ) -> Turns {
-        let mut turns = Turns::new();
+        share: impl Fn(&ServerInstance, RateLimit) -> Option<RateShare>,
+    ) -> SendPermits {
+        let mut turns = SendPermits::new();
         for (server, word) in &self.words {
             let Some(limit) = word.limit else { continue };
             let bucket = |share| {
-                let bucket = self.buckets.entry(server.clone()).or_insert(Bucket::new(now));
-                bucket.turn(share, now)
+                let bucket = self.buckets.entry(server.clone()).or_insert(TokenBucket::new(now));
+                bucket.wait(share, now)
             };
             let wait = share(server, limit).map(bucket);
             if wait.is_none() {
                 self.buckets.remove(server);
             }
-            turns.insert(server.clone(), Turn { wait, is_due: now > word.at + FRESH });
+            turns.insert(server.clone(), SendPermit { wait, probe_due: now > word.at + FRESH });
         }
         turns
     }
 
     /// Takes in that a request was sent to a limited server.
-    pub fn sent(&mut self, server: &ServerStart, share: RateShare, now: Moment) {
-        self.buckets.entry(server.clone()).or_insert(Bucket::new(now)).take(share, now);
+    pub fn record_send(&mut self, server: &ServerInstance, share: RateShare, now: Moment) {
+        self.buckets.entry(server.clone()).or_insert(TokenBucket::new(now)).take(share, now);
     }
 
     /// Forgets servers other than `known`.
-    pub fn retain(&mut self, known: impl Fn(&ServerStart) -> bool + Copy) {
+    pub fn retain(&mut self, known: impl Fn(&ServerInstance) -> bool + Copy) {
         self.words.retain(|start, _| known(start));
         self.buckets.retain(|start, _| known(start));
         self.unread.retain(known);
--- a/lib/src/cluster/rate_share.rs
+++ b/lib/src/cluster/rate_share.rs
@@ -7,7 +7,7 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::rate_limit::RateLimit;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 
 /// Requests that may come at once beside those that the limit allows in a second: every request beyond this waits for
 /// its turn at some daemon.
@@ -42,7 +42,7 @@
 }
 
 /// Returns the weight by which a daemon stands among those that may send to a server; the greatest ones do.
-pub fn weight(server: &ServerStart, daemon: &str) -> u64 {
+pub fn rendezvous_weight(server: &ServerInstance, daemon: &str) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.write(server.id.as_bytes());
     hasher.write_u64(server.born.unwrap_or(0));
@@ -52,12 +52,12 @@
 
 /// A token bucket, empty at first: its daemon may have taken over from one that has just sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: f64,
     at: Moment,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Starts empty.
     pub fn new(now: Moment) -> Self {
         Self { tokens: 0.0, at: now }
@@ -70,7 +70,7 @@
     }
 
     /// Returns the time until a request may be sent.
-    pub fn turn(&mut self, share: RateShare, now: Moment) -> Duration {
+    pub fn wait(&mut self, share: RateShare, now: Moment) -> Duration {
         self.fill(share, now);
         let lacking = (1.0 - self.tokens).max(0.0);
         Duration::from_secs_f64(lacking / share.rate)
--- a/lib/src/cluster/reader_report.rs
+++ b/lib/src/cluster/reader_report.rs
@@ -5,13 +5,13 @@
 use serde::Serialize;
 
 use crate::cluster::digest::Digest;
-use crate::cluster::workload_table::WorkNote;
+use crate::cluster::workload_table::WorkloadSummary;
 use crate::ids::Offset;
 use crate::ids::ServerId;
 
 /// Whose requests a word tells of.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum WorkScope {
+pub enum WorkloadScope {
     /// Those of all daemons of the reader's data centre, by model.
     Centre,
     /// Those of all daemons.
@@ -20,21 +20,21 @@
 
 /// A reader's word.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Word {
+pub struct ReaderReport {
     /// The reader's own state. `servers` is the place in the feed up to which this word tells of changes.
     pub digest: Digest,
     /// Place in the feed from which on this word tells of changes. Who has heard less must read the feed.
-    pub from: Offset,
+    pub changes_from: Offset,
     /// How long ago the store answered the reader's newest read of the feed, in milliseconds.
     pub read_age: u32,
     /// How long ago the reader heard a daemon of another data centre, in milliseconds.
-    pub others_age: u32,
+    pub remote_age: u32,
     /// Servers that came, came back or started again, as the platform wrote their entries.
     pub joined: Vec<(ServerId, Vec<u8>)>,
     /// A sum over the servers that may get requests, by which pictures are compared.
-    pub usable: u64,
+    pub checksum: u64,
     /// Whose requests `work` counts.
-    pub scope: WorkScope,
+    pub scope: WorkloadScope,
     /// Requests in progress.
-    pub work: Vec<WorkNote>,
+    pub workloads: Vec<WorkloadSummary>,
 }
--- a/lib/src/cluster/reader_role.rs
+++ b/lib/src/cluster/reader_role.rs
@@ -8,7 +8,7 @@
 use crate::boot_clock::Moment;
 
 /// Readers of a data centre. Two, so that the loss of one is none of the others' concern.
-pub const READERS: usize = 2;
+pub const READERS_PER_CENTRE: usize = 2;
 /// Time between the first steps of those who come next, two at a time, once a reader is missing: several words
 /// of a reader, so that whoever began is heard before the next do.
 const STEP: Duration = Duration::from_millis(400);
@@ -20,7 +20,7 @@
 
 /// What a daemon hears of those that come before it in its data centre.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Before {
+pub struct HigherRanked {
     /// Daemons that come before it and are not known to be gone.
     pub daemons: usize,
     /// Those of them that read and whom the store answers.
@@ -31,7 +31,7 @@
 
 /// This daemon's duty to read.
 #[derive(Debug, Default)]
-pub struct ReaderDuty {
+pub struct ReaderRole {
     /// Since when too few others read.
     short: Option<Moment>,
     /// Since when enough others read, while this one still does.
@@ -39,10 +39,10 @@
     reads: bool,
 }
 
-impl ReaderDuty {
+impl ReaderRole {
     /// Returns whether this daemon reads, by what it hears now.
-    pub fn look(&mut self, before: Before, now: Moment) -> bool {
-        if before.readers >= READERS {
+    pub fn update(&mut self, before: HigherRanked, now: Moment) -> bool {
+        if before.readers >= READERS_PER_CENTRE {
             self.short = None;
             let since = *self.enough.get_or_insert(now);
             self.reads &= now < since + OVERLAP;
@@ -50,15 +50,15 @@
         }
         self.enough = None;
         let since = *self.short.get_or_insert(now);
-        let is_blind = before.readers + before.blind >= READERS;
+        let is_blind = before.readers + before.blind >= READERS_PER_CENTRE;
         let step = if is_blind { BLIND_STEP } else { STEP };
-        let turn = (before.daemons / READERS) as u32;
+        let turn = (before.daemons / READERS_PER_CENTRE) as u32;
         self.reads |= now >= since + step * turn;
         self.reads
     }
 
     /// Returns whether this daemon reads, as of the last look.
-    pub fn reads(&self) -> bool {
+    pub fn is_reader(&self) -> bool {
         self.reads
     }
 
--- a/lib/src/cluster/readers.rs
+++ b/lib/src/cluster/readers.rs
@@ -8,9 +8,9 @@
 use crate::cluster::peer_table::Peer;
 use crate::cluster::peer_table::PeerTable;
 use crate::cluster::reader_rank::ReaderRank;
-use crate::cluster::reader_report::Word;
-use crate::cluster::reader_role::Before;
-use crate::cluster::reader_role::READERS;
+use crate::cluster::reader_report::ReaderReport;
+use crate::cluster::reader_role::HigherRanked;
+use crate::cluster::reader_role::READERS_PER_CENTRE;
 use crate::ids::DaemonId;
 
 /// A reader whose words stay away for this long is gone: three to four of them.
@@ -20,20 +20,20 @@
 
 /// What was last heard from a reader.
 #[derive(Clone, Copy, Debug)]
-pub struct HeardWord {
+pub struct ReaderStatus {
     /// When.
     pub at: Moment,
     /// When the store answered its newest read of the servers' feed.
     pub read: Moment,
     /// When it heard a daemon of another data centre.
-    pub others: Moment,
+    pub remote_heard: Moment,
 }
 
-impl HeardWord {
+impl ReaderStatus {
     /// Reads the times of a word that came just now.
-    pub fn new(word: &Word, now: Moment) -> Self {
+    pub fn new(word: &ReaderReport, now: Moment) -> Self {
         let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
-        Self { at: now, read: ago(word.read_age), others: ago(word.others_age) }
+        Self { at: now, read: ago(word.read_age), remote_heard: ago(word.remote_age) }
     }
 
     fn is_heard(&self, now: Moment) -> bool {
@@ -43,30 +43,30 @@
 
 impl Peer {
     /// Returns its newest word, where it reads for others and was heard just now.
-    pub fn reader_word(&self, now: Moment) -> Option<&HeardWord> {
-        self.word.as_ref().filter(|word| word.is_heard(now))
+    pub fn fresh_reader_status(&self, now: Moment) -> Option<&ReaderStatus> {
+        self.reader_status.as_ref().filter(|word| word.is_heard(now))
     }
 
     fn is_blind(&self, now: Moment) -> bool {
-        let read = self.word.map_or(Moment::ZERO, |word| word.read);
-        now > read.min(self.config_seen) + READER_BLIND
+        let read = self.reader_status.map_or(Moment::ZERO, |word| word.read);
+        now > read.min(self.config_checked) + READER_BLIND
     }
 }
 
 impl PeerTable {
     /// Takes in that a peer reads for others, as its word tells.
-    pub fn heard_word(&mut self, id: &DaemonId, word: HeardWord) {
+    pub fn set_reader_status(&mut self, id: &DaemonId, word: ReaderStatus) {
         if let Some(peer) = self.peers.get_mut(id) {
-            peer.word = Some(word);
+            peer.reader_status = Some(word);
         }
     }
 
     /// Returns what is heard of the daemons of a data centre that come before one of a rank.
-    pub fn before(&self, rank: ReaderRank, centre: &str, now: Moment) -> Before {
-        let mut before = Before::default();
-        for peer in self.mates(centre).filter(|p| p.rank < rank && !self.is_gone(p, now)) {
+    pub fn higher_ranked(&self, rank: ReaderRank, centre: &str, now: Moment) -> HigherRanked {
+        let mut before = HigherRanked::default();
+        for peer in self.in_centre(centre).filter(|p| p.rank < rank && !self.is_gone(p, now)) {
             before.daemons += 1;
-            if peer.reader_word(now).is_some() {
+            if peer.fresh_reader_status(now).is_some() {
                 let count =
                     if peer.is_blind(now) { &mut before.blind } else { &mut before.readers };
                 *count += 1;
@@ -81,18 +81,20 @@
         centre: &'a str,
         now: Moment,
     ) -> impl Iterator<Item = (&'a DaemonId, &'a Peer)> {
-        self.peers.iter().filter(move |(_, p)| p.centre == centre && p.reader_word(now).is_some())
+        self.peers
+            .iter()
+            .filter(move |(_, p)| p.centre == centre && p.fresh_reader_status(now).is_some())
     }
 
     /// Returns where to reach the readers of a data centre: those that were heard just now, else those that
     /// come first.
     pub fn reader_addrs(&self, centre: &str, now: Moment) -> Vec<SocketAddr> {
         let mut list: Vec<SocketAddr> = self.readers(centre, now).map(|(_, p)| p.addr).collect();
-        if list.len() < READERS {
+        if list.len() < READERS_PER_CENTRE {
             let mut next: Vec<&Peer> =
-                self.mates(centre).filter(|p| !self.is_gone(p, now)).collect();
+                self.in_centre(centre).filter(|p| !self.is_gone(p, now)).collect();
             next.sort_by_key(|p| p.rank);
-            let next = next.into_iter().map(|p| p.addr).take(READERS);
+            let next = next.into_iter().map(|p| p.addr).take(READERS_PER_CENTRE);
             let fresh: Vec<SocketAddr> = next.filter(|addr| !list.contains(addr)).collect();
             list.extend(fresh);
         }
@@ -101,35 +103,35 @@
 
     /// Returns the moment of the newest read of the servers' feed that a reader of a data centre tells of.
     pub fn newest_read(&self, centre: &str, now: Moment) -> Option<Moment> {
-        self.readers(centre, now).filter_map(|(_, p)| Some(p.reader_word(now)?.read)).max()
+        self.readers(centre, now).filter_map(|(_, p)| Some(p.fresh_reader_status(now)?.read)).max()
     }
 
     /// Returns when the store last told a peer that no version later than `version` is there; the host's start where
     /// no peer tells so.
-    pub fn config_seen(&self, version: ConfigVersion) -> Moment {
-        let peers = self.peers.values().filter(|p| p.config <= version);
-        peers.map(|p| p.config_seen).max().unwrap_or_default()
+    pub fn config_checked(&self, version: ConfigVersion) -> Moment {
+        let peers = self.peers.values().filter(|p| p.config_version <= version);
+        peers.map(|p| p.config_checked).max().unwrap_or_default()
     }
 
     /// Returns a reader of a data centre that follows a later version of the configuration; `turn` chooses among
     /// several.
-    pub fn later_reader(
+    pub fn reader_ahead(
         &self,
         centre: &str,
         version: ConfigVersion,
         turn: usize,
         now: Moment,
     ) -> Option<SocketAddr> {
-        let readers = self.readers(centre, now).filter(|(_, p)| p.config > version);
+        let readers = self.readers(centre, now).filter(|(_, p)| p.config_version > version);
         let list: Vec<SocketAddr> = readers.map(|(_, p)| p.addr).collect();
         list.get(turn % list.len().max(1)).copied()
     }
 
     /// Returns when some daemon of another data centre was last heard, here or by a reader of this one.
-    pub fn others_heard(&self, centre: &str, now: Moment) -> Moment {
+    pub fn remote_heard(&self, centre: &str, now: Moment) -> Moment {
         let others = self.peers.values().filter(|p| p.centre != centre && !p.centre.is_empty());
         let heard = others.filter_map(|p| p.heard).max().unwrap_or_default();
-        let words = self.readers(centre, now).filter_map(|(_, p)| p.reader_word(now));
-        words.map(|word| word.others).max().unwrap_or_default().max(heard)
+        let words = self.readers(centre, now).filter_map(|(_, p)| p.fresh_reader_status(now));
+        words.map(|word| word.remote_heard).max().unwrap_or_default().max(heard)
     }
 }
--- a/lib/src/cluster/retry_budgets.rs
+++ b/lib/src/cluster/retry_budgets.rs
@@ -30,7 +30,7 @@
 
 /// Sends of this daemon by service.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudgets {
     limits: BudgetLimits,
     windows: HashMap<ServiceName, Window>,
 }
@@ -46,7 +46,7 @@
     }
 }
 
-impl Budget {
+impl RetryBudgets {
     /// Starts with nothing spent.
     pub fn new(limits: BudgetLimits) -> Self {
         Self { limits, windows: HashMap::new() }
@@ -58,14 +58,14 @@
     }
 
     /// Notes the first send of a request.
-    pub fn first(&mut self, service: &ServiceName, now: Moment) {
+    pub fn record_first(&mut self, service: &ServiceName, now: Moment) {
         let window = self.windows.entry(service.clone()).or_default();
         window.forget(now.saturating_sub(self.limits.window));
         window.firsts.push_back(now);
     }
 
     /// Returns whether a repeat is left in the part of one of `daemons`.
-    pub fn has_repeat(&mut self, service: &ServiceName, now: Moment, daemons: usize) -> bool {
+    pub fn has_retry(&mut self, service: &ServiceName, now: Moment, daemons: usize) -> bool {
         let window = self.windows.entry(service.clone()).or_default();
         window.forget(now.saturating_sub(self.limits.window));
         let slack = self.limits.slack * SHARED / daemons.max(1) as f64;
@@ -74,8 +74,8 @@
     }
 
     /// Takes one repeat out of the budget, shared by `daemons`; returns whether there was one.
-    pub fn take(&mut self, service: &ServiceName, now: Moment, daemons: usize) -> bool {
-        if !self.has_repeat(service, now, daemons) {
+    pub fn take_retry(&mut self, service: &ServiceName, now: Moment, daemons: usize) -> bool {
+        if !self.has_retry(service, now, daemons) {
             return false;
         }
         self.windows.entry(service.clone()).or_default().repeats.push_back(now);
--- a/lib/src/cluster/run_times.rs
+++ b/lib/src/cluster/run_times.rs
@@ -19,7 +19,7 @@
 
 impl RunTimes {
     /// Takes in a run that ended well, from its first event on.
-    pub fn note(&self, service: &ServiceName, time: Duration) {
+    pub fn record(&self, service: &ServiceName, time: Duration) {
         let mut means = self.means.borrow_mut();
         let mean = means.entry(service.clone()).or_insert(FIRST_GUESS.as_secs_f64());
         *mean += NEWEST * (time.as_secs_f64() - *mean);
--- a/lib/src/cluster/server_health.rs
+++ b/lib/src/cluster/server_health.rs
@@ -5,7 +5,7 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::ServiceName;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 
 /// First time of avoidance; doubled with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
@@ -41,16 +41,16 @@
 
 /// Evidence about starts of backend servers.
 #[derive(Debug, Default)]
-pub struct Health {
-    records: HashMap<ServerStart, Record>,
+pub struct ServerHealth {
+    records: HashMap<ServerInstance, Record>,
 }
 
-impl Health {
+impl ServerHealth {
     /// Takes in evidence; returns for how long the server is avoided where that begins.
-    pub fn note(
+    pub fn record(
         &mut self,
         service: &ServiceName,
-        server: &ServerStart,
+        server: &ServerInstance,
         now: Moment,
         evidence: Evidence,
     ) -> Option<Duration> {
@@ -81,8 +81,8 @@
     }
 
     /// Returns the rate of failures of the service's other servers: some services fail some requests always.
-    fn others(&self, service: &str, server: &ServerStart) -> f64 {
-        let is_other = |id: &ServerStart, r: &Record| id != server && r.service == service;
+    fn others(&self, service: &str, server: &ServerInstance) -> f64 {
+        let is_other = |id: &ServerInstance, r: &Record| id != server && r.service == service;
         let rates: Vec<f64> =
             self.records.iter().filter(|(id, r)| is_other(id, r)).map(|(_, r)| r.rate).collect();
         if rates.is_empty() {
@@ -92,17 +92,17 @@
     }
 
     /// Returns whether a server is avoided now.
-    pub fn is_avoided(&self, server: &ServerStart, now: Moment) -> bool {
+    pub fn is_avoided(&self, server: &ServerInstance, now: Moment) -> bool {
         self.records.get(server).is_some_and(|r| now < r.until)
     }
 
     /// Returns whether a server could not be reached just now.
-    pub fn is_dark(&self, server: &ServerStart, now: Moment) -> bool {
+    pub fn is_unreachable(&self, server: &ServerInstance, now: Moment) -> bool {
         self.records.get(server).is_some_and(|r| r.dark && now < r.until)
     }
 
     /// Forgets servers other than `known`.
-    pub fn retain(&mut self, known: impl Fn(&ServerStart) -> bool) {
+    pub fn retain(&mut self, known: impl Fn(&ServerInstance) -> bool) {
         self.records.retain(|start, _| known(start));
     }
 }
--- a/lib/src/cluster/server_instance.rs
+++ b/lib/src/cluster/server_instance.rs
@@ -13,33 +13,33 @@
 ///
 /// What is believed of a server is kept under one of its starts: another start has nothing of it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct ServerStart {
+pub struct ServerInstance {
     /// The server.
     pub id: ServerId,
     /// When it started; none where it does not say.
     pub born: Option<Birth>,
 }
 
-impl From<&str> for ServerStart {
+impl From<&str> for ServerInstance {
     fn from(id: &str) -> Self {
         Self { id: SmolStr::new(id), born: None }
     }
 }
 
-impl From<&SmolStr> for ServerStart {
+impl From<&SmolStr> for ServerInstance {
     fn from(id: &SmolStr) -> Self {
         Self { id: id.clone(), born: None }
     }
 }
 
-impl From<&Self> for ServerStart {
+impl From<&Self> for ServerInstance {
     fn from(start: &Self) -> Self {
         start.clone()
     }
 }
 
 /// Shows the server only, as lines of the log name it.
-impl fmt::Display for ServerStart {
+impl fmt::Display for ServerInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.id)
     }
--- a/lib/src/cluster/store_health.rs
+++ b/lib/src/cluster/store_health.rs
@@ -19,15 +19,15 @@
 /// What came of the calls to the store. Feeds are told apart: one may stay without answers while the
 /// store answers on all others.
 #[derive(Debug, Default)]
-pub struct Contact {
+pub struct StoreHealth {
     feeds: BTreeMap<Feed, FeedContact>,
     /// When the newest call was sent whose answer ended a silence.
     back: Moment,
 }
 
-impl Contact {
+impl StoreHealth {
     /// Takes in the answer to a call; returns for how long the feed was away, where its last call had failed.
-    pub fn answered(&mut self, feed: Feed, sent: Moment, now: Moment) -> Option<Duration> {
+    pub fn record_answer(&mut self, feed: Feed, sent: Moment, now: Moment) -> Option<Duration> {
         let state = self.feeds.entry(feed).or_default();
         if std::mem::replace(&mut state.silent, false) {
             self.back = self.back.max(sent);
@@ -39,7 +39,7 @@
 
     /// Takes in a failed call, `is_silent` where it had no answer; returns whether it is the first since the feed's
     /// last answer.
-    pub fn failed(&mut self, feed: Feed, is_silent: bool) -> bool {
+    pub fn record_failure(&mut self, feed: Feed, is_silent: bool) -> bool {
         let state = self.feeds.entry(feed).or_default();
         state.silent = is_silent;
         !std::mem::replace(&mut state.lost, true)
@@ -48,7 +48,7 @@
     /// Returns when the newest call was sent whose answer ended a silence; the host's start before the first.
     ///
     /// A call on any feed that was sent earlier and is still out met that silence, and is not answered any more.
-    pub fn back(&self) -> Moment {
+    pub fn recovered_at(&self) -> Moment {
         self.back
     }
 
--- a/lib/src/cluster/trial_report.rs
+++ b/lib/src/cluster/trial_report.rs
@@ -4,13 +4,13 @@
 use serde::Serialize;
 
 use crate::cluster::fingerprint::Fingerprint;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 
 /// A suspected request of one daemon.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct TrialNote {
+pub struct TrialReport {
     /// The request.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// The engine that has it; none while it waits for its turn or for a model.
-    pub server: Option<ServerStart>,
+    pub server: Option<ServerInstance>,
 }
--- a/lib/src/cluster/unreadable_records.rs
+++ b/lib/src/cluster/unreadable_records.rs
@@ -19,7 +19,7 @@
 
 /// Records that cannot be read, by feed and key.
 #[derive(Debug, Default)]
-pub struct UnreadTable {
+pub struct UnreadableRecords {
     reasons: BTreeMap<(Feed, SmolStr), String>,
     /// When the window of the last lines began.
     began: Moment,
@@ -31,7 +31,7 @@
 
 /// What the log says of a record that cannot be read.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct UnreadNote {
+pub struct UnreadableReport {
     /// Its key, or what there is of it.
     pub key: SmolStr,
     /// Why it cannot be read.
@@ -50,9 +50,15 @@
     cut(&reason[..end])
 }
 
-impl UnreadTable {
+impl UnreadableRecords {
     /// Takes in a record that cannot be read; returns what to log, where that changed.
-    pub fn note(&mut self, feed: Feed, key: &str, reason: &str, now: Moment) -> Option<UnreadNote> {
+    pub fn record(
+        &mut self,
+        feed: Feed,
+        key: &str,
+        reason: &str,
+        now: Moment,
+    ) -> Option<UnreadableReport> {
         let (key, reason) = (SmolStr::from(cut(key)), plain(reason));
         let place = (feed, key.clone());
         if self.reasons.get(&place) == Some(&reason) {
@@ -70,7 +76,7 @@
             return None;
         }
         self.lines += 1;
-        Some(UnreadNote { key, reason, unlogged: std::mem::take(&mut self.unlogged) })
+        Some(UnreadableReport { key, reason, unlogged: std::mem::take(&mut self.unlogged) })
     }
 
     /// Takes in that the record under a key can be read, or was removed.
--- a/lib/src/cluster/workload_table.rs
+++ b/lib/src/cluster/workload_table.rs
@@ -11,9 +11,9 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::cluster::server_instance::ServerStart;
-use crate::cluster::workloads::Place;
-use crate::cluster::workloads::Work;
+use crate::cluster::server_instance::ServerInstance;
+use crate::cluster::workloads::Workload;
+use crate::cluster::workloads::WorkloadKey;
 
 /// Short key of a start of a server. Two of 12,000 share one in one of sixty fleets, and are then taken to
 /// have the requests of both.
@@ -22,7 +22,7 @@
 pub type ModelKey = u32;
 
 /// Returns the short key of a start of a server.
-pub fn server_key(start: &ServerStart) -> ServerKey {
+pub fn server_key(start: &ServerInstance) -> ServerKey {
     let mut hasher = Xxh3::new();
     hasher.write(start.id.as_bytes());
     start.born.hash(&mut hasher);
@@ -39,11 +39,11 @@
 
 /// Requests at one server, as told.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct WorkNote {
+pub struct WorkloadSummary {
     /// The server.
     pub server: ServerKey,
     /// Prompt tokens that wait to be read.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Requests in progress by model.
     pub models: Vec<(ModelKey, u32)>,
 }
@@ -56,28 +56,28 @@
 }
 
 impl Entry {
-    fn add(&mut self, model: ModelKey, work: Work) {
-        self.prompt += work.prompt;
+    fn add(&mut self, model: ModelKey, work: Workload) {
+        self.prompt += work.prompt_tokens;
         match self.models.iter_mut().find(|(key, _)| *key == model) {
             Some((_, running)) => *running += work.running,
             None => self.models.push((model, work.running)),
         }
     }
 
-    fn work(&self) -> Work {
-        Work { running: self.models.iter().map(|(_, n)| n).sum(), prompt: self.prompt }
+    fn work(&self) -> Workload {
+        Workload { running: self.models.iter().map(|(_, n)| n).sum(), prompt_tokens: self.prompt }
     }
 }
 
 /// Requests by server and model.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WorkTable {
+pub struct WorkloadTable {
     servers: HashMap<ServerKey, Entry>,
 }
 
-impl WorkTable {
+impl WorkloadTable {
     /// Adds requests at a place.
-    pub fn add(&mut self, place: &Place, work: Work) {
+    pub fn add(&mut self, place: &WorkloadKey, work: Workload) {
         let entry = self.servers.entry(server_key(&place.server)).or_default();
         entry.add(model_key(place.model.as_deref()), work);
     }
@@ -88,13 +88,13 @@
             let entry = self.servers.entry(*server).or_default();
             entry.prompt += more.prompt;
             for (model, running) in &more.models {
-                entry.add(*model, Work { running: *running, prompt: 0 });
+                entry.add(*model, Workload { running: *running, prompt_tokens: 0 });
             }
         }
     }
 
     /// Returns the requests at a server.
-    pub fn at(&self, server: ServerKey) -> Work {
+    pub fn at(&self, server: ServerKey) -> Workload {
         self.servers.get(&server).map(Entry::work).unwrap_or_default()
     }
 
@@ -105,19 +105,20 @@
     }
 
     /// Returns what there is to tell, with or without models.
-    pub fn notes(&self, with_models: bool) -> Vec<WorkNote> {
+    pub fn summaries(&self, with_models: bool) -> Vec<WorkloadSummary> {
         let note = |(server, entry): (&ServerKey, &Entry)| {
             let models =
                 if with_models { entry.models.clone() } else { vec![(0, entry.work().running)] };
-            WorkNote { server: *server, prompt: entry.prompt, models }
+            WorkloadSummary { server: *server, prompt_tokens: entry.prompt, models }
         };
         self.servers.iter().map(note).collect()
     }
 }
 
-impl From<Vec<WorkNote>> for WorkTable {
-    fn from(notes: Vec<WorkNote>) -> Self {
-        let entry = |n: WorkNote| (n.server, Entry { prompt: n.prompt, models: n.models });
+impl From<Vec<WorkloadSummary>> for WorkloadTable {
+    fn from(notes: Vec<WorkloadSummary>) -> Self {
+        let entry =
+            |n: WorkloadSummary| (n.server, Entry { prompt: n.prompt_tokens, models: n.models });
         Self { servers: notes.into_iter().map(entry).collect() }
     }
 }
--- a/lib/src/placement/demand.rs
+++ b/lib/src/placement/demand.rs
@@ -8,8 +8,8 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::ServiceName;
-use crate::cluster::digest::DemandNote;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::digest::DemandReport;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::DaemonId;
 use crate::ids::ModelName;
 
@@ -44,7 +44,7 @@
     /// When the last of them becomes late.
     pub due: Moment,
     /// Engines that some daemon with a waiting request cannot use.
-    pub avoid: Vec<ServerStart>,
+    pub avoid: Vec<ServerInstance>,
 }
 
 /// Items whose times are kept before old ones are cleared.
@@ -98,8 +98,8 @@
 
 impl Demand {
     /// Takes in what a daemon says.
-    pub fn update(&mut self, from: &DaemonId, note: DemandNote, now: Moment) {
-        for count in note.counts {
+    pub fn update(&mut self, from: &DaemonId, note: DemandReport, now: Moment) {
+        for count in note.arrivals {
             let item =
                 ModelTarget { service: count.service, model: count.model, adapter: count.adapter };
             let old = self.counts.insert((from.clone(), item.clone()), count.count);
@@ -115,11 +115,11 @@
             }
         }
         let mut waits = BTreeMap::new();
-        for want in note.wants {
+        for want in note.queued {
             let item =
                 ModelTarget { service: want.service, model: want.model, adapter: want.adapter };
             let since = self.since(&item, now);
-            let deadline = now + Duration::from_millis(want.left_ms.into());
+            let deadline = now + Duration::from_millis(want.remaining_ms.into());
             let due = now + Duration::from_millis(want.due_ms.into());
             let (waiting, avoid) = (want.waiting, want.avoid);
             waits.insert(item, Backlog { waiting, since, deadline, due, avoid });
--- a/lib/src/placement/engine_table.rs
+++ b/lib/src/placement/engine_table.rs
@@ -10,13 +10,13 @@
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::Configuration;
 use crate::cluster::configuration::EngineSpec;
-use crate::cluster::digest::HeldNote;
+use crate::cluster::digest::LoadedModelReport;
 use crate::cluster::directory::Directory;
-use crate::cluster::directory::HeldModel;
+use crate::cluster::directory::LoadedModel;
 use crate::cluster::directory::Server;
-use crate::cluster::engine_inventories::Coming;
-use crate::cluster::engine_inventories::Holding;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::engine_inventories::EngineInventory;
+use crate::cluster::engine_inventories::PendingLoad;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::Mebibytes;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
@@ -84,7 +84,7 @@
     /// Its newest entry.
     pub server: Rc<Server>,
     /// Models that it holds.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Orders that it accepted. While it is `confirmed`, `models` and what is under way are what it holds after exactly
     /// these, now or at an earlier time: an order that expects this number and fits can never overfill it.
     pub sequence: u64,
@@ -206,7 +206,7 @@
     }
 
     /// Returns the memory that a model that it holds takes with its adapters.
-    pub fn model_memory(&self, spec: &EngineSpec, held: &HeldModel) -> Mebibytes {
+    pub fn model_memory(&self, spec: &EngineSpec, held: &LoadedModel) -> Mebibytes {
         size(spec, &held.name) + adapters_size(spec, &held.name, held.adapters.len())
     }
 
@@ -246,23 +246,26 @@
     /// An order that was given up may be carried out long after the report that followed it. Without this a model that
     /// left so would count as loaded for ever, and callers would wait for it in vain.
     fn compare(&mut self, now: Moment) {
-        if !self.confirmed || self.server.beat <= self.compared || now < self.changed + ENTRY_LAG {
+        if !self.confirmed
+            || self.server.heartbeat <= self.compared
+            || now < self.changed + ENTRY_LAG
+        {
             return;
         }
-        self.compared = self.server.beat;
+        self.compared = self.server.heartbeat;
         self.confirmed = !self.differs(&self.server.models);
     }
 
     /// Returns whether an entry shows other models, or other adapters where an order may have changed them unseen.
-    fn differs(&self, entry: &[HeldModel]) -> bool {
-        let adapters = |m: &HeldModel| -> BTreeSet<SmolStr> {
+    fn differs(&self, entry: &[LoadedModel]) -> bool {
+        let adapters = |m: &LoadedModel| -> BTreeSet<SmolStr> {
             if self.orders_inflight {
                 m.adapters.iter().cloned().collect()
             } else {
                 BTreeSet::new()
             }
         };
-        let all = |models: &[HeldModel]| -> BTreeMap<ModelName, BTreeSet<SmolStr>> {
+        let all = |models: &[LoadedModel]| -> BTreeMap<ModelName, BTreeSet<SmolStr>> {
             models.iter().map(|m| (m.name.clone(), adapters(m))).collect()
         };
         all(&self.models) != all(entry)
@@ -271,7 +274,7 @@
     /// Notes that the engine holds a model now.
     pub fn add_model(&mut self, model: &ModelName, now: Moment) {
         if !self.holds(model) {
-            self.models.push(HeldModel { name: model.clone(), adapters: Vec::new() });
+            self.models.push(LoadedModel { name: model.clone(), adapters: Vec::new() });
         }
         for copies in [&mut self.memory_copies, &mut self.disk_copies] {
             if !copies.contains(model) {
@@ -296,24 +299,29 @@
     }
 
     /// Returns what callers' requests may rely on, for all daemons.
-    pub fn holding(&self, now: Moment) -> Holding {
+    pub fn holding(&self, now: Moment) -> EngineInventory {
         let job = self.job.as_ref();
         let is_victim = |name: &ModelName| job.is_some_and(|j| j.victims.contains(name));
-        let models =
-            self.models.iter().filter(|m| !is_victim(&m.name)).map(HeldNote::from).collect();
+        let models = self
+            .models
+            .iter()
+            .filter(|m| !is_victim(&m.name))
+            .map(LoadedModelReport::from)
+            .collect();
         let eta_ms = |eta: Moment| eta.saturating_sub(now).as_millis() as u32;
-        let mut coming: Vec<_> = job
+        let mut pending: Vec<_> = job
             .filter(|j| !self.holds(&j.model))
-            .map(|j| Coming { model: j.model.clone(), adapter: None, eta_ms: eta_ms(j.eta) })
+            .map(|j| PendingLoad { model: j.model.clone(), adapter: None, eta_ms: eta_ms(j.eta) })
             .into_iter()
             .collect();
-        coming.extend(self.adapter_jobs.iter().map(|a| Coming {
+        pending.extend(self.adapter_jobs.iter().map(|a| PendingLoad {
             model: a.model.clone(),
             adapter: Some(a.adapter.clone()),
             eta_ms: eta_ms(a.eta),
         }));
-        let (server, sequence, beat) = (self.server.start(), self.sequence, self.server.beat);
-        Holding { server, sequence, beat, models, coming }
+        let (server, sequence, heartbeat) =
+            (self.server.instance(), self.sequence, self.server.heartbeat);
+        EngineInventory { server, sequence, heartbeat, models, pending }
     }
 }
 
@@ -337,12 +345,12 @@
         directory: &Directory,
         config: &Configuration,
         now: Moment,
-    ) -> Vec<ServerStart> {
+    ) -> Vec<ServerInstance> {
         let is_engine =
             |s: &Server| config.services.get(&s.service).is_some_and(|s| s.engine.is_some());
         let mut ended = Vec::new();
         self.engines.retain(|_, engine| {
-            let start = engine.server.start();
+            let start = engine.server.instance();
             let is_current = directory.is_current(&start);
             if !is_current {
                 ended.push(start);
@@ -367,7 +375,7 @@
     }
 
     /// Returns the engine of one start of a server.
-    pub fn engine_mut(&mut self, start: &ServerStart) -> Option<&mut Engine> {
+    pub fn engine_mut(&mut self, start: &ServerInstance) -> Option<&mut Engine> {
         self.engines.get_mut(&start.id).filter(|e| e.server.born == start.born)
     }
 
--- a/lib/src/placement/fetch_limiter.rs
+++ b/lib/src/placement/fetch_limiter.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 use crate::boot_clock::Moment;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 
 /// Loads at once at most: more would take engines out of service for callers who wait elsewhere.
 const MOST: usize = 4;
@@ -64,7 +64,7 @@
 /// A load from the weight store that is under way.
 #[derive(Debug)]
 struct Running {
-    server: ServerStart,
+    server: ServerInstance,
     since: Moment,
     /// Its time where it has the store for itself.
     alone: Duration,
@@ -116,14 +116,14 @@
     ///
     /// A new holder of the lease knows nothing of the loads of the one before. Two begun beside two of those took 20
     /// and 27 s in place of 13, and the store was taken to serve one at a time for the rest of the day.
-    pub fn begin(&mut self, server: &ServerStart, alone: Duration, others: usize, now: Moment) {
+    pub fn begin(&mut self, server: &ServerInstance, alone: Duration, others: usize, now: Moment) {
         self.begun.push_back(now);
         let count = self.running.len() + others + 1;
         self.running.push(Running { server: server.clone(), since: now, alone, count });
     }
 
     /// Notes that an engine's load is over; learns from one that succeeded.
-    pub fn end(&mut self, server: &ServerStart, succeeded: bool, now: Moment) {
+    pub fn end(&mut self, server: &ServerInstance, succeeded: bool, now: Moment) {
         let Some(at) = self.running.iter().position(|r| r.server == *server) else { return };
         let load = self.running.remove(at);
         if !succeeded {
--- a/lib/src/placement/fetching.rs
+++ b/lib/src/placement/fetching.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 
 use crate::cluster::configuration::EngineSpec;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::ModelName;
 use crate::placement::demand::ModelTarget;
 use crate::placement::engine_table::Engine;
@@ -48,7 +48,7 @@
                 let options = self
                     .options
                     .engines(&service.name)
-                    .filter(|e| !avoid.contains(&e.server.start()))
+                    .filter(|e| !avoid.contains(&e.server.instance()))
                     .filter(|e| is_urgent || e.models.iter().all(|m| e.has_copy(&m.name)))
                     .filter_map(|e| self.options.load_option(e, spec, model, wanted));
                 let open = options.filter(|o| o.can_start);
@@ -77,7 +77,7 @@
     /// Loads from the weight store at once that nobody waits for.
     fn spare(&self, spec: &EngineSpec) -> usize {
         let most = if self.input.demand.is_empty() { FETCHES } else { FETCHES_BUSY };
-        let longest = spec.models.values().map(|m| m.load).max().unwrap_or_default();
+        let longest = spec.models.values().map(|m| m.store_load).max().unwrap_or_default();
         let share = self.input.share;
         let proven = if longest > TRIAL_LOAD { share.proven } else { share.concurrency() };
         most.min(proven)
@@ -86,13 +86,14 @@
     /// Whether some usable engine holds a model, loads it, or has a copy of its weights.
     fn has_copy(&self, service: &SmolStr, model: &ModelName) -> bool {
         let avoid = self.avoid(service, model);
-        let is_open = |e: &&Engine| self.options.is_usable(e) && !avoid.contains(&e.server.start());
+        let is_open =
+            |e: &&Engine| self.options.is_usable(e) && !avoid.contains(&e.server.instance());
         self.placed.contains(&(service.clone(), model.clone()))
             || self.options.index.engines_with_copy(service, model).iter().any(is_open)
     }
 
     /// Engines that the requests that wait for a model cannot use.
-    fn avoid(&self, service: &SmolStr, model: &ModelName) -> &[ServerStart] {
+    fn avoid(&self, service: &SmolStr, model: &ModelName) -> &[ServerInstance] {
         let item = ModelTarget { service: service.clone(), model: model.clone(), adapter: None };
         self.backlogs.get(&item).map_or(&[], |wait| &wait.avoid)
     }
--- a/lib/src/placement/lease_state.rs
+++ b/lib/src/placement/lease_state.rs
@@ -9,7 +9,7 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::digest::ProcessId;
-use crate::cluster::peer_table::HeardTenure;
+use crate::cluster::peer_table::PeerLease;
 use crate::ids::DaemonId;
 use crate::ids::Fence;
 use crate::ids::Offset;
@@ -95,7 +95,7 @@
     /// Until when another's lease may be valid.
     pub(super) peer_expiry: Moment,
     /// The newest claim of another daemon.
-    pub(super) peer_claim: Option<HeardTenure>,
+    pub(super) peer_claim: Option<PeerLease>,
     /// Whether the last look found a holder among the peers.
     followed: bool,
     pub(super) held: Option<HeldLease>,
@@ -241,7 +241,7 @@
     }
 
     /// Returns the next step; `heard` is another daemon's claim.
-    pub fn next_step(&mut self, now: Moment, heard: Option<HeardTenure>) -> LeaseStep {
+    pub fn next_step(&mut self, now: Moment, heard: Option<PeerLease>) -> LeaseStep {
         self.follow(heard);
         if now < self.retry_at {
             return LeaseStep::Sleep(self.retry_at);
@@ -295,7 +295,7 @@
     }
 
     /// Takes in what is heard of another holder now, or that none is heard.
-    fn follow(&mut self, heard: Option<HeardTenure>) {
+    fn follow(&mut self, heard: Option<PeerLease>) {
         if let Some(heard) = heard {
             self.peer_expiry = self.peer_expiry.max(heard.until);
             if self.held.is_some_and(|h| h.fence < heard.fence) {
--- a/lib/src/placement/load_options.rs
+++ b/lib/src/placement/load_options.rs
@@ -298,9 +298,9 @@
 
     fn load_time(&self, spec: &ModelSpec, source: Source) -> Duration {
         match source {
-            Source::Memory => spec.warm,
-            Source::Disk => spec.disk,
-            Source::Store => self.input.share.time(spec.load, self.fetching + 1),
+            Source::Memory => spec.memory_load,
+            Source::Disk => spec.disk_load,
+            Source::Store => self.input.share.time(spec.store_load, self.fetching + 1),
         }
     }
 
--- a/lib/src/placement/plan_index.rs
+++ b/lib/src/placement/plan_index.rs
@@ -4,7 +4,7 @@
 use std::collections::HashSet;
 
 use crate::boot_clock::Moment;
-use crate::cluster::workload_table::WorkTable;
+use crate::cluster::workload_table::WorkloadTable;
 use crate::cluster::workload_table::model_key;
 use crate::cluster::workload_table::server_key;
 use crate::ids::CentreId;
@@ -55,7 +55,12 @@
 
 impl<'a> PlanIndex<'a> {
     /// Counts.
-    pub fn new(ledger: &'a EngineTable, demand: &'a Demand, work: &WorkTable, now: Moment) -> Self {
+    pub fn new(
+        ledger: &'a EngineTable,
+        demand: &'a Demand,
+        work: &WorkloadTable,
+        now: Moment,
+    ) -> Self {
         let mut index = Self {
             rates: HashMap::new(),
             replicas: HashMap::new(),
@@ -93,10 +98,10 @@
         }
     }
 
-    fn count_running(&mut self, ledger: &'a EngineTable, work: &WorkTable) {
+    fn count_running(&mut self, ledger: &'a EngineTable, work: &WorkloadTable) {
         for engine in ledger.engines.values() {
             let service = engine.server.service.as_str();
-            let server = server_key(&engine.server.start());
+            let server = server_key(&engine.server.instance());
             for model in engine.models.iter().map(|m| &m.name) {
                 let count = work.running(server, model_key(Some(model)));
                 if count > 0 {
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -15,10 +15,10 @@
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::Configuration;
 use crate::cluster::configuration::EngineSpec;
-use crate::cluster::directory::HeldModel;
+use crate::cluster::directory::LoadedModel;
 use crate::cluster::run_times::RunTimes;
-use crate::cluster::server_instance::ServerStart;
-use crate::cluster::workload_table::WorkTable;
+use crate::cluster::server_instance::ServerInstance;
+use crate::cluster::workload_table::WorkloadTable;
 use crate::cluster::workload_table::server_key;
 use crate::ids::Mebibytes;
 use crate::ids::ModelName;
@@ -80,7 +80,7 @@
     /// Demand over all daemons.
     pub demand: &'a Demand,
     /// Requests in progress, over all daemons.
-    pub work: &'a WorkTable,
+    pub work: &'a WorkloadTable,
     /// How long requests run.
     pub run_times: &'a RunTimes,
     /// Engines that cannot be reached from the holder.
@@ -195,7 +195,7 @@
             waited: self.input.now.saturating_sub(wait.since),
         });
         let avoid = wait.avoid;
-        let is_open = |e: &&Engine| !avoid.contains(&e.server.start());
+        let is_open = |e: &&Engine| !avoid.contains(&e.server.instance());
         let serves = |e: &Engine| {
             let leaves = e.job.as_ref().is_some_and(|j| j.victims.contains(&item.model));
             e.holds(&item.model) && !leaves || e.job.as_ref().is_some_and(|j| j.model == item.model)
@@ -222,7 +222,7 @@
     }
 
     fn serve_adapters(&mut self) {
-        let items: Vec<(ModelTarget, Vec<ServerStart>)> = self
+        let items: Vec<(ModelTarget, Vec<ServerInstance>)> = self
             .backlogs
             .iter()
             .filter(|(item, _)| item.adapter.is_some())
@@ -243,14 +243,14 @@
     }
 
     /// Puts an adapter on an engine that holds its model, where none has it yet.
-    fn place_adapter(&self, item: &ModelTarget, avoid: &[ServerStart]) -> Option<Action> {
+    fn place_adapter(&self, item: &ModelTarget, avoid: &[ServerInstance]) -> Option<Action> {
         let adapter = item.adapter.as_ref()?;
         if avoid.is_empty() && self.options.index.has_adapter(&item.service, &item.model, adapter) {
             return None;
         }
         let holders = self.options.index.holders(&item.service, &item.model);
         let is_open =
-            |e: &&&Engine| self.options.is_usable(e) && !avoid.contains(&e.server.start());
+            |e: &&&Engine| self.options.is_usable(e) && !avoid.contains(&e.server.instance());
         let holders: Vec<&Engine> = holders.iter().filter(is_open).copied().collect();
         let has = |e: &&Engine| {
             e.holds_adapter(&item.model, adapter) || e.is_loading_adapter(&item.model, adapter)
@@ -264,7 +264,7 @@
                 && self.input.now >= e.backoff_until
                 && !self.options.assigned.contains(&e.server.id)
         };
-        let work = |e: &Engine| self.input.work.at(server_key(&e.server.start())).running;
+        let work = |e: &Engine| self.input.work.at(server_key(&e.server.instance())).running;
         let engine = holders.iter().filter(is_free).min_by_key(|e| (e.adapter_count(), work(e)))?;
         self.adapter_action(engine, item, adapter)
     }
@@ -296,7 +296,7 @@
         spec: &EngineSpec,
         short: Mebibytes,
     ) -> Option<(ModelName, SmolStr)> {
-        let frees = |m: &&HeldModel| {
+        let frees = |m: &&LoadedModel| {
             spec.models.get(&m.name).is_some_and(|model| model.adapter_size >= short)
         };
         let all = engine.models.iter().filter(frees).flat_map(|m| {
--- a/lib/src/protocol.rs
+++ b/lib/src/protocol.rs
@@ -12,11 +12,11 @@
 use thiserror::Error;
 
 use crate::cluster::configuration::Configuration;
-use crate::cluster::directory::Copies;
-use crate::cluster::directory::HeldModel;
+use crate::cluster::directory::LoadedModel;
 use crate::cluster::directory::Server;
+use crate::cluster::directory::WeightCopies;
 use crate::cluster::rate_limit::RateLimit;
-use crate::cluster::workloads::ServerWord;
+use crate::cluster::workloads::ReportedWorkload;
 use crate::ids::Birth;
 use crate::ids::Fence;
 use crate::ids::ModelName;
@@ -84,7 +84,7 @@
     /// Whether the server says that the request did not run.
     pub not_run: bool,
     /// The server's load.
-    pub load: Option<ServerWord>,
+    pub load: Option<ReportedWorkload>,
     /// The limit that the server names.
     pub limit: NamedLimit,
     /// For how long the server keeps the connection open.
@@ -148,9 +148,9 @@
 #[derive(Clone, Debug)]
 pub struct EngineReport {
     /// What it holds, adapters on their way included: `sequence` counts their orders.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Copies of weights near its accelerator.
-    pub copies: Copies,
+    pub copies: WeightCopies,
     /// Whether an order is being carried out.
     pub busy: bool,
     /// Orders that it has accepted.
--- a/lib/src/serve/accept.rs
+++ b/lib/src/serve/accept.rs
@@ -28,10 +28,10 @@
 
 /// Limits before the first configuration.
 const FIRST_LIMITS: CallerLimits = CallerLimits {
-    head: 16 * 1024,
-    body: 1024 * 1024,
-    head_time: Duration::from_secs(5),
-    idle: Duration::from_mins(1),
+    max_head: 16 * 1024,
+    max_body: 1024 * 1024,
+    head_timeout: Duration::from_secs(5),
+    idle_timeout: Duration::from_mins(1),
 };
 /// Added to the idle time that callers rely on, for a request that is on its way when it ends.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
@@ -71,8 +71,8 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle.max(limits.head_time) + IDLE_MARGIN)
-        .max_buf_size(limits.head.max(LEAST_HEAD))
+        .header_read_timeout(limits.idle_timeout.max(limits.head_timeout) + IDLE_MARGIN)
+        .max_buf_size(limits.max_head.max(LEAST_HEAD))
         .serve_connection(TokioIo::new(socket), service);
     if let Err(error) = connection.await {
         slog::debug!(entry.log, "caller-connection-ended"; "error" => %error);
--- a/lib/src/serve/adapter_loading.rs
+++ b/lib/src/serve/adapter_loading.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::sleep;
 
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::Fence;
 use crate::placement::engine_table::AdapterJob;
 use crate::protocol::OrderKind;
@@ -18,7 +18,7 @@
     /// Loads an adapter, and notes what came of it.
     pub(super) async fn run_adapter(
         self: Rc<Self>,
-        server: ServerStart,
+        server: ServerInstance,
         job: AdapterJob,
         fence: Fence,
     ) {
@@ -51,7 +51,7 @@
 
     async fn carry_out_adapter(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         job: &AdapterJob,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
--- a/lib/src/serve/apply_updates.rs
+++ b/lib/src/serve/apply_updates.rs
@@ -9,8 +9,8 @@
 
 use crate::cluster::directory::Change;
 use crate::cluster::directory::Server;
-use crate::cluster::latest_instances::StartOrder;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::latest_instances::InstanceOrder;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::Offset;
 use crate::ids::ServerId;
 use crate::placement::entries;
@@ -83,7 +83,7 @@
     let mut directory = entry.directory.borrow_mut();
     let change = match read {
         None => directory.remove(key, now),
-        Some((raw, Ok(server))) if from == PEER => directory.relayed(server, raw.clone(), now),
+        Some((raw, Ok(server))) if from == PEER => directory.put_relayed(server, raw.clone(), now),
         Some((raw, Ok(server))) => directory.put(server, raw.clone(), now),
         Some((_, Err(_unread))) => directory.suspend(key, now),
     };
@@ -104,9 +104,9 @@
 }
 
 /// Takes in that somebody named a start of a server, and returns how it stands to the newest one.
-pub fn take_start(entry: &Entry, start: &ServerStart, from: &str) -> StartOrder {
+pub fn take_start(entry: &Entry, start: &ServerInstance, from: &str) -> InstanceOrder {
     let order = entry.directory.borrow_mut().hear(start, entry.now());
-    if order == StartOrder::Newer && entry.directory.borrow().is_current(start) {
+    if order == InstanceOrder::Newer && entry.directory.borrow().is_current(start) {
         log_change(entry, &start.id, Change::Restarted, from);
         servers_changed(entry);
     }
@@ -120,14 +120,14 @@
     slog::info!(entry.log, "server"; "server" => %id, "change" => ?change, "from" => from,
         "service" => server.map_or("-", |s| s.service.as_str()),
         "centre" => server.map_or("-", |s| s.centre.as_str()), "models" => models,
-        "beat" => server.map_or(0, |s| s.beat),
-        "born" => server.and_then(|s| s.born).unwrap_or(0), "feed_end" => directory.end());
+        "beat" => server.map_or(0, |s| s.heartbeat),
+        "born" => server.and_then(|s| s.born).unwrap_or(0), "feed_end" => directory.feed_end());
 }
 
 /// Takes in records of the servers' feed; the whole list, or what came after what was read before.
 pub fn take_servers(entry: &Entry, batch: &Batch, is_whole: bool) {
     let mut changed = false;
-    entry.directory.borrow_mut().read(entry.now());
+    entry.directory.borrow_mut().record_read(entry.now());
     entry.note_batch(Feed::Servers, batch);
     for record in &batch.records {
         changed |= take_server(entry, &record.key, record.value.as_ref(), "store") != Change::None;
@@ -148,7 +148,7 @@
     let mut directory = entry.directory.borrow_mut();
     directory.advance(batch.end);
     if is_whole {
-        directory.relisted();
+        directory.clear_history();
     }
     drop(directory);
     if changed {
@@ -163,7 +163,7 @@
     for id in &gone {
         slog::info!(entry.log, "server"; "server" => %id, "change" => "Gone", "from" => "store");
     }
-    let back = entry.directory.borrow_mut().settle(entry.now());
+    let back = entry.directory.borrow_mut().confirm_returns(entry.now());
     for id in &back {
         log_change(entry, id, Change::Joined, "store");
     }
@@ -176,7 +176,7 @@
 /// Tells the parts that depend on the list of servers.
 pub fn servers_changed(entry: &Entry) {
     let directory = entry.directory.borrow();
-    let is_known = |start: &ServerStart| directory.is_current(start);
+    let is_known = |start: &ServerInstance| directory.is_current(start);
     entry.health.borrow_mut().retain(is_known);
     entry.holdings.borrow_mut().retain(is_known);
     entry.loads.retain(entry.now(), is_known);
@@ -244,7 +244,7 @@
         match entries::decode::<DaemonEntry>(raw) {
             Ok(peer) => {
                 entry.unread.borrow_mut().clear(Feed::Daemons, &record.key);
-                entry.peers.borrow_mut().list(&record.key, &peer, now);
+                entry.peers.borrow_mut().put_listed(&record.key, &peer, now);
             }
             Err(error) => entry.note_unread(Feed::Daemons, &record.key, &error.0),
         }
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -14,9 +14,9 @@
 use crate::cluster::configuration::ServiceName;
 use crate::cluster::directory::Server;
 use crate::cluster::fingerprint::Fingerprint;
-use crate::cluster::quarantine_report::Passed;
-use crate::cluster::server_instance::ServerStart;
-use crate::cluster::workloads::Place;
+use crate::cluster::quarantine_report::RequestProgress;
+use crate::cluster::server_instance::ServerInstance;
+use crate::cluster::workloads::WorkloadKey;
 use crate::placement::demand::ModelTarget;
 use crate::protocol::CallerTerms;
 use crate::protocol::SendTerms;
@@ -67,7 +67,7 @@
     /// Whether a send is under way.
     pub sending: bool,
     /// Servers that it was sent to in vain.
-    pub tried: Vec<ServerStart>,
+    pub tried: Vec<ServerInstance>,
     /// Whether it has left a silent server, which would have gone on.
     pub has_left: bool,
     /// Servers that may have run it.
@@ -77,7 +77,7 @@
     /// Sends that reached a server; only further ones draw on the retry budget.
     pub arrivals: u32,
     /// The server of the last send.
-    pub last: Option<ServerStart>,
+    pub last: Option<ServerInstance>,
     /// Whether it comes after requests that can still be punctual.
     pub is_late: bool,
     /// How long the last server was expected to let it wait for a place.
@@ -115,18 +115,18 @@
     }
 
     /// Returns where its work counts at a server.
-    pub fn place(&self, server: &Server) -> Place {
-        Place { server: server.start(), model: self.item().map(|i| i.model) }
+    pub fn place(&self, server: &Server) -> WorkloadKey {
+        WorkloadKey { server: server.instance(), model: self.item().map(|i| i.model) }
     }
 
     /// Returns whether it must not run a second time.
     pub fn is_spent(&self) -> bool {
-        self.verdict != Verdict::DidNotRun && !self.route.is_repeatable()
+        self.verdict != Verdict::DidNotRun && !self.route.is_retryable()
     }
 
     /// Returns whether another server may still be tried, the budget aside.
     pub fn may_repeat(&self, now: Moment) -> bool {
-        now < self.deadline && !self.is_spent() && self.runs < self.route.attempts
+        now < self.deadline && !self.is_spent() && self.runs < self.route.max_attempts
     }
 
     /// Makes the request of a send to `server`.
@@ -148,7 +148,7 @@
 
     /// Returns whether it may run at another server though the one that has it now may run it too.
     pub fn may_leave(&self) -> bool {
-        self.route.is_repeatable() && self.runs + 1 < self.route.attempts
+        self.route.is_retryable() && self.runs + 1 < self.route.max_attempts
     }
 
     /// Returns how long the answer to a send is waited for before the server counts as silent.
@@ -157,8 +157,8 @@
     /// for a dead one: its requests left it, and had their prompts read once more elsewhere.
     pub fn patience(&self) -> Duration {
         match self.route.kind {
-            RouteKind::Streaming => self.route.patience().mul_f64(FIRST_PART) + self.queued,
-            _ => self.route.goal * SEND_GOALS,
+            RouteKind::Streaming => self.route.stall_timeout().mul_f64(FIRST_PART) + self.queued,
+            _ => self.route.latency_goal * SEND_GOALS,
         }
     }
 
@@ -167,11 +167,11 @@
         self.first = Some(first);
         self.young_since = Some(first);
         self.trial = None;
-        entry.note_passed(self, Passed::Begun);
+        entry.note_passed(self, RequestProgress::Begun);
     }
 
     /// Returns the servers that it was sent to, the last one too.
-    pub fn all_tried(&self) -> Vec<ServerStart> {
+    pub fn all_tried(&self) -> Vec<ServerInstance> {
         self.tried.iter().chain(&self.last).cloned().collect()
     }
 
@@ -203,7 +203,7 @@
         self.sending = true;
         self.first = None;
         self.young_since = None;
-        self.last = Some(chosen.server.start());
+        self.last = Some(chosen.server.instance());
         self.queued = chosen.wait;
         self.cost = chosen.cost;
         self.among = chosen.among;
@@ -239,11 +239,11 @@
         self.tried.push(server);
     }
 
-    fn note_lack(&self, entry: &Entry, server: &ServerStart) {
+    fn note_lack(&self, entry: &Entry, server: &ServerInstance) {
         let Some(item) = self.item() else { return };
         let directory = entry.directory.borrow();
         if let Some(server) = directory.get(&server.id).filter(|s| s.born == server.born) {
-            entry.holdings.borrow_mut().lacks(server, &item.model, item.adapter.as_deref());
+            entry.holdings.borrow_mut().mark_missing(server, &item.model, item.adapter.as_deref());
         }
     }
 
--- a/lib/src/serve/call.rs
+++ b/lib/src/serve/call.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::serve::call_guard::Outstanding;
 use crate::serve::pool::Pool;
 
@@ -39,7 +39,7 @@
 /// There is no whole answer.
 pub async fn call(
     pool: &Pool,
-    peer: impl Into<ServerStart>,
+    peer: impl Into<ServerInstance>,
     addr: SocketAddr,
     request: Request<Bytes>,
     limit: Duration,
--- a/lib/src/serve/call_guard.rs
+++ b/lib/src/serve/call_guard.rs
@@ -1,6 +1,6 @@
 //! A call that is out.
 
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::serve::pool::Pool;
 
 /// A call that is out. It closes the idle connections to the same address when it ends without an answer,
@@ -10,13 +10,13 @@
 #[derive(Debug)]
 pub struct Outstanding<'a> {
     pool: &'a Pool,
-    peer: &'a ServerStart,
+    peer: &'a ServerInstance,
     answered: bool,
 }
 
 impl<'a> Outstanding<'a> {
     /// Begins a call.
-    pub fn new(pool: &'a Pool, peer: &'a ServerStart) -> Self {
+    pub fn new(pool: &'a Pool, peer: &'a ServerInstance) -> Self {
         Self { pool, peer, answered: false }
     }
 
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -8,12 +8,12 @@
 use crate::cluster::directory::Server;
 use crate::cluster::engine_inventories::Holdings;
 use crate::cluster::run_times::RunTimes;
-use crate::cluster::send_permit::Turn;
-use crate::cluster::send_permit::Turns;
-use crate::cluster::server_health::Health;
-use crate::cluster::server_instance::ServerStart;
-use crate::cluster::workloads::Loads;
-use crate::cluster::workloads::Work;
+use crate::cluster::send_permit::SendPermit;
+use crate::cluster::send_permit::SendPermits;
+use crate::cluster::server_health::ServerHealth;
+use crate::cluster::server_instance::ServerInstance;
+use crate::cluster::workloads::Workload;
+use crate::cluster::workloads::Workloads;
 use crate::ids::CentreId;
 use crate::placement::demand::ModelTarget;
 use crate::serve::near_best;
@@ -53,13 +53,13 @@
     /// What engines hold.
     pub holdings: &'a Holdings,
     /// Work at the servers.
-    pub loads: &'a Loads,
+    pub loads: &'a Workloads,
     /// Servers to avoid.
-    pub health: &'a Health,
+    pub health: &'a ServerHealth,
     /// How long requests run.
     pub run_times: &'a RunTimes,
     /// Turns at servers that name limits.
-    pub turns: &'a Turns,
+    pub turns: &'a SendPermits,
     /// This daemon's data centre.
     pub centre: &'a CentreId,
     /// Now.
@@ -96,51 +96,53 @@
 
 impl Chooser<'_> {
     /// Chooses a server of a plain service, other than those in `tried`.
-    pub fn plain(&self, service: &str, tried: &[ServerStart]) -> Option<Chosen> {
+    pub fn plain(&self, service: &str, tried: &[ServerInstance]) -> Option<Chosen> {
         let cost = |s: &Server, w| self.plain_cost(s, w);
         self.choose(service, tried, |_| true, cost, PLAIN_SCATTER)
     }
 
-    fn plain_cost(&self, server: &Server, work: Work) -> f64 {
+    fn plain_cost(&self, server: &Server, work: Workload) -> f64 {
         let over = (work.running + 1).saturating_sub(server.slots);
         f64::from(work.running) * PLAIN_RUNNING
             + f64::from(over) * PLAIN_WORK
             + self.distance(server, PLAIN_DISTANCE)
     }
 
-    fn engine_cost(&self, server: &Server, work: Work) -> f64 {
+    fn engine_cost(&self, server: &Server, work: Workload) -> f64 {
         let filled = f64::from(work.running) / f64::from(server.slots.max(1));
         // Prompts of queued requests are read when these have a place.
         let placed = (1.0 / filled).min(1.0);
         f64::from(work.running.min(server.slots)) * PER_RUNNING
-            + f64::from(work.prompt) * placed / PROMPT_PER_MS
+            + f64::from(work.prompt_tokens) * placed / PROMPT_PER_MS
             + CROWDED * filled.min(1.0).powi(CROWDED_POWER)
             + self.queue_wait(server, work).as_secs_f64() * 1000.0
             + self.distance(server, DISTANCE)
     }
 
     /// Returns how long a request waits for a place at an engine: its places come free one after the other.
-    fn queue_wait(&self, server: &Server, work: Work) -> Duration {
+    fn queue_wait(&self, server: &Server, work: Workload) -> Duration {
         let before = (work.running + 1).saturating_sub(server.slots);
         self.run_times.mean(&server.service) * before / server.slots.max(1)
     }
 
     /// Chooses an engine that holds what `item` names.
-    pub fn engine(&self, item: &ModelTarget, tried: &[ServerStart]) -> Choice {
+    pub fn engine(&self, item: &ModelTarget, tried: &[ServerInstance]) -> Choice {
         // An engine that cannot be reached serves nobody, though its entry may stand for seconds: the
         // request waits, and the model is loaded elsewhere.
         let holds = |s: &Server| {
-            !self.health.is_dark(&s.start(), self.now)
+            !self.health.is_unreachable(&s.instance(), self.now)
                 && self.holdings.holds(s, &item.model, item.adapter.as_deref())
         };
         let cost = |s: &Server, w| self.engine_cost(s, w);
         match self.choose(&item.service, tried, holds, cost, self.unseen * PER_RUNNING) {
             Some(chosen) => {
-                let work = self.loads.at(&chosen.server.start(), self.now);
+                let work = self.loads.at(&chosen.server.instance(), self.now);
                 let wait = self.queue_wait(&chosen.server, work);
                 Choice::Server(Chosen { wait, ..chosen })
             }
-            None if self.directory.known().any(|s| s.service == item.service) => Choice::Missing,
+            None if self.directory.all_servers().any(|s| s.service == item.service) => {
+                Choice::Missing
+            }
             None => Choice::NoServer,
         }
     }
@@ -151,13 +153,13 @@
         &self,
         service: &str,
         item: Option<&ModelTarget>,
-        tried: &[ServerStart],
+        tried: &[ServerInstance],
     ) -> Option<Chosen> {
         let fits = |s: &Server| {
             let holds = |i: &ModelTarget| self.holdings.holds(s, &i.model, i.adapter.as_deref());
-            !self.health.is_avoided(&s.start(), self.now)
+            !self.health.is_avoided(&s.instance(), self.now)
                 && item.is_none_or(holds)
-                && self.loads.at(&s.start(), self.now).running < s.slots
+                && self.loads.at(&s.instance(), self.now).running < s.slots
         };
         if item.is_some() {
             let cost = |s: &Server, w| self.engine_cost(s, w);
@@ -171,12 +173,13 @@
     ///
     /// Where no engine of the service tells of copies, every model may have some.
     pub fn has_copy(&self, item: &ModelTarget) -> bool {
-        let engines = self.directory.known().filter(|s| s.service == item.service);
+        let engines = self.directory.all_servers().filter(|s| s.service == item.service);
         let mut tells = false;
         for server in engines {
             let copies = &server.copies;
             tells |= !copies.disk.is_empty() || !copies.memory.is_empty();
-            let is_usable = !server.leaving && !self.health.is_dark(&server.start(), self.now);
+            let is_usable =
+                !server.leaving && !self.health.is_unreachable(&server.instance(), self.now);
             let is_near = copies.disk.contains(&item.model)
                 || copies.memory.contains(&item.model)
                 || self.holdings.holds(server, &item.model, None);
@@ -188,10 +191,11 @@
     }
 
     /// Returns the engines of a service that cannot be reached from here.
-    pub fn dark(&self, service: &str) -> Vec<ServerStart> {
-        let is_dark =
-            |s: &&Rc<Server>| s.service == service && self.health.is_dark(&s.start(), self.now);
-        self.directory.servers().filter(is_dark).map(|s| s.start()).collect()
+    pub fn dark(&self, service: &str) -> Vec<ServerInstance> {
+        let is_dark = |s: &&Rc<Server>| {
+            s.service == service && self.health.is_unreachable(&s.instance(), self.now)
+        };
+        self.directory.servers().filter(is_dark).map(|s| s.instance()).collect()
     }
 
     fn distance(&self, server: &Server, cost: f64) -> f64 {
@@ -199,15 +203,15 @@
     }
 
     /// Returns when a request may be sent to a server that named a limit.
-    fn turn(&self, server: &Server) -> Option<&Turn> {
-        if self.turns.is_empty() { None } else { self.turns.get(&server.start()) }
+    fn turn(&self, server: &Server) -> Option<&SendPermit> {
+        if self.turns.is_empty() { None } else { self.turns.get(&server.instance()) }
     }
 
     /// Leaves limited servers out while another one has a free place: their turns are for requests that have no
     /// other server. One that is due gets a request all the same.
     fn unlimited_first<'s>(&self, list: Vec<&'s Rc<Server>>) -> Vec<&'s Rc<Server>> {
-        let is_open = |s: &&Rc<Server>| self.turn(s).is_none_or(|turn| turn.is_due);
-        let has_place = |s: &Rc<Server>| self.loads.at(&s.start(), self.now).running < s.slots;
+        let is_open = |s: &&Rc<Server>| self.turn(s).is_none_or(|turn| turn.probe_due);
+        let has_place = |s: &Rc<Server>| self.loads.at(&s.instance(), self.now).running < s.slots;
         if self.turns.is_empty() || !list.iter().any(|s| is_open(s) && has_place(s)) {
             return list;
         }
@@ -215,23 +219,25 @@
     }
 
     /// Returns the limited servers of a service whose turn does not come soon.
-    pub fn held_back(&self, service: &str) -> Vec<ServerStart> {
-        let is_late = |turn: &Turn| turn.wait.is_none_or(|wait| wait > SOON);
+    pub fn held_back(&self, service: &str) -> Vec<ServerInstance> {
+        let is_late = |turn: &SendPermit| turn.wait.is_none_or(|wait| wait > SOON);
         let servers = self.directory.servers().filter(|s| s.service == service);
-        servers.filter(|s| self.turn(s).is_some_and(is_late)).map(|s| s.start()).collect()
+        servers.filter(|s| self.turn(s).is_some_and(is_late)).map(|s| s.instance()).collect()
     }
 
     /// Returns when a limited server can be sent a request that has no other server: an engine that holds what `item`
     /// names, where one is given. None where another one is in reach, or there is none at all.
-    pub fn next_turn(&self, service: &str, item: Option<&ModelTarget>) -> Option<Turn> {
+    pub fn next_turn(&self, service: &str, item: Option<&ModelTarget>) -> Option<SendPermit> {
         let holds = |s: &Server| {
             item.is_none_or(|i| self.holdings.holds(s, &i.model, i.adapter.as_deref()))
         };
         let is_usable = |s: &Server| {
-            s.service == service && !s.leaving && !self.health.is_dark(&s.start(), self.now)
+            s.service == service
+                && !s.leaving
+                && !self.health.is_unreachable(&s.instance(), self.now)
         };
         let servers = self.directory.servers().filter(|s| is_usable(s) && holds(s));
-        let turns: Option<Vec<Turn>> = servers.map(|s| self.turn(s).copied()).collect();
+        let turns: Option<Vec<SendPermit>> = servers.map(|s| self.turn(s).copied()).collect();
         turns?.into_iter().min_by_key(|turn| turn.wait.unwrap_or(Duration::MAX))
     }
 
@@ -240,9 +246,9 @@
     fn choose(
         &self,
         service: &str,
-        tried: &[ServerStart],
+        tried: &[ServerInstance],
         fits: impl Fn(&Server) -> bool,
-        cost: impl Fn(&Server, Work) -> f64,
+        cost: impl Fn(&Server, Workload) -> f64,
         scatter: f64,
     ) -> Option<Chosen> {
         let open: Vec<&Rc<Server>> = self
@@ -251,16 +257,16 @@
             .filter(|s| {
                 s.service == service
                     && !s.leaving
-                    && !tried.contains(&s.start())
-                    && self.turn(s).is_none_or(Turn::is_now)
+                    && !tried.contains(&s.instance())
+                    && self.turn(s).is_none_or(SendPermit::is_granted)
                     && fits(s)
             })
             .collect();
-        let is_sound = |s: &&&Rc<Server>| !self.health.is_avoided(&s.start(), self.now);
+        let is_sound = |s: &&&Rc<Server>| !self.health.is_avoided(&s.instance(), self.now);
         let sound: Vec<&Rc<Server>> = open.iter().filter(is_sound).copied().collect();
         let list = self.unlimited_first(if sound.is_empty() { open } else { sound });
         let candidate = |s: &&Rc<Server>| {
-            let work = self.loads.at(&s.start(), self.now);
+            let work = self.loads.at(&s.instance(), self.now);
             Candidate { cost: cost(s, work), spare: s.slots.saturating_sub(work.running) }
         };
         let candidates: Vec<Candidate> = list.iter().map(candidate).collect();
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -17,22 +17,22 @@
 use crate::cluster::configuration::ServiceName;
 use crate::cluster::digest::ProcessId;
 use crate::cluster::directory::Directory;
-use crate::cluster::engine_inventories::Holding;
+use crate::cluster::engine_inventories::EngineInventory;
 use crate::cluster::engine_inventories::Holdings;
 use crate::cluster::peer_table::PeerTable;
 use crate::cluster::quarantine::Quarantine;
 use crate::cluster::rate_limits::RateLimits;
 use crate::cluster::reader_rank::ReaderRank;
-use crate::cluster::reader_role::ReaderDuty;
-use crate::cluster::retry_budgets::Budget;
+use crate::cluster::reader_role::ReaderRole;
 use crate::cluster::retry_budgets::BudgetLimits;
+use crate::cluster::retry_budgets::RetryBudgets;
 use crate::cluster::run_times::RunTimes;
 use crate::cluster::server_health::Evidence;
-use crate::cluster::server_health::Health;
-use crate::cluster::server_instance::ServerStart;
-use crate::cluster::store_health::Contact;
-use crate::cluster::unreadable_records::UnreadTable;
-use crate::cluster::workloads::Loads;
+use crate::cluster::server_health::ServerHealth;
+use crate::cluster::server_instance::ServerInstance;
+use crate::cluster::store_health::StoreHealth;
+use crate::cluster::unreadable_records::UnreadableRecords;
+use crate::cluster::workloads::Workloads;
 use crate::host_clock::HostClock;
 use crate::ids::CentreId;
 use crate::ids::DaemonId;
@@ -142,13 +142,13 @@
     /// What engines hold.
     pub holdings: RefCell<Holdings>,
     /// Work at servers.
-    pub loads: Loads,
+    pub loads: Workloads,
     /// Servers to avoid.
-    pub health: RefCell<Health>,
+    pub health: RefCell<ServerHealth>,
     /// How long requests run at engines.
     pub run_times: RunTimes,
     /// Repeated sends.
-    pub budget: RefCell<Budget>,
+    pub budget: RefCell<RetryBudgets>,
     /// Limits that servers name.
     pub rates: RefCell<RateLimits>,
     /// Requests under which servers crashed.
@@ -162,7 +162,7 @@
     /// Whether the store's list of daemons was read.
     pub acquainted: Cell<bool>,
     /// Whether this daemon reads the store for its data centre, and since when it should.
-    pub duty: RefCell<ReaderDuty>,
+    pub duty: RefCell<ReaderRole>,
     /// What the list of servers stands on.
     pub coverage: Coverage,
     /// Signalled when readers should tell their words at once.
@@ -190,7 +190,7 @@
     /// When the store last answered.
     pub store_seen: Cell<Moment>,
     /// Whether the store answers, by feed.
-    pub contact: RefCell<Contact>,
+    pub contact: RefCell<StoreHealth>,
     /// Signalled when a feed is answered again.
     pub store_back: Notify,
     /// The stop that SIGTERM began.
@@ -198,7 +198,7 @@
     /// Whether a stop is over, so that what is in progress is given up.
     pub ending: watch::Sender<bool>,
     /// Records of the store that cannot be read.
-    pub unread: RefCell<UnreadTable>,
+    pub unread: RefCell<UnreadableRecords>,
     /// Requests of callers whose answers are not all written.
     pub active: Cell<u32>,
     /// Whether this daemon is cut off from other data centres and the store.
@@ -233,7 +233,7 @@
             patience,
         );
         Rc::new(Self {
-            budget: RefCell::new(Budget::new(settings.budget)),
+            budget: RefCell::new(RetryBudgets::new(settings.budget)),
             settings: RefCell::new(Rc::new(settings)),
             process,
             clock,
@@ -244,7 +244,7 @@
             raw_config: RefCell::default(),
             directory: RefCell::default(),
             holdings: RefCell::default(),
-            loads: Loads::default(),
+            loads: Workloads::default(),
             health: RefCell::default(),
             run_times: RunTimes::default(),
             rates: RefCell::default(),
@@ -303,27 +303,27 @@
     /// Returns whether a peer that is in reach has a later version of the configuration.
     pub fn is_behind(&self) -> bool {
         let version = self.config_version();
-        self.peers.borrow().near(self.now()).any(|(_, peer)| peer.config > version)
+        self.peers.borrow().reachable(self.now()).any(|(_, peer)| peer.config_version > version)
     }
 
     /// Returns whether this daemon asks the store for the configuration often, on behalf of its data centre.
     pub fn reads_often(&self) -> bool {
         let settings = self.settings.borrow();
         let peers = self.peers.borrow();
-        if peers.is_large() {
+        if peers.is_large_fleet() {
             return self.reads() || self.config_age(self.now()) > WORD_BLIND;
         }
-        peers.reads_often(&settings.id, &settings.centre, self.now())
+        peers.polls_config(&settings.id, &settings.centre, self.now())
     }
 
     /// Returns whether the fleet is so large that daemons hear of each other through readers.
     pub fn is_large(&self) -> bool {
-        self.peers.borrow().is_large()
+        self.peers.borrow().is_large_fleet()
     }
 
     /// Returns whether this daemon reads the store for its data centre.
     pub fn reads(&self) -> bool {
-        self.duty.borrow().reads()
+        self.duty.borrow().is_reader()
     }
 
     /// Returns whether this daemon knows the platform by the words of readers.
@@ -380,7 +380,7 @@
     /// Returns whether operators may have written a version that this daemon does not follow: it has heard of one, or
     /// nobody has told for too long that there is none.
     pub fn is_unsure(&self, now: Moment) -> bool {
-        let told = now.saturating_sub(self.peers.borrow().config_seen(self.config_version()));
+        let told = now.saturating_sub(self.peers.borrow().config_checked(self.config_version()));
         let age = self.config_age(now).min(told);
         age > self.settings.borrow().stale_after || self.is_behind()
     }
@@ -406,23 +406,23 @@
     /// Returns whether the budget has a repeated send left.
     pub fn has_repeat(&self, service: &ServiceName) -> bool {
         let daemons = self.peers.borrow().daemons();
-        self.budget.borrow_mut().has_repeat(service, self.now(), daemons)
+        self.budget.borrow_mut().has_retry(service, self.now(), daemons)
     }
 
     /// Takes one repeated send out of the budget.
     pub fn take_repeat(&self, service: &ServiceName) -> bool {
         let daemons = self.peers.borrow().daemons();
-        self.budget.borrow_mut().take(service, self.now(), daemons)
+        self.budget.borrow_mut().take_retry(service, self.now(), daemons)
     }
 
     /// Takes in evidence about a start of a server.
-    pub fn note_health(&self, service: &ServiceName, server: &ServerStart, evidence: Evidence) {
+    pub fn note_health(&self, service: &ServiceName, server: &ServerInstance, evidence: Evidence) {
         // Requests fail at a start that is over long after the next one serves: a pause would keep
         // callers from a sound server.
         if !self.directory.borrow().is_current(server) {
             return;
         }
-        let pause = self.health.borrow_mut().note(service, server, self.now(), evidence);
+        let pause = self.health.borrow_mut().record(service, server, self.now(), evidence);
         if let Some(pause) = pause {
             slog::info!(self.log, "server-avoided"; "server" => %server,
                 "evidence" => ?evidence, "for_ms" => pause.as_millis());
@@ -432,7 +432,7 @@
     /// Counts a record of the store that cannot be read, and logs it where that is news.
     pub fn note_unread(&self, feed: Feed, key: &str, reason: &str) {
         self.metrics.unread(feed.name());
-        let note = self.unread.borrow_mut().note(feed, key, reason, self.now());
+        let note = self.unread.borrow_mut().record(feed, key, reason, self.now());
         if let Some(note) = note {
             slog::warn!(self.log, "record-unreadable"; "feed" => %feed, "key" => note.key.as_str(),
                 "reason" => note.reason, "unlogged" => note.unlogged);
@@ -448,7 +448,7 @@
     }
 
     /// Takes in the lease holder's word on what engines hold, and wakes those that wait for it.
-    pub fn put_holdings(&self, fence: Fence, list: Vec<Holding>) {
+    pub fn put_holdings(&self, fence: Fence, list: Vec<EngineInventory>) {
         let now = self.now();
         for holding in list {
             self.holdings.borrow_mut().put(fence, holding, now);
@@ -472,7 +472,7 @@
             turns: &turns,
             centre: &settings.centre,
             now: self.now(),
-            unseen: self.peers.borrow().unseen(),
+            unseen: self.peers.borrow().unseen_requests(),
             draw: self.draws.borrow().next(),
         })
     }
--- a/lib/src/serve/engine_client.rs
+++ b/lib/src/serve/engine_client.rs
@@ -8,7 +8,7 @@
 use http::Request;
 use http::StatusCode;
 
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::serve::call::CallError;
 use crate::store::LocalFuture;
 
@@ -20,7 +20,7 @@
     /// Makes a call to an engine at an address, which must be answered within `limit`.
     fn call<'a>(
         &'a self,
-        engine: &'a ServerStart,
+        engine: &'a ServerInstance,
         addr: SocketAddr,
         request: Request<Bytes>,
         limit: Duration,
--- a/lib/src/serve/engine_orders.rs
+++ b/lib/src/serve/engine_orders.rs
@@ -8,9 +8,9 @@
 use tokio::time::timeout;
 
 use crate::cluster::directory::Server;
-use crate::cluster::latest_instances::StartOrder;
+use crate::cluster::latest_instances::InstanceOrder;
 use crate::cluster::server_health::Evidence;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::Fence;
 use crate::ids::ModelName;
 use crate::placement::engine_table::Engine;
@@ -77,7 +77,7 @@
     /// Calls `f` with the ledger's page on one start of an engine, where there is one.
     pub fn with_engine<T>(
         &self,
-        start: &ServerStart,
+        start: &ServerInstance,
         f: impl FnOnce(&mut Engine) -> T,
     ) -> Option<T> {
         self.entry.ledger.borrow_mut().engine_mut(start).map(f)
@@ -87,7 +87,7 @@
     ///
     /// An id alone does not tell starts apart: the next one would carry out an order whose number of
     /// accepted orders happens to be its own.
-    fn target(&self, start: &ServerStart) -> Result<Rc<Server>, OrderFailure> {
+    fn target(&self, start: &ServerInstance) -> Result<Rc<Server>, OrderFailure> {
         let directory = self.entry.directory.borrow();
         let server = directory.get(&start.id).filter(|s| s.born == start.born);
         server.cloned().ok_or(OrderFailure::Ended)
@@ -98,7 +98,7 @@
     /// # Errors
     ///
     /// The start is over.
-    pub fn check_start(&self, start: &ServerStart) -> Result<(), OrderFailure> {
+    pub fn check_start(&self, start: &ServerInstance) -> Result<(), OrderFailure> {
         self.target(start).map(|_server| ())
     }
 
@@ -112,7 +112,7 @@
     /// The lease is lost, the engine is silent or not as believed, or what it holds is not known.
     pub async fn order(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         kind: OrderKind,
         model: &ModelName,
         adapter: Option<&SmolStr>,
@@ -189,7 +189,7 @@
     /// be carried out all the same. And only what is there counts as an order when it is unloaded.
     fn expected(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         kind: &OrderKind,
         model: &ModelName,
         adapter: Option<&SmolStr>,
@@ -210,7 +210,7 @@
     /// Sends an order once; the inner error says why it has no answer.
     async fn try_order(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         order: &EngineOrder,
         tries: usize,
     ) -> Result<Result<OrderReply, CallError>, OrderFailure> {
@@ -230,12 +230,16 @@
     }
 
     /// Announces a change at an engine: its orders are given while the guard lives.
-    pub fn announce(&self, server: &ServerStart, fence: Fence) -> ChangeGuard {
+    pub fn announce(&self, server: &ServerInstance, fence: Fence) -> ChangeGuard {
         ChangeGuard::new(&self.entry, engine_key(&server.id), fence)
     }
 
     /// Waits until an engine may be ordered under `fence`.
-    async fn wait_for_lease(&self, server: &ServerStart, fence: Fence) -> Result<(), OrderFailure> {
+    async fn wait_for_lease(
+        &self,
+        server: &ServerInstance,
+        fence: Fence,
+    ) -> Result<(), OrderFailure> {
         let entry = &self.entry;
         let engine = engine_key(&server.id);
         loop {
@@ -250,7 +254,7 @@
         }
     }
 
-    fn accepted(&self, server: &ServerStart, order: &EngineOrder) {
+    fn accepted(&self, server: &ServerInstance, order: &EngineOrder) {
         let now = self.entry.now();
         self.with_engine(server, |engine| {
             engine.sequence = order.expect + 1;
@@ -269,7 +273,7 @@
     /// out in its place, by a change that was given up or by an earlier lease holder, however long ago.
     async fn settle(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         order: &EngineOrder,
         reply: OrderReply,
     ) -> Result<bool, OrderFailure> {
@@ -308,7 +312,7 @@
     }
 
     /// Reads the report of one start of an engine; none where it cannot be had.
-    pub async fn report(&self, start: &ServerStart) -> Option<EngineReport> {
+    pub async fn report(&self, start: &ServerInstance) -> Option<EngineReport> {
         let entry = &self.entry;
         let server = self.target(start).ok()?;
         let request = entry.protocol.report(&server);
@@ -335,8 +339,8 @@
     }
 
     /// Takes in which start an engine reports for, and returns whether that is the one asked.
-    fn is_current(&self, start: &ServerStart, report: &EngineReport) -> bool {
-        let told = ServerStart { id: start.id.clone(), born: report.born };
-        apply_updates::take_start(&self.entry, &told, "report") == StartOrder::Same
+    fn is_current(&self, start: &ServerInstance, report: &EngineReport) -> bool {
+        let told = ServerInstance { id: start.id.clone(), born: report.born };
+        apply_updates::take_start(&self.entry, &told, "report") == InstanceOrder::Same
     }
 }
--- a/lib/src/serve/event_stream.rs
+++ b/lib/src/serve/event_stream.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use http_body_util::BodyExt as _;
 
-use crate::cluster::workloads::InProgress;
+use crate::cluster::workloads::WorkloadGuard;
 use crate::serve::events::EventOrder;
 use crate::serve::events::EventSplitter;
 use crate::serve::send::Answer;
@@ -19,7 +19,7 @@
     splitter: EventSplitter,
     order: EventOrder,
     /// The request's work at the server.
-    pub work: InProgress,
+    pub work: WorkloadGuard,
 }
 
 /// What came next in a stream.
@@ -33,7 +33,7 @@
 
 impl Flow {
     /// Reads events after the last one that the caller has.
-    pub fn new(answer: Answer, last: Option<u64>, work: InProgress) -> Self {
+    pub fn new(answer: Answer, last: Option<u64>, work: WorkloadGuard) -> Self {
         let splitter = EventSplitter::default();
         Self { answer, splitter, order: EventOrder::after(last), work }
     }
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -48,7 +48,7 @@
         let Some(chosen) = choose(entry, attempt) else {
             let turn = entry.choose(|c| c.next_turn(&attempt.service, attempt.item().as_ref()));
             if let Some(turn) = turn.filter(|_| !attempt.is_spent()) {
-                let left = (attempt.arrived + attempt.route.goal).saturating_sub(now);
+                let left = (attempt.arrived + attempt.route.latency_goal).saturating_sub(now);
                 if let Some(retry) = missed(turn, left) {
                     return Err(Refusal::failed(attempt.verdict, LIMITED, retry));
                 }
@@ -62,7 +62,7 @@
                 return Err(Refusal::failed(attempt.verdict, attempt.reason, FULL));
             }
             // Each server refused it: they are asked once more after a pause, within the goal.
-            if now > attempt.arrived + attempt.route.goal {
+            if now > attempt.arrived + attempt.route.latency_goal {
                 return Err(Refusal::unrun("all servers are full", FULL));
             }
             tokio::time::sleep(FULL_PAUSE).await;
@@ -135,7 +135,7 @@
 ) -> Exchange<(response::Parts, Bytes)> {
     let server = Rc::clone(&chosen.server);
     attempt.sent(chosen, entry.now());
-    entry.note_send(&server.start());
+    entry.note_send(&server.instance());
     let request = attempt.request(entry, &server, None);
     let work = entry.loads.begin(attempt.place(&server), attempt.terms.prompt);
     let id = attempt.terms.attempt.clone();
--- a/lib/src/serve/exchange_stream.rs
+++ b/lib/src/serve/exchange_stream.rs
@@ -103,7 +103,7 @@
 ) -> Exchange<Opened> {
     let server = Rc::clone(&chosen.server);
     attempt.sent(chosen, entry.now());
-    entry.note_send(&server.start());
+    entry.note_send(&server.instance());
     let request = attempt.request(entry, &server, resume);
     let work = entry.loads.begin(attempt.place(&server), attempt.terms.prompt);
     let id = attempt.terms.attempt.clone();
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -115,7 +115,7 @@
 
 /// Returns once the request can go on at another server; never, where it may not.
 async fn elsewhere(entry: &Rc<Entry>, attempt: &Attempt, patience: Duration) -> Chosen {
-    if !attempt.route.is_repeatable() {
+    if !attempt.route.is_retryable() {
         return pending().await;
     }
     sleep(patience).await;
@@ -153,8 +153,8 @@
     let tried = attempt.all_tried();
     let chosen = entry.choose(|c| c.spare(&attempt.service, item.as_ref(), &tried))?;
     let server = &chosen.server;
-    if entry.pool.prepare(&server.start(), server.addr).await.is_err() {
-        entry.note_health(&attempt.service, &server.start(), Evidence::Unreachable);
+    if entry.pool.prepare(&server.instance(), server.addr).await.is_err() {
+        entry.note_health(&attempt.service, &server.instance(), Evidence::Unreachable);
         return None;
     }
     // Nothing is awaited from here until the caller of `hear` has the server.
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -9,7 +9,7 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::ModelSpec;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::placement::demand::ModelTarget;
 use crate::serve::admission::Admission;
 use crate::serve::admission::Outlook;
@@ -69,7 +69,7 @@
             Choice::Missing => {}
         }
         let now = entry.now();
-        let patience = attempt.deadline.min(attempt.arrived + attempt.route.patience());
+        let patience = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
         let give_up = patience.min(entry.last_start(attempt.deadline));
         if let Some(refusal) = hopeless(entry, attempt, &item, began, give_up) {
             attempt.waited += now.saturating_sub(began);
@@ -82,7 +82,7 @@
                 "give_up_ms" => give_up.saturating_sub(now).as_millis());
             guard = Some(entry.waits.begin(
                 item.clone(),
-                (attempt.arrived + attempt.route.goal).saturating_sub(FIRST_EVENT),
+                (attempt.arrived + attempt.route.latency_goal).saturating_sub(FIRST_EVENT),
                 give_up,
                 unusable(entry, &attempt.service, &attempt.tried),
             ));
@@ -109,7 +109,7 @@
     sleep(SPREAD.mul_f64(rand::rng().random_range(0.5..1.0))).await;
     while entry.now() < attempt.deadline && entry.held_refusal(attempt).is_none() {
         let changed = entry.waits.changed.notified();
-        let undecided = entry.quarantine.borrow().undecided(&attempt.print, entry.now());
+        let undecided = entry.quarantine.borrow().decision_delay(&attempt.print, entry.now());
         if undecided.is_zero() && may_go(entry, attempt) {
             return;
         }
@@ -140,7 +140,7 @@
     closed.extend_from_slice(&attempt.tried);
     let choice = entry.choose(|c| c.engine(item, &closed));
     if let Choice::Server(chosen) = &choice {
-        trial.begin(chosen.server.start());
+        trial.begin(chosen.server.instance());
     }
     choice
 }
@@ -149,10 +149,10 @@
 fn admit(entry: &Entry, attempt: &mut Attempt, chosen: Chosen) -> Result<Chosen, Refusal> {
     let now = entry.now();
     let left = |until: Moment| until.saturating_sub(now);
-    let leaves = attempt.deadline.min(attempt.arrived + attempt.route.patience());
+    let leaves = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
     let outlook = Outlook {
         wait: chosen.wait,
-        due: left(attempt.arrived + attempt.route.goal),
+        due: left(attempt.arrived + attempt.route.latency_goal),
         patience: left(leaves),
     };
     match outlook.admit() {
@@ -171,7 +171,7 @@
 }
 
 /// Engines that this request cannot use: those that failed it, and those out of reach.
-pub fn unusable(entry: &Entry, service: &str, tried: &[ServerStart]) -> Vec<ServerStart> {
+pub fn unusable(entry: &Entry, service: &str, tried: &[ServerInstance]) -> Vec<ServerInstance> {
     let mut list = entry.choose(|c| c.dark(service));
     list.extend(entry.choose(|c| c.held_back(service)));
     list.extend_from_slice(tried);
@@ -190,7 +190,7 @@
     let expected = entry.choose(|c| {
         let servers = c.directory.servers().filter(|s| s.service == item.service && !s.leaving);
         let times = servers.filter_map(|s| {
-            c.holdings.expected(&s.start(), &item.model, item.adapter.as_deref(), now)
+            c.holdings.expected_at(&s.instance(), &item.model, item.adapter.as_deref(), now)
         });
         times.min()
     });
@@ -240,13 +240,13 @@
 
 /// Time of the model's load from the weight store.
 fn load_time(attempt: &Attempt, item: &ModelTarget) -> Duration {
-    model_spec(attempt, item).map_or(COME_BACK, |m| m.load)
+    model_spec(attempt, item).map_or(COME_BACK, |m| m.store_load)
 }
 
 /// Time that an item which is not on its way takes at least until its first event.
 fn soonest(attempt: &Attempt, item: &ModelTarget) -> Duration {
     let spec = model_spec(attempt, item).filter(|_| item.adapter.is_none());
-    spec.map_or(WORD_TIME, |m| m.warm.min(m.disk).min(m.load) + FIRST_EVENT)
+    spec.map_or(WORD_TIME, |m| m.memory_load.min(m.disk_load).min(m.store_load) + FIRST_EVENT)
 }
 
 /// Chooses another server for a stream that broke off; callers wait for events, so not for long.
--- a/lib/src/serve/follow_servers.rs
+++ b/lib/src/serve/follow_servers.rs
@@ -39,7 +39,7 @@
         }
         let is_whole = !is_listed || must_list(&entry);
         let sent = entry.now();
-        let end = entry.directory.borrow().end();
+        let end = entry.directory.borrow().feed_end();
         let result = if is_whole {
             noted(&entry, Feed::Servers, entry.store.newest(Feed::Servers)).await
         } else {
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -10,21 +10,21 @@
 use tokio::time::sleep;
 
 use crate::boot_clock::Moment;
-use crate::cluster::digest::Content;
 use crate::cluster::digest::Digest;
-use crate::cluster::digest::LeftNote;
-use crate::cluster::digest::LoadNote;
+use crate::cluster::digest::Payload;
 use crate::cluster::digest::PeerMessage;
 use crate::cluster::digest::ProcessId;
+use crate::cluster::digest::ServerDeparture;
+use crate::cluster::digest::WorkloadReport;
 use crate::cluster::directory::Change;
-use crate::cluster::engine_inventories::Holding;
-use crate::cluster::latest_instances::StartOrder;
-use crate::cluster::reader_report::Word;
-use crate::cluster::reader_report::WorkScope;
-use crate::cluster::readers::HeardWord;
-use crate::cluster::server_instance::ServerStart;
-use crate::cluster::workloads::Place;
-use crate::cluster::workloads::Work;
+use crate::cluster::engine_inventories::EngineInventory;
+use crate::cluster::latest_instances::InstanceOrder;
+use crate::cluster::reader_report::ReaderReport;
+use crate::cluster::reader_report::WorkloadScope;
+use crate::cluster::readers::ReaderStatus;
+use crate::cluster::server_instance::ServerInstance;
+use crate::cluster::workloads::Workload;
+use crate::cluster::workloads::WorkloadKey;
 use crate::ids::DaemonId;
 use crate::ids::Fence;
 use crate::ids::Offset;
@@ -59,13 +59,13 @@
         Rc::new(Self { entry, socket, malformed, told, told_all, round })
     }
 
-    pub(super) fn encode(&self, content: Content) -> Vec<u8> {
+    pub(super) fn encode(&self, content: Payload) -> Vec<u8> {
         let settings = self.entry.settings();
         let message = PeerMessage {
             from: settings.id.clone(),
             process: self.entry.process,
             port: settings.peer.port(),
-            content,
+            payload: content,
         };
         message.encode()
     }
@@ -107,20 +107,22 @@
         }
         let now = entry.now();
         let addr = SocketAddr::new(from.ip(), message.port);
-        match message.content {
-            Content::Digest(digest) => {
+        match message.payload {
+            Payload::Digest(digest) => {
                 self.take_state(&message.from, addr, message.process, &digest);
-                self.take_loads(&message.from, digest.loads);
+                self.take_loads(&message.from, digest.workloads);
             }
-            Content::Demand(note) => {
+            Payload::Demand(note) => {
                 if entry.fence().is_some() {
                     entry.demand.borrow_mut().update(&message.from, note, now);
                     entry.plan.notify_one();
                 }
             }
-            Content::Holdings(fence, list) => self.take_holdings(&message.from, fence, list),
-            Content::Word(word) => self.take_word(&message.from, addr, message.process, word),
-            Content::Trials(notes) => {
+            Payload::Inventories(fence, list) => self.take_holdings(&message.from, fence, list),
+            Payload::ReaderReport(word) => {
+                self.take_word(&message.from, addr, message.process, word)
+            }
+            Payload::Trials(notes) => {
                 if entry.trials.heard(&message.from, notes, now) {
                     entry.waits.changed.notify_waiters();
                 }
@@ -129,12 +131,12 @@
     }
 
     /// Takes in that a peer named a start of a server; returns whether its word on it counts.
-    fn is_heard(&self, start: &ServerStart, from: &DaemonId) -> bool {
-        apply_updates::take_start(&self.entry, start, from) != StartOrder::Older
+    fn is_heard(&self, start: &ServerInstance, from: &DaemonId) -> bool {
+        apply_updates::take_start(&self.entry, start, from) != InstanceOrder::Older
     }
 
     /// Takes in what engines hold; a reader passes the lease holder's word on to its data centre.
-    fn take_holdings(&self, from: &DaemonId, fence: Fence, mut list: Vec<Holding>) {
+    fn take_holdings(&self, from: &DaemonId, fence: Fence, mut list: Vec<EngineInventory>) {
         let entry = &self.entry;
         let is_holder = entry.peers.borrow().holder(entry.now()).is_some_and(|(id, ..)| id == from);
         if is_holder && entry.is_large() && entry.reads() {
@@ -152,30 +154,30 @@
         let was_silent = entry.peers.borrow_mut().heard(from, addr, process, digest, now);
         if was_silent {
             slog::info!(entry.log, "dependency-regained"; "dependency" => "peer", "peer" => %from,
-                "addr" => %addr, "config" => digest.config);
+                "addr" => %addr, "config" => digest.config_version);
         }
-        if digest.config > entry.config_version() {
+        if digest.config_version > entry.config_version() {
             entry.config_news.notify_one();
             entry.fetch.notify_one();
         }
-        if !had_holder && digest.tenure.is_some() {
+        if !had_holder && digest.lease.is_some() {
             // Demand that nobody heard is told to the new holder at once.
             entry.waits.begun.notify_one();
         }
-        self.take_left(from, &digest.left);
+        self.take_left(from, &digest.departures);
         entry.hear_limits(&digest.limits, from);
         suspects::hear(entry, &digest.quarantine, from);
     }
 
-    fn take_left(&self, from: &DaemonId, left: &[LeftNote]) {
+    fn take_left(&self, from: &DaemonId, left: &[ServerDeparture]) {
         let entry = &self.entry;
         let now = entry.now();
         let mut changed = false;
         for note in left {
-            if entry.directory.borrow_mut().leave(note, now) != Change::None {
+            if entry.directory.borrow_mut().apply_departure(note, now) != Change::None {
                 changed = true;
                 slog::info!(entry.log, "server"; "server" => %note.server, "change" => "Leaving",
-                    "from" => %from, "beat" => note.beat,
+                    "from" => %from, "beat" => note.heartbeat,
                     "born" => note.server.born.unwrap_or(0));
             }
         }
@@ -184,54 +186,56 @@
         }
     }
 
-    fn take_loads(&self, from: &DaemonId, loads: Vec<LoadNote>) {
+    fn take_loads(&self, from: &DaemonId, loads: Vec<WorkloadReport>) {
         let loads = loads.into_iter().filter(|note| self.is_heard(&note.server, from));
-        let work = |note: LoadNote| {
+        let work = |note: WorkloadReport| {
             (
-                Place { server: note.server, model: note.model },
-                Work { running: note.running, prompt: note.prompt },
+                WorkloadKey { server: note.server, model: note.model },
+                Workload { running: note.running, prompt_tokens: note.prompt_tokens },
             )
         };
-        self.entry.loads.heard(from, self.entry.now(), loads.map(work).collect());
+        self.entry.loads.set_peer(from, self.entry.now(), loads.map(work).collect());
     }
 
     /// Takes in a reader's word.
-    fn take_word(&self, from: &DaemonId, addr: SocketAddr, process: ProcessId, word: Word) {
+    fn take_word(&self, from: &DaemonId, addr: SocketAddr, process: ProcessId, word: ReaderReport) {
         let entry = &self.entry;
         let now = entry.now();
-        let heard = HeardWord::new(&word, now);
-        let Word { digest, from: told_from, joined, usable, scope, work, .. } = word;
+        let heard = ReaderStatus::new(&word, now);
+        let ReaderReport { digest, changes_from, joined, checksum, scope, workloads, .. } = word;
         self.take_state(from, addr, process, &digest);
-        entry.peers.borrow_mut().heard_word(from, heard);
+        entry.peers.borrow_mut().set_reader_status(from, heard);
         let is_near = digest.centre == entry.settings().centre;
         match (scope, is_near) {
-            (WorkScope::Centre, false) => entry.loads.heard_centre(&digest.centre, now, work),
-            (WorkScope::Centre, true) => entry.loads.heard_near(now, work),
-            (WorkScope::Fleet, true) if !entry.reads() => entry.loads.heard_fleet(now, work),
-            (WorkScope::Fleet, _) => {}
+            (WorkloadScope::Centre, false) => {
+                entry.loads.set_centre(&digest.centre, now, workloads)
+            }
+            (WorkloadScope::Centre, true) => entry.loads.set_own_centre(now, workloads),
+            (WorkloadScope::Fleet, true) if !entry.reads() => entry.loads.set_fleet(now, workloads),
+            (WorkloadScope::Fleet, _) => {}
         }
         if !is_near || entry.follows_servers() {
             return;
         }
-        if digest.config <= entry.config_version() {
+        if digest.config_version <= entry.config_version() {
             let age = Duration::from_millis(digest.config_age.into());
             let told = &entry.coverage.config;
             told.set(told.get().max(now.saturating_sub(age)));
         }
-        if self.take_changes(&heard, told_from, digest.servers, joined) {
-            self.compare(from, digest.servers, usable);
+        if self.take_changes(&heard, changes_from, digest.servers_end, joined) {
+            self.compare(from, digest.servers_end, checksum);
         }
     }
 
     /// Compares the picture with that of a reader after its word. Where they differ something was told wrong or not at
     /// all: it shows here long before requests go to a server that is gone.
-    fn compare(&self, from: &DaemonId, end: Offset, usable: u64) {
+    fn compare(&self, from: &DaemonId, end: Offset, checksum: u64) {
         let entry = &self.entry;
         let directory = entry.directory.borrow();
-        if directory.end() != end {
+        if directory.feed_end() != end {
             return;
         }
-        if entry.coverage.compared(directory.usable() == usable, entry.now()) {
+        if entry.coverage.compared(directory.checksum() == checksum, entry.now()) {
             entry.metrics.word("differs");
             slog::warn!(entry.log, "picture-differs"; "reader" => %from, "feed_end" => end,
                 "servers" => directory.servers().count());
@@ -243,7 +247,7 @@
     /// follow on what is known.
     fn take_changes(
         &self,
-        heard: &HeardWord,
+        heard: &ReaderStatus,
         from: Offset,
         end: Offset,
         joined: Vec<(ServerId, Vec<u8>)>,
@@ -262,7 +266,7 @@
         if changed {
             apply_updates::servers_changed(entry);
         }
-        if from > entry.directory.borrow().end() {
+        if from > entry.directory.borrow().feed_end() {
             // Some changes were told while this daemon did not hear: the whole picture is fetched.
             entry.metrics.word("gap");
             entry.coverage.has_gap.set(true);
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -23,7 +23,7 @@
 use crate::cluster::configuration::RouteKind;
 use crate::cluster::configuration::ServiceName;
 use crate::cluster::fingerprint::Fingerprint;
-use crate::cluster::quarantine_report::Passed;
+use crate::cluster::quarantine_report::RequestProgress;
 use crate::serve::active_request::ActiveRequest;
 use crate::serve::attempt::Attempt;
 use crate::serve::body::ReplyBody;
@@ -99,7 +99,7 @@
     };
     let body = tokio::select! {
         biased;
-        body = read_body(body, config.limits.body) => body,
+        body = read_body(body, config.limits.max_body) => body,
         () = entry.ended() => Err(Refusal::unrun(STOPS, ELSEWHERE)),
     };
     let body = match body {
@@ -208,7 +208,7 @@
     if let Some(item) = attempt.item() {
         entry.waits.arrived(&item, attempt.arrived);
     }
-    entry.budget.borrow_mut().first(&attempt.service, attempt.arrived);
+    entry.budget.borrow_mut().record_first(&attempt.service, attempt.arrived);
     if entry.now() > entry.last_start(attempt.deadline) {
         return refuse(entry, &attempt, &Refusal::unrun(STOPS, ELSEWHERE));
     }
@@ -220,7 +220,7 @@
     match result {
         Ok(Opened::Other(head, body)) => {
             attempt.verdict = Verdict::Ran;
-            entry.note_passed(&attempt, Passed::Whole);
+            entry.note_passed(&attempt, RequestProgress::Complete);
             log_answer(entry, &attempt, head.status, "answered", None);
             pass_on(head, body)
         }
--- a/lib/src/serve/model_loading.rs
+++ b/lib/src/serve/model_loading.rs
@@ -8,7 +8,7 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::ModelSpec;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::cluster::workload_table::model_key;
 use crate::cluster::workload_table::server_key;
 use crate::ids::Fence;
@@ -45,7 +45,12 @@
 
 impl Orders {
     /// Loads a model, and notes what came of it.
-    pub(super) async fn run_load(self: Rc<Self>, server: ServerStart, job: LoadJob, fence: Fence) {
+    pub(super) async fn run_load(
+        self: Rc<Self>,
+        server: ServerInstance,
+        job: LoadJob,
+        fence: Fence,
+    ) {
         let result = self.carry_out(&server, &job, fence).await;
         let entry = &self.entry;
         let now = entry.now();
@@ -71,7 +76,7 @@
     /// Unloads the victims, loads the model, and waits until it is there.
     async fn carry_out(
         self: &Rc<Self>,
-        server: &ServerStart,
+        server: &ServerInstance,
         job: &LoadJob,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
@@ -105,7 +110,7 @@
     /// Waits until a load has ended: as a report tells, or at the moment that is known where loads end on time.
     async fn await_end(
         self: &Rc<Self>,
-        server: &ServerStart,
+        server: &ServerInstance,
         job: &LoadJob,
         known: Option<Moment>,
         fence: Fence,
@@ -148,7 +153,13 @@
     }
 
     /// Looks in reports whether a load that was taken to have ended has done so; the engine is doubted where not.
-    fn verify(self: &Rc<Self>, server: &ServerStart, model: &ModelName, due: Moment, fence: Fence) {
+    fn verify(
+        self: &Rc<Self>,
+        server: &ServerInstance,
+        model: &ModelName,
+        due: Moment,
+        fence: Fence,
+    ) {
         let (orders, server, model) = (Rc::clone(self), server.clone(), model.clone());
         spawn_local(async move {
             let until = due + EtaAccuracy::tolerance();
@@ -185,7 +196,7 @@
 
     /// Waits until an engine can be expected to have dropped the models that make way: it does so when their last
     /// request has ended, and refuses the next order until then.
-    async fn drained(&self, server: &ServerStart, victims: &[ModelName]) {
+    async fn drained(&self, server: &ServerInstance, victims: &[ModelName]) {
         if victims.is_empty() {
             return;
         }
@@ -201,7 +212,7 @@
     }
 
     /// Waits until a moment, or until an engine is gone or has started again.
-    async fn doze(&self, server: &ServerStart, until: Moment) -> Result<(), OrderFailure> {
+    async fn doze(&self, server: &ServerInstance, until: Moment) -> Result<(), OrderFailure> {
         loop {
             self.engines.check_start(server)?;
             let left = until.saturating_sub(self.entry.now());
@@ -221,17 +232,17 @@
 
     /// The time of a load from the weight store that has it for itself.
     pub(super) fn load_time(&self, service: &str, model: &str) -> Duration {
-        self.model_spec(service, model).map_or(Duration::ZERO, |spec| spec.load)
+        self.model_spec(service, model).map_or(Duration::ZERO, |spec| spec.store_load)
     }
 
     /// The time of a load from a copy on the host, of which nothing else takes a part; none where there is no copy. A
     /// copy in the host's memory may have made way by now, while that on its disk is still there.
-    fn copy_time(&self, server: &ServerStart, job: &LoadJob) -> Option<Duration> {
+    fn copy_time(&self, server: &ServerInstance, job: &LoadJob) -> Option<Duration> {
         if job.source == Source::Store {
             return None;
         }
         let service = self.with_engine(server, |e| e.server.service.clone())?;
-        self.model_spec(&service, &job.model).map(|spec| spec.disk)
+        self.model_spec(&service, &job.model).map(|spec| spec.disk_load)
     }
 
     fn fetching(&self) -> usize {
@@ -241,15 +252,15 @@
     }
 
     /// The time of a load that shares the weight store with those under way.
-    fn plain_time(&self, server: &ServerStart, job: &LoadJob) -> Duration {
+    fn plain_time(&self, server: &ServerInstance, job: &LoadJob) -> Duration {
         let service = self.with_engine(server, |e| e.server.service.clone());
         let Some(spec) = service.and_then(|service| self.model_spec(&service, &job.model)) else {
             return job.eta.saturating_sub(job.since);
         };
         match job.source {
-            Source::Memory => spec.warm,
-            Source::Disk => spec.disk,
-            Source::Store => self.desk.borrow().pace.share().time(spec.load, self.fetching()),
+            Source::Memory => spec.memory_load,
+            Source::Disk => spec.disk_load,
+            Source::Store => self.desk.borrow().pace.share().time(spec.store_load, self.fetching()),
         }
     }
 }
--- a/lib/src/serve/model_waits.rs
+++ b/lib/src/serve/model_waits.rs
@@ -8,10 +8,10 @@
 use tokio::sync::Notify;
 
 use crate::boot_clock::Moment;
-use crate::cluster::digest::CountNote;
-use crate::cluster::digest::DemandNote;
-use crate::cluster::digest::WantNote;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::digest::ArrivalCount;
+use crate::cluster::digest::DemandReport;
+use crate::cluster::digest::QueuedDemand;
+use crate::cluster::server_instance::ServerInstance;
 use crate::placement::demand::ModelTarget;
 
 /// Arrivals of an item are told for this long after the last one.
@@ -21,7 +21,7 @@
 struct Waiting {
     due: Moment,
     until: Moment,
-    avoid: Vec<ServerStart>,
+    avoid: Vec<ServerInstance>,
 }
 
 #[derive(Debug, Default)]
@@ -64,7 +64,7 @@
         item: ModelTarget,
         due: Moment,
         until: Moment,
-        avoid: Vec<ServerStart>,
+        avoid: Vec<ServerInstance>,
     ) -> WaitGuard {
         let mut tables = self.tables.borrow_mut();
         let number = tables.next;
@@ -87,31 +87,31 @@
     }
 
     /// Returns the demand to be told.
-    pub fn note(&self, now: Moment) -> DemandNote {
+    pub fn note(&self, now: Moment) -> DemandReport {
         let tables = self.tables.borrow();
-        let wants = tables.waiting.iter().map(|(item, list)| want(item, list, now)).collect();
+        let queued = tables.waiting.iter().map(|(item, list)| want(item, list, now)).collect();
         let fresh = tables.counts.iter().filter(|(_, (at, _))| now <= *at + TOLD_FOR);
-        let counts = fresh.map(|(item, (_, count))| CountNote {
+        let arrivals = fresh.map(|(item, (_, count))| ArrivalCount {
             service: item.service.clone(),
             model: item.model.clone(),
             adapter: item.adapter.clone(),
             count: *count,
         });
-        DemandNote { wants, counts: counts.collect() }
+        DemandReport { queued, arrivals: arrivals.collect() }
     }
 }
 
-fn want(item: &ModelTarget, list: &BTreeMap<u64, Waiting>, now: Moment) -> WantNote {
+fn want(item: &ModelTarget, list: &BTreeMap<u64, Waiting>, now: Moment) -> QueuedDemand {
     let until = list.values().map(|w| w.until).max().unwrap_or_default();
     let due = list.values().map(|w| w.due).max().unwrap_or_default();
     let mut avoid = list.values().next().map(|w| w.avoid.clone()).unwrap_or_default();
     avoid.retain(|id| list.values().all(|w| w.avoid.contains(id)));
-    WantNote {
+    QueuedDemand {
         service: item.service.clone(),
         model: item.model.clone(),
         adapter: item.adapter.clone(),
         waiting: list.len() as u32,
-        left_ms: until.saturating_sub(now).as_millis() as u32,
+        remaining_ms: until.saturating_sub(now).as_millis() as u32,
         due_ms: due.saturating_sub(now).as_millis() as u32,
         avoid,
     }
--- a/lib/src/serve/peer_sync.rs
+++ b/lib/src/serve/peer_sync.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 use crate::cluster::digest::PeerRequest;
-use crate::cluster::digest::PictureReply;
+use crate::cluster::digest::SnapshotReply;
 use crate::cluster::directory::Change;
 use crate::serve::apply_updates;
 use crate::serve::daemon_state::Entry;
@@ -45,7 +45,7 @@
         }
         behind_since = None;
         turn = turn.wrapping_add(1);
-        fetch_from(&entry, peer, PeerRequest::Picture).await;
+        fetch_from(&entry, peer, PeerRequest::Snapshot).await;
     }
 }
 
@@ -62,7 +62,7 @@
         let now = entry.now();
         let centre = entry.settings().centre.clone();
         let version = entry.config_version();
-        let later = entry.peers.borrow().later_reader(&centre, version, turn, now);
+        let later = entry.peers.borrow().reader_ahead(&centre, version, turn, now);
         if let Some(reader) = later {
             sleep(Duration::from_millis(entry.process % FETCH_SPREAD)).await;
             fetch_from(&entry, reader, PeerRequest::Configuration).await;
@@ -87,10 +87,10 @@
         let peers = entry.peers.borrow();
         let list: Vec<_> = peers.readers(&centre, now).collect();
         let chosen = list.get(turn % list.len().max(1));
-        chosen.and_then(|(_, p)| Some((p.addr, p.reader_word(now)?.read)))
+        chosen.and_then(|(_, p)| Some((p.addr, p.fresh_reader_status(now)?.read)))
     };
     let Some((addr, read)) = reader else { return };
-    if fetch_from(entry, addr, PeerRequest::Picture).await {
+    if fetch_from(entry, addr, PeerRequest::Snapshot).await {
         entry.coverage.has_gap.set(false);
         entry.coverage.reached(read);
     }
@@ -118,7 +118,7 @@
     let centre = entry.settings().centre.clone();
     let silence = entry.store_silence(now);
     // Neither alone is enough: all peers may have stopped, and the store may be away for all.
-    let isolated = silence > store_silent(entry) && entry.peers.borrow().cut_off(&centre, now);
+    let isolated = silence > store_silent(entry) && entry.peers.borrow().is_isolated(&centre, now);
     if entry.isolated.replace(isolated) != isolated {
         slog::warn!(entry.log, "isolation"; "cut_off" => isolated,
             "store_seen_ms_ago" => silence.as_millis());
@@ -135,20 +135,20 @@
 fn peer_ahead(entry: &Entry, turn: usize) -> Option<SocketAddr> {
     let now = entry.now();
     let config = entry.config_version();
-    let servers = entry.directory.borrow().end();
+    let servers = entry.directory.borrow().feed_end();
     let is_silent = entry.store_silence(now) > store_silent(entry);
     let servers = is_silent.then_some(servers);
     let centre = &entry.settings().centre;
-    entry.peers.borrow().ahead(config, servers, centre, turn, now)
+    entry.peers.borrow().snapshot_source(config, servers, centre, turn, now)
 }
 
-fn adopt(entry: &Entry, picture: PictureReply) {
+fn adopt(entry: &Entry, picture: SnapshotReply) {
     if !picture.raw_config.is_empty() {
         apply_updates::adopt_config(entry, &Bytes::from(picture.raw_config), apply_updates::PEER);
     }
     // One of the same age may heal a difference.
-    let end = entry.directory.borrow().end();
-    if picture.servers < end || picture.raw_servers.is_empty() {
+    let end = entry.directory.borrow().feed_end();
+    if picture.servers_end < end || picture.raw_servers.is_empty() {
         return;
     }
     let mut changed = false;
@@ -166,7 +166,7 @@
         changed = true;
         slog::info!(entry.log, "server"; "server" => %id, "change" => ?change, "from" => apply_updates::PEER);
     }
-    entry.directory.borrow_mut().advance(picture.servers);
+    entry.directory.borrow_mut().advance(picture.servers_end);
     if changed {
         apply_updates::servers_changed(entry);
     }
--- a/lib/src/serve/peer_transfer.rs
+++ b/lib/src/serve/peer_transfer.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 use crate::cluster::digest::PeerRequest;
-use crate::cluster::digest::PictureReply;
+use crate::cluster::digest::SnapshotReply;
 use crate::serve::daemon_state::Entry;
 use crate::serve::socket;
 
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// The peer cannot be reached or answers nonsense.
-pub async fn fetch(peer: SocketAddr, request: PeerRequest) -> io::Result<PictureReply> {
+pub async fn fetch(peer: SocketAddr, request: PeerRequest) -> io::Result<SnapshotReply> {
     let mut stream = socket::connect(peer, FETCH_LIMIT).await?;
     let request = postcard::to_stdvec(&request).map_err(io::Error::other)?;
     stream.write_u32(request.len() as u32).await?;
@@ -69,18 +69,18 @@
 
 async fn serve_peer(entry: &Entry, mut stream: TcpStream) -> io::Result<()> {
     let request = read_frame(&mut stream, REQUEST_LIMIT).await?;
-    let mut reply = PictureReply {
-        config: entry.config_version(),
+    let mut reply = SnapshotReply {
+        config_version: entry.config_version(),
         raw_config: entry.raw_config.borrow().to_vec(),
-        ..PictureReply::default()
+        ..SnapshotReply::default()
     };
     match postcard::from_bytes(&request).map_err(io::Error::other)? {
         PeerRequest::Configuration => {}
-        PeerRequest::Picture => {
+        PeerRequest::Snapshot => {
             let directory = entry.directory.borrow();
-            reply.servers = directory.end();
+            reply.servers_end = directory.feed_end();
             reply.raw_servers =
-                directory.raw().map(|(id, raw)| (id.clone(), raw.to_vec())).collect();
+                directory.raw_entries().map(|(id, raw)| (id.clone(), raw.to_vec())).collect();
             reply.awaited = directory.awaited().cloned().collect();
         }
     }
--- a/lib/src/serve/placement_controller.rs
+++ b/lib/src/serve/placement_controller.rs
@@ -11,8 +11,8 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::Configuration;
-use crate::cluster::directory::HeldModel;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::directory::LoadedModel;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::Fence;
 use crate::ids::ModelName;
 use crate::ids::ServerId;
@@ -49,8 +49,8 @@
 const PLAN_PART: u32 = 4;
 
 /// Writes models and their adapters for the log.
-fn held_names(models: &[HeldModel]) -> String {
-    let name = |m: &HeldModel| format!("{}[{}]", m.name, m.adapters.join(","));
+fn held_names(models: &[LoadedModel]) -> String {
+    let name = |m: &LoadedModel| format!("{}[{}]", m.name, m.adapters.join(","));
     models.iter().map(name).collect::<Vec<_>>().join(",")
 }
 
@@ -68,7 +68,7 @@
     /// When holdings were last told to all.
     told: Moment,
     /// Engines whose report is being read.
-    reading: Vec<ServerStart>,
+    reading: Vec<ServerInstance>,
 }
 
 /// Plans and carries plans out.
@@ -171,7 +171,8 @@
         let rates = config.services.values().filter_map(|s| s.engine.as_ref()).map(|e| e.load_rate);
         let rate = rates.fold(f64::INFINITY, f64::min);
         let avoided = ledger.engines.values().map(|e| &e.server);
-        let avoided = avoided.filter(|s| health.is_avoided(&s.start(), now)).map(|s| s.id.clone());
+        let avoided =
+            avoided.filter(|s| health.is_avoided(&s.instance(), now)).map(|s| s.id.clone());
         let window = entry.settings().load_window;
         let mut desk = self.desk.borrow_mut();
         let share = desk.pace.share();
@@ -200,7 +201,7 @@
         let ledger = entry.ledger.borrow();
         let mut desk = self.desk.borrow_mut();
         for engine in ledger.engines.values() {
-            let start = engine.server.start();
+            let start = engine.server.instance();
             let is_idle = engine.job.is_none() && engine.adapter_jobs.is_empty();
             let is_due = is_idle && !engine.confirmed && now >= engine.backoff_until;
             if !is_due || desk.reading.contains(&start) {
@@ -216,7 +217,7 @@
         }
     }
 
-    fn take_report(&self, start: &ServerStart, report: Option<&EngineReport>) {
+    fn take_report(&self, start: &ServerInstance, report: Option<&EngineReport>) {
         let entry = &self.entry;
         let now = entry.now();
         let mut ledger = entry.ledger.borrow_mut();
@@ -258,7 +259,7 @@
                     "waiting" => entry.demand.borrow().backlogs(now).values().map(|w| w.waiting).sum::<u32>());
                 let job = LoadJob { model, victims, source, since: now, eta: now + time };
                 engine.job = Some(job.clone());
-                let start = engine.server.start();
+                let start = engine.server.instance();
                 let service = engine.server.service.clone();
                 let alone = self.load_time(&service, &job.model);
                 if source == Source::Store {
@@ -273,7 +274,7 @@
                 let eta = now + ADAPTER_TIME;
                 let job = AdapterJob { model, adapter, victim, eta };
                 engine.adapter_jobs.push(job.clone());
-                let start = engine.server.start();
+                let start = engine.server.instance();
                 self.desk.borrow_mut().untold.insert(server, TELLINGS);
                 let orders = Rc::clone(self);
                 spawn_local(async move { orders.run_adapter(start, job, fence).await });
@@ -283,14 +284,14 @@
 
     pub(super) fn with_engine<T>(
         &self,
-        start: &ServerStart,
+        start: &ServerInstance,
         f: impl FnOnce(&mut Engine) -> T,
     ) -> Option<T> {
         self.engines.with_engine(start, f)
     }
 
     /// Tells this daemon and those that wait for `model` what an engine holds; the others follow.
-    pub(super) fn publish(&self, server: &ServerStart, model: &ModelName, fence: Fence) {
+    pub(super) fn publish(&self, server: &ServerInstance, model: &ModelName, fence: Fence) {
         let entry = &self.entry;
         let now = entry.now();
         self.desk.borrow_mut().untold.insert(server.id.clone(), TELLINGS);
--- a/lib/src/serve/pool.rs
+++ b/lib/src/serve/pool.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::serve::socket;
 
 /// Time for a connection: some round trips between data centres, and less than a goal.
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    server: ServerStart,
+    server: ServerInstance,
 }
 
 #[derive(Debug)]
@@ -50,7 +50,7 @@
 /// Idle connections by start of a server: what was opened to the last start is never used for the next.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    idle: Rc<RefCell<HashMap<ServerStart, Vec<Idle>>>>,
+    idle: Rc<RefCell<HashMap<ServerInstance, Vec<Idle>>>>,
 }
 
 impl Connection {
@@ -62,7 +62,7 @@
 
 impl Pool {
     /// Returns an idle connection that is still sound.
-    fn take_idle(&self, server: &ServerStart) -> Option<Connection> {
+    fn take_idle(&self, server: &ServerInstance) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(server)?;
         let now = Instant::now();
@@ -81,7 +81,7 @@
     /// The server cannot be reached; nothing was sent.
     pub async fn connection(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         addr: SocketAddr,
     ) -> std::io::Result<Connection> {
         if let Some(connection) = self.take_idle(server) {
@@ -97,7 +97,7 @@
     /// The server cannot be reached; nothing was sent.
     pub async fn fresh(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         addr: SocketAddr,
     ) -> std::io::Result<Connection> {
         let stream = socket::connect(addr, CONNECT_LIMIT).await?;
@@ -115,7 +115,7 @@
     /// # Errors
     ///
     /// The server cannot be reached.
-    pub async fn prepare(&self, server: &ServerStart, addr: SocketAddr) -> std::io::Result<()> {
+    pub async fn prepare(&self, server: &ServerInstance, addr: SocketAddr) -> std::io::Result<()> {
         if self.has_idle(server) {
             return Ok(());
         }
@@ -127,7 +127,11 @@
     /// # Errors
     ///
     /// The server cannot be reached.
-    pub async fn open_idle(&self, server: &ServerStart, addr: SocketAddr) -> std::io::Result<()> {
+    pub async fn open_idle(
+        &self,
+        server: &ServerInstance,
+        addr: SocketAddr,
+    ) -> std::io::Result<()> {
         let Connection { mut sender, server } = self.fresh(server, addr).await?;
         sender.ready().await.map_err(std::io::Error::other)?;
         let until = Instant::now() + DEFAULT_KEEP.mul_f64(KEEP_PART);
@@ -135,7 +139,7 @@
         Ok(())
     }
 
-    fn has_idle(&self, server: &ServerStart) -> bool {
+    fn has_idle(&self, server: &ServerInstance) -> bool {
         let now = Instant::now();
         let idle = self.idle.borrow();
         idle.get(server).is_some_and(|l| l.iter().any(|i| now < i.until && i.sender.is_ready()))
@@ -166,12 +170,12 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: &ServerStart) {
+    pub fn forget(&self, server: &ServerInstance) {
         self.idle.borrow_mut().remove(server);
     }
 
     /// Closes idle connections that are too old, and all to servers other than `known`.
-    pub fn sweep(&self, known: impl Fn(&ServerStart) -> bool) {
+    pub fn sweep(&self, known: impl Fn(&ServerInstance) -> bool) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
--- a/lib/src/serve/pooled_client.rs
+++ b/lib/src/serve/pooled_client.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::Request;
 
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::serve::call::call;
 use crate::serve::daemon_state::Entry;
 use crate::serve::engine_client::CallResult;
@@ -30,7 +30,7 @@
 impl EngineCalls for PooledCalls {
     fn call<'a>(
         &'a self,
-        engine: &'a ServerStart,
+        engine: &'a ServerInstance,
         addr: SocketAddr,
         request: Request<Bytes>,
         limit: Duration,
