--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -8,17 +8,17 @@
 use tokio::time::timeout;
 
 use crate::boot_clock::Moment;
-use crate::cluster::digest::Content;
-use crate::cluster::digest::DemandNote;
+use crate::cluster::digest::DemandReport;
 use crate::cluster::digest::Digest;
-use crate::cluster::digest::LeftNote;
-use crate::cluster::digest::LoadNote;
-use crate::cluster::digest::TenureNote;
-use crate::cluster::engine_inventories::Holding;
-use crate::cluster::reader_report::Word;
-use crate::cluster::reader_report::WorkScope;
-use crate::cluster::workloads::Place;
-use crate::cluster::workloads::Work;
+use crate::cluster::digest::LeaseReport;
+use crate::cluster::digest::Payload;
+use crate::cluster::digest::ServerDeparture;
+use crate::cluster::digest::WorkloadReport;
+use crate::cluster::engine_inventories::EngineInventory;
+use crate::cluster::reader_report::ReaderReport;
+use crate::cluster::reader_report::WorkloadScope;
+use crate::cluster::workloads::Workload;
+use crate::cluster::workloads::WorkloadKey;
 use crate::ids::CentreId;
 use crate::ids::DaemonId;
 use crate::ids::Fence;
@@ -40,89 +40,89 @@
 impl Gossip {
     fn digest_gap(&self) -> Duration {
         let peers = self.entry.peers.borrow();
-        let is_holder = self.entry.standing().is_some() && !peers.is_large();
-        if is_holder { peers.holder_gap() } else { peers.digest_gap() }
+        let is_holder = self.entry.standing().is_some() && !peers.is_large_fleet();
+        if is_holder { peers.holder_interval() } else { peers.digest_interval() }
     }
 
-    fn digest(&self, left: Vec<LeftNote>) -> Digest {
+    fn digest(&self, departures: Vec<ServerDeparture>) -> Digest {
         let entry = &self.entry;
         let now = entry.now();
         let claim = entry.tenure.borrow().claim(now);
-        let servers = entry.directory.borrow().end();
+        let servers_end = entry.directory.borrow().feed_end();
         let age = entry.config_age(now);
-        let note = |(place, work): (Place, Work)| LoadNote {
+        let note = |(place, work): (WorkloadKey, Workload)| WorkloadReport {
             server: place.server,
             model: place.model,
             running: work.running,
-            prompt: work.prompt,
+            prompt_tokens: work.prompt_tokens,
         };
         let settings = entry.settings();
         Digest {
             centre: settings.centre.clone(),
-            config: entry.config_version(),
+            config_version: entry.config_version(),
             config_age: millis(age),
-            servers,
-            left,
+            servers_end,
+            departures,
             ready: entry.is_ready(),
-            small: settings.host.is_small(),
-            loads: entry.loads.own().into_iter().map(note).collect(),
+            is_small: settings.host.is_small(),
+            workloads: entry.loads.snapshot_own().into_iter().map(note).collect(),
             limits: entry.rates.borrow().note(now, entry.reads()),
             quarantine: entry.quarantine.borrow().note(now, entry.reads()),
-            tenure: claim.map(TenureNote::from),
+            lease: claim.map(LeaseReport::from),
         }
     }
 
     fn digest_message(&self) -> Vec<u8> {
         let left = self.entry.directory.borrow_mut().left(self.entry.now());
-        self.encode(Content::Digest(self.digest(left)))
+        self.encode(Payload::Digest(self.digest(left)))
     }
 
-    fn word_message(&self, scope: WorkScope) -> Vec<u8> {
+    fn word_message(&self, scope: WorkloadScope) -> Vec<u8> {
         let entry = &self.entry;
         let now = entry.now();
         let centre = entry.settings().centre.clone();
         let mut directory = entry.directory.borrow_mut();
-        let left = directory.gone(now);
-        let mut from = directory.told_from();
+        let departures = directory.all_departures(now);
+        let mut changes_from = directory.history_start();
         let mut joined: Vec<_> = match scope {
-            WorkScope::Fleet => directory.joined(now),
-            WorkScope::Centre => Vec::new(),
+            WorkloadScope::Fleet => directory.recent_joins(now),
+            WorkloadScope::Centre => Vec::new(),
         };
         if joined.iter().map(|(_, raw)| raw.len()).sum::<usize>() > JOINED_BYTES {
             joined.clear();
-            from = directory.end();
+            changes_from = directory.feed_end();
         }
-        let usable = directory.usable();
+        let checksum = directory.checksum();
         drop(directory);
-        let work = match scope {
-            WorkScope::Fleet => entry.loads.fleet_table(now).notes(false),
-            WorkScope::Centre => entry.loads.centre_table(now).notes(true),
+        let workloads = match scope {
+            WorkloadScope::Fleet => entry.loads.fleet_table(now).summaries(false),
+            WorkloadScope::Centre => entry.loads.centre_table(now).summaries(true),
         };
-        let others = entry.peers.borrow().others_heard(&centre, now);
-        let told = Word {
-            digest: Digest { loads: Vec::new(), ..self.digest(left) },
-            from,
+        let remote_heard = entry.peers.borrow().remote_heard(&centre, now);
+        let told = ReaderReport {
+            digest: Digest { workloads: Vec::new(), ..self.digest(departures) },
+            changes_from,
             read_age: millis(now.saturating_sub(entry.coverage.servers.get())),
-            others_age: millis(now.saturating_sub(others)),
+            remote_age: millis(now.saturating_sub(remote_heard)),
             joined: joined.into_iter().map(|(id, raw)| (id, raw.to_vec())).collect(),
-            usable,
+            checksum,
             scope,
-            work,
+            workloads,
         };
-        self.encode(Content::Word(told))
+        self.encode(Payload::ReaderReport(told))
     }
 
     /// Looks whether this daemon should read the store for its data centre.
     fn look_at_duty(&self, now: Moment) {
         let entry = &self.entry;
         let centre = entry.settings().centre.clone();
-        let before = entry.peers.borrow().before(entry.rank(), &centre, now);
+        let before = entry.peers.borrow().higher_ranked(entry.rank(), &centre, now);
         let is_needed =
             entry.is_large() && entry.acquainted.get() && entry.stopping.get().is_none();
         let mut duty = entry.duty.borrow_mut();
-        let did = duty.reads();
+        let did = duty.is_reader();
         let does = if is_needed {
-            duty.look(before, now)
+            duty.update(before, now)
         } else {
             duty.end();
             false
@@ -164,7 +164,7 @@
         }
         let bytes = self.digest_message();
         let centre = self.entry.settings().centre.clone();
-        for peer in self.entry.peers.borrow().mates(&centre) {
+        for peer in self.entry.peers.borrow().in_centre(&centre) {
             self.send(peer.addr, &bytes, "digest");
         }
     }
@@ -186,7 +186,7 @@
         for addr in &addrs {
             self.send(*addr, &bytes, "digest");
         }
-        if self.entry.peers.borrow().near(now).next().is_none() {
+        if self.entry.peers.borrow().reachable(now).next().is_none() {
             for seed in &self.entry.settings().seeds {
                 if !addrs.contains(seed) && *seed != self.entry.settings().peer {
                     self.send(*seed, &bytes, "digest");
@@ -201,7 +201,7 @@
 
     /// Tells all daemons which suspected requests are here: each must know before it sends a copy of one.
     fn tell_trials(&self) {
-        let bytes = self.encode(Content::Trials(self.entry.trials.own()));
+        let bytes = self.encode(Payload::Trials(self.entry.trials.own()));
         for (_, peer) in self.entry.peers.borrow().all() {
             self.send(peer.addr, &bytes, "trials");
         }
@@ -210,12 +210,12 @@
     fn listeners(&self, round: u64, has_news: bool, now: Moment) -> Vec<SocketAddr> {
         let peers = self.entry.peers.borrow();
         let centre = self.entry.settings().centre.clone();
-        let is_due = has_news || now >= self.told_all.get() + peers.holder_gap();
+        let is_due = has_news || now >= self.told_all.get() + peers.holder_interval();
         if self.entry.standing().is_some() && is_due {
             self.told_all.set(now);
             return peers.all().map(|(_, p)| p.addr).collect();
         }
-        peers.listeners(&centre, round, now)
+        peers.digest_targets(&centre, round, now)
     }
 
     /// Tells the data centre, the readers of the others and the lease holder what a reader knows.
@@ -226,10 +226,10 @@
         }
         let now = entry.now();
         let centre = entry.settings().centre.clone();
-        let near = self.word_message(WorkScope::Fleet);
-        let far = self.word_message(WorkScope::Centre);
+        let near = self.word_message(WorkloadScope::Fleet);
+        let far = self.word_message(WorkloadScope::Centre);
         let peers = entry.peers.borrow();
-        for peer in peers.mates(&centre) {
+        for peer in peers.in_centre(&centre) {
             self.send(peer.addr, &near, "word");
         }
         let mut addrs: Vec<SocketAddr> = peers
@@ -260,7 +260,7 @@
         let entry = &self.entry;
         let now = entry.now();
         let note = entry.waits.note(now);
-        if note == DemandNote::default() {
+        if note == DemandReport::default() {
             return;
         }
         if entry.fence().is_some() {
@@ -271,16 +271,16 @@
         }
         let holder = entry.peers.borrow().holder(now).map(|(_, peer, _)| peer.addr);
         if let Some(addr) = holder {
-            let bytes = self.encode(Content::Demand(note));
+            let bytes = self.encode(Payload::Demand(note));
             self.send(addr, &bytes, "demand");
         }
     }
 
     /// Tells all peers what engines hold, in a large fleet by way of readers.
-    pub fn tell_holdings(&self, fence: Fence, holdings: &[Holding]) {
+    pub fn tell_holdings(&self, fence: Fence, holdings: &[EngineInventory]) {
         let addrs = self.holdings_listeners();
         for part in holdings.chunks(HOLDINGS_EACH) {
-            let bytes = self.encode(Content::Holdings(fence, part.to_vec()));
+            let bytes = self.encode(Payload::Inventories(fence, part.to_vec()));
             for addr in &addrs {
                 self.send(*addr, &bytes, "holdings");
             }
@@ -289,7 +289,7 @@
 
     fn holdings_listeners(&self) -> Vec<SocketAddr> {
         let peers = self.entry.peers.borrow();
-        if !peers.is_large() {
+        if !peers.is_large_fleet() {
             return peers.all().map(|(_, p)| p.addr).collect();
         }
         let now = self.entry.now();
@@ -297,23 +297,23 @@
         let to_centre = |centre: &CentreId| -> Vec<SocketAddr> {
             let readers: Vec<_> = peers.readers(centre, now).map(|(_, p)| p.addr).collect();
             let is_told = *centre != own && !readers.is_empty();
-            if is_told { readers } else { peers.mates(centre).map(|p| p.addr).collect() }
+            if is_told { readers } else { peers.in_centre(centre).map(|p| p.addr).collect() }
         };
         peers.centres().flat_map(to_centre).collect()
     }
 
     /// Passes the lease holder's word on to the data centre.
-    pub(super) fn relay_holdings(&self, fence: Fence, list: &[Holding]) {
-        let bytes = self.encode(Content::Holdings(fence, list.to_vec()));
+    pub(super) fn relay_holdings(&self, fence: Fence, list: &[EngineInventory]) {
+        let bytes = self.encode(Payload::Inventories(fence, list.to_vec()));
         let centre = self.entry.settings().centre.clone();
-        for peer in self.entry.peers.borrow().mates(&centre) {
+        for peer in self.entry.peers.borrow().in_centre(&centre) {
             self.send(peer.addr, &bytes, "holdings");
         }
     }
 
     /// Tells some peers what an engine holds.
-    pub fn tell_holding(&self, fence: Fence, holding: &Holding, daemons: &[DaemonId]) {
-        let bytes = self.encode(Content::Holdings(fence, vec![holding.clone()]));
+    pub fn tell_holding(&self, fence: Fence, holding: &EngineInventory, daemons: &[DaemonId]) {
+        let bytes = self.encode(Payload::Inventories(fence, vec![holding.clone()]));
         let peers = self.entry.peers.borrow();
         for (_, peer) in peers.all().filter(|(id, _)| daemons.contains(id)) {
             self.send(peer.addr, &bytes, "holdings");
--- a/lib/src/serve/relay.rs
+++ b/lib/src/serve/relay.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use crate::boot_clock::Moment;
-use crate::cluster::quarantine_report::Passed;
+use crate::cluster::quarantine_report::RequestProgress;
 use crate::cluster::server_health::Evidence;
 use crate::serve::attempt::Attempt;
 use crate::serve::body::BrokenOff;
@@ -72,9 +72,9 @@
             let reason = match stop {
                 Stop::Complete => {
                     let run = self.entry.now().saturating_sub(first);
-                    self.entry.run_times.note(&self.attempt.service, run);
+                    self.entry.run_times.record(&self.attempt.service, run);
                     self.attempt.verdict = Verdict::Ran;
-                    self.entry.note_passed(&self.attempt, Passed::Whole);
+                    self.entry.note_passed(&self.attempt, RequestProgress::Complete);
                     self.log(head.status, "complete", first, flow.last());
                     self.entry.pool.give_back(flow.answer.connection, flow.answer.terms.keep);
                     return;
@@ -131,7 +131,7 @@
 
     /// Passes events on until the stream stops.
     async fn pass(&mut self, flow: &mut Flow, mut chunk: Bytes) -> Stop {
-        let gap = self.attempt.route.gap.unwrap_or(Duration::from_secs(1));
+        let gap = self.attempt.route.gap_target.unwrap_or(Duration::from_secs(1));
         loop {
             if !chunk.is_empty() && self.sender.send(Ok(chunk)).await.is_err() {
                 return Stop::CallerLeft;
--- a/lib/src/serve/send.rs
+++ b/lib/src/serve/send.rs
@@ -129,7 +129,7 @@
     request: Request<Bytes>,
 ) -> Result<Answer, SendFailure> {
     let mut request = request.map(Full::new);
-    let (start, pool, sent) = (server.start(), &entry.pool, entry.now());
+    let (start, pool, sent) = (server.instance(), &entry.pool, entry.now());
     let mut connection = pool
         .connection(&start, server.addr)
         .await
--- a/lib/src/serve/server_feedback.rs
+++ b/lib/src/serve/server_feedback.rs
@@ -4,11 +4,11 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::rate_limit::RateLimit;
-use crate::cluster::rate_limits::LimitNote;
+use crate::cluster::rate_limits::LimitReport;
 use crate::cluster::rate_share::RateShare;
-use crate::cluster::send_permit::Turn;
-use crate::cluster::send_permit::Turns;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::send_permit::SendPermit;
+use crate::cluster::send_permit::SendPermits;
+use crate::cluster::server_instance::ServerInstance;
 use crate::protocol::AnswerTerms;
 use crate::protocol::NamedLimit;
 use crate::serve::daemon_state::Entry;
@@ -20,7 +20,7 @@
 /// Returns when a caller that leaves after `left` should come back, where the turn does not come until then.
 ///
 /// Where other daemons send, it may go to one of these at once.
-pub fn missed(turn: Turn, left: Duration) -> Option<Duration> {
+pub fn missed(turn: SendPermit, left: Duration) -> Option<Duration> {
     match turn.wait {
         Some(wait) => (wait > left).then_some(wait),
         None => Some(ELSEWHERE),
@@ -29,10 +29,10 @@
 
 impl Entry {
     /// Takes in what a server's answer says of its load and its limit; the request was `sent` then.
-    pub fn hear_server(&self, server: &ServerStart, terms: &AnswerTerms, sent: Moment) {
+    pub fn hear_server(&self, server: &ServerInstance, terms: &AnswerTerms, sent: Moment) {
         let now = self.now();
         if let Some(word) = terms.load {
-            self.loads.told(server, now, word);
+            self.loads.set_reported(server, now, word);
         }
         // Only an answer with the server's signature tells that it names no limit any more.
         let limit = match &terms.limit {
@@ -40,7 +40,7 @@
             NamedLimit::None if !terms.signed => return,
             NamedLimit::None => None,
             NamedLimit::Unreadable(text) => {
-                let is_news = self.rates.borrow_mut().unread(server);
+                let is_news = self.rates.borrow_mut().record_unreadable(server);
                 if is_news {
                     slog::warn!(self.log, "server-limit-unreadable"; "server" => %server,
                         "limit" => text.as_str());
@@ -48,20 +48,20 @@
                 None
             }
         };
-        if self.rates.borrow_mut().answered(server, limit, sent, now) {
+        if self.rates.borrow_mut().record_answer(server, limit, sent, now) {
             self.note_limit(server, "own");
         }
     }
 
     /// Takes in what a peer heard of servers' limits.
-    pub fn hear_limits(&self, notes: &[LimitNote], from: &str) {
+    pub fn hear_limits(&self, notes: &[LimitReport], from: &str) {
         let changed = self.rates.borrow_mut().hear(notes, self.now());
         for server in changed {
             self.note_limit(&server, from);
         }
     }
 
-    fn note_limit(&self, server: &ServerStart, from: &str) {
+    fn note_limit(&self, server: &ServerInstance, from: &str) {
         let limit = self.rates.borrow().limit(server);
         let share = limit.and_then(|limit| self.share(server, limit));
         slog::info!(self.log, "server-limit"; "server" => %server, "from" => from,
@@ -71,26 +71,26 @@
     }
 
     /// Returns this daemon's part of a server's limit; none where other daemons send what the server takes.
-    fn share(&self, server: &ServerStart, limit: RateLimit) -> Option<RateShare> {
+    fn share(&self, server: &ServerInstance, limit: RateLimit) -> Option<RateShare> {
         let peers = self.peers.borrow();
         let share = RateShare::new(limit, peers.daemons());
         peers.is_sender(&self.settings.borrow().id, server, share.senders).then_some(share)
     }
 
     /// Returns when this daemon may send to the servers that name limits.
-    pub fn turns(&self) -> Turns {
+    pub fn turns(&self) -> SendPermits {
         let mut rates = self.rates.borrow_mut();
         if rates.is_empty() {
-            return Turns::new();
+            return SendPermits::new();
         }
-        rates.turns(self.now(), |server, limit| self.share(server, limit))
+        rates.send_permits(self.now(), |server, limit| self.share(server, limit))
     }
 
     /// Takes in that a request is sent to a server.
-    pub fn note_send(&self, server: &ServerStart) {
+    pub fn note_send(&self, server: &ServerInstance) {
         let limit = self.rates.borrow().limit(server);
         if let Some(share) = limit.and_then(|limit| self.share(server, limit)) {
-            self.rates.borrow_mut().sent(server, share, self.now());
+            self.rates.borrow_mut().record_send(server, share, self.now());
         }
     }
 }
--- a/lib/src/serve/store_calls.rs
+++ b/lib/src/serve/store_calls.rs
@@ -67,7 +67,7 @@
 async fn silence_ended(entry: &Entry, sent: Moment) {
     loop {
         let back = entry.store_back.notified();
-        if sent < entry.contact.borrow().back() {
+        if sent < entry.contact.borrow().recovered_at() {
             return;
         }
         back.await;
@@ -86,7 +86,7 @@
 fn answered(entry: &Entry, feed: Feed, sent: Moment) {
     let now = entry.now();
     entry.store_seen.set(now);
-    if let Some(away) = entry.contact.borrow_mut().answered(feed, sent, now) {
+    if let Some(away) = entry.contact.borrow_mut().record_answer(feed, sent, now) {
         entry.store_back.notify_waiters();
         slog::info!(entry.log, "dependency-regained"; "dependency" => "store", "feed" => %feed,
             "away_ms" => away.as_millis(), "call_ms" => now.saturating_sub(sent).as_millis());
@@ -96,7 +96,7 @@
 fn failed(entry: &Entry, feed: Feed, sent: Moment, error: &StoreError) {
     let now = entry.now();
     let mut contact = entry.contact.borrow_mut();
-    if contact.failed(feed, matches!(error, StoreError::Doubtful(_))) {
+    if contact.record_failure(feed, matches!(error, StoreError::Doubtful(_))) {
         slog::warn!(entry.log, "dependency-lost"; "dependency" => "store", "feed" => %feed,
             "error" => %error, "call_ms" => now.saturating_sub(sent).as_millis(),
             "feed_seen_ms_ago" => contact.silence(feed, now).as_millis(),
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -12,12 +12,12 @@
 use tokio::time::timeout;
 
 use crate::cluster::fingerprint::Fingerprint;
-use crate::cluster::quarantine::HELD_FOR;
+use crate::cluster::quarantine::HOLD_TIME;
 use crate::cluster::quarantine_report::CrashId;
-use crate::cluster::quarantine_report::Passed;
-use crate::cluster::quarantine_report::QuarantineNote;
-use crate::cluster::quarantine_report::Stage;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::quarantine_report::CrashStage;
+use crate::cluster::quarantine_report::QuarantineReport;
+use crate::cluster::quarantine_report::RequestProgress;
+use crate::cluster::server_instance::ServerInstance;
 use crate::placement::entries;
 use crate::serve::attempt::Attempt;
 use crate::serve::daemon_state::Entry;
@@ -51,8 +51,8 @@
     }
 
     /// Takes in how far a server came with a request.
-    pub fn note_passed(&self, attempt: &Attempt, passed: Passed) {
-        if self.quarantine.borrow_mut().passed(attempt.print, passed, self.now()) {
+    pub fn note_passed(&self, attempt: &Attempt, passed: RequestProgress) {
+        if self.quarantine.borrow_mut().record_progress(attempt.print, passed, self.now()) {
             self.crash_news.notify_one();
         }
     }
@@ -61,7 +61,7 @@
     pub fn note_events(&self, attempt: &mut Attempt) {
         if attempt.young_since.is_some_and(|first| self.now() >= first + YOUNG) {
             attempt.young_since = None;
-            self.note_passed(attempt, Passed::Young);
+            self.note_passed(attempt, RequestProgress::Young);
         }
     }
 
@@ -69,12 +69,12 @@
     pub fn held_refusal(self: &Rc<Self>, attempt: &Attempt) -> Option<Refusal> {
         judge(self, attempt.print);
         let is_held = self.is_held(&attempt.print);
-        is_held.then(|| Refusal::failed(attempt.verdict, HELD, HELD_FOR))
+        is_held.then(|| Refusal::failed(attempt.verdict, HELD, HOLD_TIME))
     }
 
     /// Returns whether servers crashed under a request that nobody cleared of it.
     pub fn is_suspect(&self, print: &Fingerprint) -> bool {
-        !self.quarantine.borrow().crashed_by(print).is_empty()
+        !self.quarantine.borrow().suspected_crashes(print).is_empty()
     }
 }
 
@@ -93,39 +93,39 @@
 }
 
 /// Where a server listens, unless it is known to be leaving or gone.
-fn address(entry: &Entry, server: &ServerStart) -> Option<SocketAddr> {
+fn address(entry: &Entry, server: &ServerInstance) -> Option<SocketAddr> {
     let directory = entry.directory.borrow();
     let known = directory.get(&server.id).filter(|s| s.born == server.born && !s.leaving);
     known.map(|s| s.addr)
 }
 
-fn stage(entry: &Entry, attempt: &Attempt, broke: Break) -> Stage {
+fn stage(entry: &Entry, attempt: &Attempt, broke: Break) -> CrashStage {
     match (broke, attempt.first) {
-        (Break::Answering, None) => Stage::Begun,
-        (Break::Answering, Some(first)) if entry.now() < first + YOUNG => Stage::Young,
-        _ => Stage::Other,
+        (Break::Answering, None) => CrashStage::BeforeEvents,
+        (Break::Answering, Some(first)) if entry.now() < first + YOUNG => CrashStage::FirstEvent,
+        _ => CrashStage::Other,
     }
 }
 
 /// Returns whether a server refuses connections. One that takes this connection gets the next request on it.
-async fn refuses(entry: &Entry, server: &ServerStart, addr: SocketAddr) -> bool {
+async fn refuses(entry: &Entry, server: &ServerInstance, addr: SocketAddr) -> bool {
     match timeout(REFUSAL_TIME, entry.pool.open_idle(server, addr)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(())) | Err(_) => false,
     }
 }
 
-fn note_crash(entry: &Rc<Entry>, attempt: &Attempt, server: &ServerStart, stage: Stage) {
+fn note_crash(entry: &Rc<Entry>, attempt: &Attempt, server: &ServerInstance, stage: CrashStage) {
     let print = attempt.print;
     let mut quarantine = entry.quarantine.borrow_mut();
-    let is_held = quarantine.crashed(server, attempt.sent, print, stage, entry.now());
-    let crashes = quarantine.crashed_by(&print).len();
+    let is_held = quarantine.record_crash(server, attempt.sent, print, stage, entry.now());
+    let crashes = quarantine.suspected_crashes(&print).len();
     drop(quarantine);
-    if stage < Stage::Other || crashes > 1 {
+    if stage < CrashStage::Other || crashes > 1 {
         slog::info!(entry.log, "request-suspected"; "print" => %print, "server" => %server,
             "stage" => stage.name(), "crashes" => crashes);
     }
-    if stage == Stage::Begun {
+    if stage == CrashStage::BeforeEvents {
         entry.crash_news.notify_one();
     }
     if is_held {
@@ -135,7 +135,7 @@
 
 /// Holds a request if what peers have told since is enough.
 fn judge(entry: &Rc<Entry>, print: Fingerprint) {
-    let is_held = entry.quarantine.borrow_mut().judge(print, entry.now());
+    let is_held = entry.quarantine.borrow_mut().evaluate(print, entry.now());
     if is_held {
         hold(entry, print);
     }
@@ -151,14 +151,14 @@
 fn note_held(entry: &Entry, print: Fingerprint, from: &str) {
     let quarantine = entry.quarantine.borrow();
     let servers: Vec<_> =
-        quarantine.crashed_by(&print).iter().map(|c| c.server.id.as_str()).collect();
+        quarantine.suspected_crashes(&print).iter().map(|c| c.server.id.as_str()).collect();
     slog::warn!(entry.log, "request-held"; "print" => %print, "from" => from,
         "servers" => servers.join(","), "held" => quarantine.held().count());
     entry.metrics.held(quarantine.held().count());
 }
 
 /// Takes in what a peer knows of such requests.
-pub fn hear(entry: &Rc<Entry>, note: &QuarantineNote, from: &str) {
+pub fn hear(entry: &Rc<Entry>, note: &QuarantineReport, from: &str) {
     let held = entry.quarantine.borrow_mut().hear(note, entry.now());
     for print in held {
         note_held(entry, print, from);
@@ -184,7 +184,8 @@
 
 /// Writes a held request to the store, since all daemons may be replaced at once.
 async fn store_held(entry: Rc<Entry>, print: Fingerprint) {
-    let crashes = entry.quarantine.borrow().crashed_by(&print).into_iter().cloned().collect();
+    let crashes =
+        entry.quarantine.borrow().suspected_crashes(&print).into_iter().cloned().collect();
     let held = HeldEntry { crashes };
     append(entry, FeedRecord { key: print.key(), value: Some(entries::encode(&held)) }).await;
 }
--- a/lib/src/serve/trials.rs
+++ b/lib/src/serve/trials.rs
@@ -12,8 +12,8 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::fingerprint::Fingerprint;
-use crate::cluster::server_instance::ServerStart;
-use crate::cluster::trial_report::TrialNote;
+use crate::cluster::server_instance::ServerInstance;
+use crate::cluster::trial_report::TrialReport;
 use crate::ids::DaemonId;
 
 /// A peer's word on its suspects counts for this long: two digests.
@@ -28,14 +28,14 @@
 #[derive(Debug)]
 struct OwnTrial {
     since: Moment,
-    note: TrialNote,
+    note: TrialReport,
 }
 
 #[derive(Debug, Default)]
 struct Tables {
     begun: TrialNumber,
     own: BTreeMap<TrialNumber, OwnTrial>,
-    peers: HashMap<DaemonId, (Moment, Vec<TrialNote>)>,
+    peers: HashMap<DaemonId, (Moment, Vec<TrialReport>)>,
 }
 
 /// Suspects that wait for their turn, or that an engine has without an event yet.
@@ -59,19 +59,19 @@
         let mut tables = self.tables.borrow_mut();
         tables.begun += 1;
         let number = tables.begun;
-        let note = TrialNote { print, server: None };
+        let note = TrialReport { fingerprint: print, server: None };
         tables.own.insert(number, OwnTrial { since: now, note });
         self.changed.notify_one();
         Trial { trials: self.clone(), number }
     }
 
     /// Returns this daemon's, for peers.
-    pub fn own(&self) -> Vec<TrialNote> {
+    pub fn own(&self) -> Vec<TrialReport> {
         self.tables.borrow().own.values().map(|own| own.note.clone()).collect()
     }
 
     /// Takes in a peer's; returns whether it had others before.
-    pub fn heard(&self, peer: &DaemonId, notes: Vec<TrialNote>, now: Moment) -> bool {
+    pub fn heard(&self, peer: &DaemonId, notes: Vec<TrialReport>, now: Moment) -> bool {
         let mut tables = self.tables.borrow_mut();
         if notes.is_empty() {
             return tables.peers.remove(peer).is_some();
@@ -82,7 +82,7 @@
     }
 
     /// Returns the servers that should get no other suspect now.
-    pub fn servers(&self, now: Moment) -> Vec<ServerStart> {
+    pub fn servers(&self, now: Moment) -> Vec<ServerInstance> {
         let tables = self.tables.borrow();
         let peers = tables.fresh(now).map(|(_, note)| note);
         let own = tables.own.values().map(|own| &own.note);
@@ -96,14 +96,15 @@
     /// waited for the same model do not go off together.
     pub fn is_next(&self, trial: &Trial, daemon: &str, now: Moment) -> bool {
         let tables = self.tables.borrow();
-        let Some(OwnTrial { since, note: TrialNote { print, .. } }) = tables.own.get(&trial.number)
+        let Some(OwnTrial { since, note: TrialReport { fingerprint: print, .. } }) =
+            tables.own.get(&trial.number)
         else {
             return false;
         };
-        let mut own = tables.own.iter().filter(|(_, own)| own.note.print == *print);
+        let mut own = tables.own.iter().filter(|(_, own)| own.note.fingerprint == *print);
         let is_first = own.all(|(n, own)| *n >= trial.number && own.note.server.is_none());
         let own_rank = rank(print, daemon);
-        let mut copies = tables.fresh(now).filter(|(_, note)| note.print == *print);
+        let mut copies = tables.fresh(now).filter(|(_, note)| note.fingerprint == *print);
         is_first
             && now >= *since + HEARD_WITHIN
             && copies.all(|(peer, note)| note.server.is_none() && rank(print, peer) > own_rank)
@@ -112,7 +113,7 @@
 
 impl Tables {
     /// Returns peers' trials, as far as their word still counts.
-    fn fresh(&self, now: Moment) -> impl Iterator<Item = (&DaemonId, &TrialNote)> {
+    fn fresh(&self, now: Moment) -> impl Iterator<Item = (&DaemonId, &TrialReport)> {
         let fresh = self.peers.iter().filter(move |(_, (at, _))| now <= *at + PEER_FRESH);
         fresh.flat_map(|(peer, (_, notes))| notes.iter().map(move |note| (peer, note)))
     }
@@ -128,7 +129,7 @@
 
 impl Trial {
     /// Ends the wait: a server gets the request.
-    pub fn begin(&self, server: ServerStart) {
+    pub fn begin(&self, server: ServerInstance) {
         if let Some(own) = self.trials.tables.borrow_mut().own.get_mut(&self.number) {
             own.note.server = Some(server);
         }
--- a/lib/tests/test_budget.rs
+++ b/lib/tests/test_budget.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::cluster::retry_budgets::Budget;
 use comfreymux_lib::cluster::retry_budgets::BudgetLimits;
+use comfreymux_lib::cluster::retry_budgets::RetryBudgets;
 use smol_str::SmolStr;
 
 const LIMITS: BudgetLimits =
     BudgetLimits { window: Duration::from_secs(10), ratio: 0.2, slack: 50.0 };
 
-fn taken(budget: &mut Budget, at: Duration, daemons: usize) -> usize {
+fn taken(budget: &mut RetryBudgets, at: Duration, daemons: usize) -> usize {
     let service = SmolStr::new("draft");
-    (0..1000).take_while(|_| budget.take(&service, at, daemons)).count()
+    (0..1000).take_while(|_| budget.take_retry(&service, at, daemons)).count()
 }
 
 /// A service that fails is hit by repeats of every daemon at once. Each alone keeps the limit, all
@@ -20,7 +20,7 @@
 fn slack_shared() {
     let mut all = 0;
     for _ in 0..8 {
-        all += taken(&mut Budget::new(LIMITS), Duration::from_secs(1), 8);
+        all += taken(&mut RetryBudgets::new(LIMITS), Duration::from_secs(1), 8);
     }
     assert!(all as f64 <= LIMITS.slack, "{all} repeats of a slack of {}", LIMITS.slack);
     assert!(all > 0);
@@ -29,10 +29,10 @@
 #[test]
 fn ratio_added() {
     let service = SmolStr::new("draft");
-    let mut budget = Budget::new(LIMITS);
+    let mut budget = RetryBudgets::new(LIMITS);
     let idle = taken(&mut budget, Duration::from_secs(1), 4);
     for _ in 0..100 {
-        budget.first(&service, Duration::from_secs(2));
+        budget.record_first(&service, Duration::from_secs(2));
     }
     assert_eq!(taken(&mut budget, Duration::from_secs(2), 4), 20);
     assert!(idle < 10);
@@ -41,7 +41,7 @@
 /// Repeats of the last seconds count until they leave the window, however it is cut.
 #[test]
 fn window_slides() {
-    let mut budget = Budget::new(LIMITS);
+    let mut budget = RetryBudgets::new(LIMITS);
     let first = taken(&mut budget, Duration::from_secs(1), 1);
     assert!(first > 0);
     assert_eq!(taken(&mut budget, Duration::from_secs(10), 1), 0);
@@ -51,7 +51,7 @@
 /// A service with trouble must not use up what another may repeat.
 #[test]
 fn services_apart() {
-    let mut budget = Budget::new(LIMITS);
+    let mut budget = RetryBudgets::new(LIMITS);
     taken(&mut budget, Duration::from_secs(1), 1);
-    assert!(budget.take(&SmolStr::new("booking"), Duration::from_secs(1), 1));
+    assert!(budget.take_retry(&SmolStr::new("booking"), Duration::from_secs(1), 1));
 }
--- a/lib/tests/test_demand.rs
+++ b/lib/tests/test_demand.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use comfreymux_lib::boot_clock::Moment;
-use comfreymux_lib::cluster::digest::CountNote;
-use comfreymux_lib::cluster::digest::DemandNote;
-use comfreymux_lib::cluster::digest::WantNote;
+use comfreymux_lib::cluster::digest::ArrivalCount;
+use comfreymux_lib::cluster::digest::DemandReport;
+use comfreymux_lib::cluster::digest::QueuedDemand;
 use comfreymux_lib::placement::demand::Demand;
 use comfreymux_lib::placement::demand::ModelTarget;
 
@@ -17,22 +17,23 @@
     ModelTarget { service: "draft".into(), model: "rare".into(), adapter: None }
 }
 
-fn want(waiting: u32, avoid: &[&str]) -> DemandNote {
-    let want = WantNote {
+fn want(waiting: u32, avoid: &[&str]) -> DemandReport {
+    let want = QueuedDemand {
         service: "draft".into(),
         model: "rare".into(),
         adapter: None,
         waiting,
-        left_ms: 5_000,
+        remaining_ms: 5_000,
         due_ms: 4_000,
         avoid: avoid.iter().map(|id| (*id).into()).collect(),
     };
-    DemandNote { wants: vec![want], counts: Vec::new() }
+    DemandReport { queued: vec![want], arrivals: Vec::new() }
 }
 
-fn count(count: u32) -> DemandNote {
-    let count = CountNote { service: "draft".into(), model: "rare".into(), adapter: None, count };
-    DemandNote { wants: Vec::new(), counts: vec![count] }
+fn count(count: u32) -> DemandReport {
+    let count =
+        ArrivalCount { service: "draft".into(), model: "rare".into(), adapter: None, count };
+    DemandReport { queued: Vec::new(), arrivals: vec![count] }
 }
 
 #[test]
--- a/lib/tests/test_digest.rs
+++ b/lib/tests/test_digest.rs
@@ -1,29 +1,34 @@
 //! Datagrams between daemons.
 
-use comfreymux_lib::cluster::digest::Content;
 use comfreymux_lib::cluster::digest::Digest;
-use comfreymux_lib::cluster::digest::LeftNote;
-use comfreymux_lib::cluster::digest::LoadNote;
 use comfreymux_lib::cluster::digest::MessageError;
+use comfreymux_lib::cluster::digest::Payload;
 use comfreymux_lib::cluster::digest::PeerMessage;
-use comfreymux_lib::cluster::server_instance::ServerStart;
+use comfreymux_lib::cluster::digest::ServerDeparture;
+use comfreymux_lib::cluster::digest::WorkloadReport;
+use comfreymux_lib::cluster::server_instance::ServerInstance;
 
 fn message() -> PeerMessage {
-    let server = ServerStart { id: "e1".into(), born: Some(1_700_000_000_123) };
+    let server = ServerInstance { id: "e1".into(), born: Some(1_700_000_000_123) };
     let digest = Digest {
         centre: "north".into(),
-        config: 7,
+        config_version: 7,
         config_age: 0,
-        servers: 90,
-        left: vec![LeftNote { server: server.clone(), beat: 12 }],
+        servers_end: 90,
+        departures: vec![ServerDeparture { server: server.clone(), heartbeat: 12 }],
         ready: true,
-        small: false,
-        loads: vec![LoadNote { server, model: Some("hem".into()), running: 3, prompt: 40 }],
+        is_small: false,
+        workloads: vec![WorkloadReport {
+            server,
+            model: Some("hem".into()),
+            running: 3,
+            prompt_tokens: 40,
+        }],
         limits: <_>::default(),
         quarantine: <_>::default(),
-        tenure: None,
+        lease: None,
     };
-    PeerMessage { from: "d1".into(), process: 5, port: 7001, content: Content::Digest(digest) }
+    PeerMessage { from: "d1".into(), process: 5, port: 7001, payload: Payload::Digest(digest) }
 }
 
 #[test]
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -5,14 +5,14 @@
 use bytes::Bytes;
 use comfreymux_lib::boot_clock::Moment;
 use comfreymux_lib::cluster::directory::Change;
-use comfreymux_lib::cluster::directory::Copies;
 use comfreymux_lib::cluster::directory::Directory;
 use comfreymux_lib::cluster::directory::Server;
+use comfreymux_lib::cluster::directory::WeightCopies;
 use comfreymux_lib::cluster::engine_inventories::Holdings;
 use comfreymux_lib::cluster::run_times::RunTimes;
-use comfreymux_lib::cluster::send_permit::Turns;
-use comfreymux_lib::cluster::server_health::Health;
-use comfreymux_lib::cluster::workloads::Loads;
+use comfreymux_lib::cluster::send_permit::SendPermits;
+use comfreymux_lib::cluster::server_health::ServerHealth;
+use comfreymux_lib::cluster::workloads::Workloads;
 use comfreymux_lib::placement::demand::ModelTarget;
 use comfreymux_lib::serve::choose::Choice;
 use comfreymux_lib::serve::choose::Chooser;
@@ -30,8 +30,8 @@
         slots: 8,
         leaving,
         models: Vec::new(),
-        copies: Copies::default(),
-        beat,
+        copies: WeightCopies::default(),
+        heartbeat: beat,
         born: None,
     }
 }
@@ -45,9 +45,9 @@
 #[test]
 fn lapsed_kept() {
     let mut directory = Directory::default();
-    directory.read(ms(0));
+    directory.record_read(ms(0));
     put(&mut directory, "a", 1, false);
-    directory.read(ms(9_000));
+    directory.record_read(ms(9_000));
     assert_eq!(directory.remove("a", ms(9_000)), Change::Lapsed);
     assert!(directory.get("a").is_some());
     assert_eq!(put(&mut directory, "a", 2, false), Change::None);
@@ -60,15 +60,15 @@
 #[test]
 fn lapsed_relayed() {
     let mut directory = Directory::default();
-    directory.read(ms(0));
+    directory.record_read(ms(0));
     put(&mut directory, "a", 1, false);
     put(&mut directory, "b", 1, false);
-    directory.read(ms(9_000));
+    directory.record_read(ms(9_000));
     assert_eq!(directory.remove("a", ms(9_000)), Change::Lapsed);
-    let relayed: Vec<_> = directory.raw().map(|(id, _)| id.as_str()).collect();
+    let relayed: Vec<_> = directory.raw_entries().map(|(id, _)| id.as_str()).collect();
     assert_eq!(relayed, ["b"], "an entry that is missing is not handed on");
     assert!(directory.awaited().eq(["a"]));
-    directory.relayed(server("a", 1, false), Bytes::new(), ms(10_000));
+    directory.put_relayed(server("a", 1, false), Bytes::new(), ms(10_000));
     assert_eq!(directory.sweep(ms(12_000)), ["a"]);
 }
 
@@ -77,12 +77,12 @@
 #[test]
 fn left_relayed() {
     let mut directory = Directory::default();
-    directory.read(ms(0));
+    directory.record_read(ms(0));
     put(&mut directory, "a", 14, false);
-    directory.read(ms(2_000));
+    directory.record_read(ms(2_000));
     assert_eq!(directory.remove("a", ms(2_000)), Change::Removed);
-    directory.read(ms(20_000));
-    let change = directory.relayed(server("a", 14, false), Bytes::new(), ms(20_000));
+    directory.record_read(ms(20_000));
+    let change = directory.put_relayed(server("a", 14, false), Bytes::new(), ms(20_000));
     assert_eq!(change, Change::None, "no later heartbeat than at its end");
     assert!(directory.get("a").is_none());
 }
@@ -91,11 +91,11 @@
 #[test]
 fn return_relayed() {
     let mut directory = Directory::default();
-    directory.read(ms(0));
+    directory.record_read(ms(0));
     put(&mut directory, "a", 1, false);
-    directory.read(ms(9_000));
+    directory.record_read(ms(9_000));
     assert_eq!(directory.remove("a", ms(9_000)), Change::Lapsed);
-    directory.relayed(server("a", 2, false), Bytes::new(), ms(10_000));
+    directory.put_relayed(server("a", 2, false), Bytes::new(), ms(10_000));
     assert!(directory.sweep(ms(12_000)).is_empty());
     assert!(directory.get("a").is_some());
 }
@@ -106,11 +106,11 @@
 #[test]
 fn late_removal() {
     let mut directory = Directory::default();
-    directory.read(ms(0));
+    directory.record_read(ms(0));
     put(&mut directory, "a", 1, false);
-    directory.read(ms(9_000));
-    directory.read(ms(9_900));
-    directory.read(ms(11_000));
+    directory.record_read(ms(9_000));
+    directory.record_read(ms(9_900));
+    directory.record_read(ms(11_000));
     assert_eq!(directory.remove("a", ms(11_000)), Change::Lapsed);
     assert_eq!(directory.sweep(ms(11_200)), ["a"]);
     put(&mut directory, "b", 1, false);
@@ -121,9 +121,9 @@
 #[test]
 fn slow_read() {
     let mut directory = Directory::default();
-    directory.read(ms(0));
+    directory.record_read(ms(0));
     put(&mut directory, "a", 1, false);
-    directory.read(ms(2_400));
+    directory.record_read(ms(2_400));
     assert_eq!(directory.remove("a", ms(2_400)), Change::Removed);
 }
 
@@ -137,7 +137,7 @@
     put(&mut late, "a", 1, false);
     assert_eq!(late.remove("a", ms(1_000)), Change::Removed);
     for start in late.left(ms(1_100)) {
-        assert_eq!(early.leave(&start, ms(1_100)), Change::Leaving);
+        assert_eq!(early.apply_departure(&start, ms(1_100)), Change::Leaving);
     }
     assert!(early.get("a").expect("listed").leaving);
     assert!(late.left(ms(9_000)).is_empty());
@@ -158,9 +158,9 @@
 #[test]
 fn leaver_removed() {
     let mut directory = Directory::default();
-    directory.read(ms(0));
+    directory.record_read(ms(0));
     put(&mut directory, "a", 1, true);
-    directory.read(ms(9_000));
+    directory.record_read(ms(9_000));
     assert_eq!(directory.remove("a", ms(9_000)), Change::Removed);
 }
 
@@ -182,7 +182,7 @@
     put(&mut directory, "a", 1, false);
     assert_eq!(directory.suspend("a", ms(0)), Change::Suspended);
     assert_eq!(directory.suspend("a", ms(100)), Change::None);
-    assert_eq!((directory.servers().count(), directory.raw().count()), (0, 0));
+    assert_eq!((directory.servers().count(), directory.raw_entries().count()), (0, 0));
     assert!(directory.left(ms(100)).is_empty());
     assert_eq!(put(&mut directory, "a", 2, false), Change::Resumed);
     assert_eq!(directory.servers().count(), 1);
@@ -218,17 +218,17 @@
 #[test]
 fn suspended_awaited() {
     let mut directory = Directory::default();
-    let copies = Copies { memory: Vec::new(), disk: vec!["m1".into()] };
+    let copies = WeightCopies { memory: Vec::new(), disk: vec!["m1".into()] };
     let engine = Server { copies, ..server("a", 1, false) };
     directory.put(engine, Bytes::new(), ms(0));
     directory.suspend("a", ms(0));
-    let turns = Turns::new();
+    let turns = SendPermits::new();
     let chooser = Chooser {
         turns: &turns,
         directory: &directory,
         holdings: &Holdings::default(),
-        loads: &Loads::default(),
-        health: &Health::default(),
+        loads: &Workloads::default(),
+        health: &ServerHealth::default(),
         run_times: &RunTimes::default(),
         centre: &"north".into(),
         now: ms(100),
--- a/lib/tests/test_fetching.rs
+++ b/lib/tests/test_fetching.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::cluster::digest::DemandNote;
-use comfreymux_lib::cluster::digest::WantNote;
+use comfreymux_lib::cluster::digest::DemandReport;
+use comfreymux_lib::cluster::digest::QueuedDemand;
 use comfreymux_lib::placement::engine_table::LoadJob;
 use comfreymux_lib::placement::engine_table::Source;
 use comfreymux_lib::placement::fetch_limiter::StoreShare;
@@ -18,16 +18,16 @@
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
     site.engine("e1", &["a", "b"], &[]);
     site.engine("e2", &["a", "b"], &["rare"]);
-    let want = WantNote {
+    let want = QueuedDemand {
         service: SERVICE.into(),
         model: "rare".into(),
         adapter: None,
         waiting: 1,
-        left_ms: 10_000,
+        remaining_ms: 10_000,
         due_ms: 4_000,
         avoid: vec!["e2".into()],
     };
-    let note = DemandNote { wants: vec![want], counts: Vec::new() };
+    let note = DemandReport { queued: vec![want], arrivals: Vec::new() };
     site.demand.update(&"d1".into(), note, NOW);
     let plan = site.plan();
     let (server, _, source) = load_of(&plan, "rare").expect("loaded");
--- a/lib/tests/test_health.rs
+++ b/lib/tests/test_health.rs
@@ -3,22 +3,22 @@
 use std::time::Duration;
 
 use comfreymux_lib::cluster::server_health::Evidence;
-use comfreymux_lib::cluster::server_health::Health;
+use comfreymux_lib::cluster::server_health::ServerHealth;
 use smol_str::SmolStr;
 
 struct Bench {
-    health: Health,
+    health: ServerHealth,
     now: Duration,
 }
 
 impl Bench {
     fn new() -> Self {
-        Self { health: Health::default(), now: Duration::from_secs(1) }
+        Self { health: ServerHealth::default(), now: Duration::from_secs(1) }
     }
 
     fn note(&mut self, server: &str, evidence: Evidence) -> Option<Duration> {
         self.now += Duration::from_millis(20);
-        self.health.note(&SmolStr::new("draft"), &server.into(), self.now, evidence)
+        self.health.record(&SmolStr::new("draft"), &server.into(), self.now, evidence)
     }
 
     fn avoided(&self, server: &str) -> bool {
@@ -83,10 +83,10 @@
 fn crashed_dark() {
     let mut bench = Bench::new();
     bench.note("a", Evidence::Unreachable);
-    assert!(bench.health.is_dark(&"a".into(), bench.now));
+    assert!(bench.health.is_unreachable(&"a".into(), bench.now));
     for _ in 0..20 {
         bench.note("b", Evidence::Failed);
     }
     assert!(bench.avoided("b"));
-    assert!(!bench.health.is_dark(&"b".into(), bench.now));
+    assert!(!bench.health.is_unreachable(&"b".into(), bench.now));
 }
--- a/lib/tests/test_order_effect.rs
+++ b/lib/tests/test_order_effect.rs
@@ -1,7 +1,7 @@
 //! Whose order an engine carried out, by its report.
 
-use comfreymux_lib::cluster::directory::Copies;
-use comfreymux_lib::cluster::directory::HeldModel;
+use comfreymux_lib::cluster::directory::LoadedModel;
+use comfreymux_lib::cluster::directory::WeightCopies;
 use comfreymux_lib::ids::ModelName;
 use comfreymux_lib::placement::order_effect::is_applied;
 use comfreymux_lib::protocol::EngineReport;
@@ -9,12 +9,12 @@
 use rstest::rstest;
 
 fn report(held: &[(&str, &[&str])]) -> EngineReport {
-    let model = |(name, adapters): &(&str, &[&str])| HeldModel {
+    let model = |(name, adapters): &(&str, &[&str])| LoadedModel {
         name: (*name).into(),
         adapters: adapters.iter().map(|a| (*a).into()).collect(),
     };
     let models = held.iter().map(model).collect();
-    EngineReport { models, copies: Copies::default(), busy: false, sequence: 26, born: None }
+    EngineReport { models, copies: WeightCopies::default(), busy: false, sequence: 26, born: None }
 }
 
 /// An engine answers no orders and carries them out seconds later. The load of adapter a24 was given up; the next change
--- a/lib/tests/test_peer_table.rs
+++ b/lib/tests/test_peer_table.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use comfreymux_lib::cluster::digest::Digest;
-use comfreymux_lib::cluster::digest::TenureNote;
+use comfreymux_lib::cluster::digest::LeaseReport;
 use comfreymux_lib::cluster::peer_table::PeerTable;
 use rstest::rstest;
 
@@ -19,9 +19,9 @@
 fn table(count: u16) -> PeerTable {
     let mut peers = PeerTable::default();
     for n in 0..count {
-        let tenure = (n + 1 == count).then_some(TenureNote { fence: 1, left_ms: 1000, end: 1 });
+        let tenure = (n + 1 == count).then_some(LeaseReport { fence: 1, left_ms: 1000, end: 1 });
         let centre = ["near", "far"][usize::from(n % 2)];
-        let digest = Digest { tenure, ..digest(centre, Duration::ZERO) };
+        let digest = Digest { lease: tenure, ..digest(centre, Duration::ZERO) };
         peers.heard(&format!("d{n}").into(), addr(n), n.into(), &digest, NOW);
     }
     peers
@@ -30,16 +30,16 @@
 fn digest(centre: &str, config_age: Duration) -> Digest {
     Digest {
         centre: centre.into(),
-        config: 1,
+        config_version: 1,
         config_age: config_age.as_millis() as u32,
-        servers: 1,
-        left: Vec::new(),
+        servers_end: 1,
+        departures: Vec::new(),
         ready: true,
-        small: false,
-        loads: Vec::new(),
+        is_small: false,
+        workloads: Vec::new(),
         limits: <_>::default(),
         quarantine: <_>::default(),
-        tenure: None,
+        lease: None,
     }
 }
 
@@ -52,14 +52,14 @@
 #[test]
 fn readers_few() {
     let mut peers = PeerTable::default();
-    assert!(peers.reads_often("d1", "near", NOW), "one that knows nobody asks itself");
+    assert!(peers.polls_config("d1", "near", NOW), "one that knows nobody asks itself");
     hear(&mut peers, 0, "far", Duration::ZERO, NOW);
     hear(&mut peers, 1, "near", Duration::ZERO, NOW);
     hear(&mut peers, 2, "near", Duration::ZERO, NOW);
     hear(&mut peers, 3, "near", Duration::ZERO, NOW);
-    let often = |id: &str| peers.reads_often(id, "near", NOW);
+    let often = |id: &str| peers.polls_config(id, "near", NOW);
     assert_eq!(["d1", "d2", "d3", "d4"].map(often), [true, true, false, false]);
-    assert!(peers.reads_often("d4", "far", NOW));
+    assert!(peers.polls_config("d4", "far", NOW));
 }
 
 /// A version stays unseen in a data centre for six seconds. Of the two daemons that ask for it one is cut off
@@ -70,14 +70,14 @@
     let second = Duration::from_secs(1);
     hear(&mut peers, 1, "near", Duration::ZERO, NOW);
     hear(&mut peers, 2, "near", Duration::ZERO, NOW);
-    assert!(!peers.reads_often("d3", "near", NOW + second));
+    assert!(!peers.polls_config("d3", "near", NOW + second));
     let later = NOW + second * 2;
     hear(&mut peers, 1, "near", second * 3, later);
-    assert!(peers.reads_often("d3", "near", later));
-    assert!(peers.reads_often("d4", "near", later));
+    assert!(peers.polls_config("d3", "near", later));
+    assert!(peers.polls_config("d4", "near", later));
     hear(&mut peers, 1, "near", Duration::ZERO, later);
     hear(&mut peers, 3, "near", Duration::ZERO, later);
-    assert!(!peers.reads_often("d4", "near", later), "the first and the third do");
+    assert!(!peers.polls_config("d4", "near", later), "the first and the third do");
 }
 
 /// The store is slow, all daemons are behind and fetch the configuration from the same peer, the first by name.
@@ -85,15 +85,16 @@
 #[test]
 fn fetches_spread() {
     let peers = table(20);
-    let told = |centre: &str, turn| peers.ahead(0, None, centre, turn, NOW).expect("a peer");
+    let told =
+        |centre: &str, turn| peers.snapshot_source(0, None, centre, turn, NOW).expect("a peer");
     let asked: BTreeSet<_> = (7..17).map(|turn| told("near", turn)).collect();
     assert_eq!(asked.len(), 10, "each once");
     let near: BTreeSet<_> = (0..20).step_by(2).map(addr).collect();
     assert_eq!(asked, near, "bytes between data centres are paid for");
     let asked: BTreeSet<_> = (0..20).map(|turn| told("elsewhere", turn)).collect();
     assert_eq!(asked.len(), 20);
-    assert_eq!(peers.ahead(1, None, "near", 0, NOW), None);
-    assert!(peers.ahead(1, Some(0), "near", 0, NOW).is_some());
+    assert_eq!(peers.snapshot_source(1, None, "near", 0, NOW), None);
+    assert!(peers.snapshot_source(1, Some(0), "near", 0, NOW).is_some());
 }
 
 /// In a fleet of hundreds, digests come seconds apart. All daemons take those that ask for the configuration on
@@ -111,9 +112,9 @@
     }
     hear(&mut peers, 1, "near", age, NOW);
     hear(&mut peers, 2, "near", age, NOW);
-    let gap = peers.digest_gap();
-    assert!(!peers.reads_often("d3", "near", NOW + gap), "before the next digest");
-    assert!(peers.reads_often("d3", "near", NOW + gap * 3 + Duration::from_secs(2)));
+    let gap = peers.digest_interval();
+    assert!(!peers.polls_config("d3", "near", NOW + gap), "before the next digest");
+    assert!(peers.polls_config("d3", "near", NOW + gap * 3 + Duration::from_secs(2)));
 }
 
 /// Hundreds of daemons told each other their state every 2.5 s: 35,000 datagrams a second, most of them between data
@@ -126,7 +127,7 @@
 #[case::largest(300, 3, 18, 1)]
 fn readers_told(#[case] count: u16, #[case] round: u64, #[case] most: usize, #[case] far: usize) {
     let peers = table(count);
-    let list = peers.listeners("near", round, NOW);
+    let list = peers.digest_targets("near", round, NOW);
     assert!(list.len() <= most, "{} are told", list.len());
     let is_far = |a: &&SocketAddr| (a.port() - 9_000) % 2 == 1;
     assert_eq!(list.iter().filter(is_far).count(), far);
@@ -140,6 +141,6 @@
 fn all_told() {
     let peers = table(300);
     let told: BTreeSet<_> =
-        (3..303).flat_map(|round| peers.listeners("near", round, NOW)).collect();
+        (3..303).flat_map(|round| peers.digest_targets("near", round, NOW)).collect();
     assert_eq!(told.len(), 300);
 }
--- a/lib/tests/test_planner.rs
+++ b/lib/tests/test_planner.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::cluster::digest::DemandNote;
-use comfreymux_lib::cluster::digest::WantNote;
-use comfreymux_lib::cluster::workloads::Place;
+use comfreymux_lib::cluster::digest::DemandReport;
+use comfreymux_lib::cluster::digest::QueuedDemand;
+use comfreymux_lib::cluster::workloads::WorkloadKey;
 use comfreymux_lib::placement::engine_table::AdapterJob;
 use comfreymux_lib::placement::engine_table::LoadJob;
 use comfreymux_lib::placement::engine_table::Source;
@@ -107,7 +107,7 @@
 fn idle_victim() {
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
     site.engine("e1", &["a", "b"], &["rare"]);
-    let place = Place { server: "e1".into(), model: Some("a".into()) };
+    let place = WorkloadKey { server: "e1".into(), model: Some("a".into()) };
     let _running = site.loads.begin(place, 100);
     site.want("rare", None);
     let plan = site.plan();
@@ -121,7 +121,7 @@
 fn guess_untold() {
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("wanted", 70_000, 0)]);
     site.engine("e1", &["a", "b"], &["wanted"]);
-    let place = |model: &str| Place { server: "e1".into(), model: Some(model.into()) };
+    let place = |model: &str| WorkloadKey { server: "e1".into(), model: Some(model.into()) };
     let _runs = [site.loads.begin(place("a"), 10), site.loads.begin(place("b"), 10)];
     site.want("wanted", None);
     let time = site.plan().iter().find_map(|action| match action {
@@ -193,7 +193,7 @@
     for model in ["b", "c", "d"] {
         site.asked(model, 2);
     }
-    let place = |model: &str| Place { server: "e22".into(), model: Some(model.into()) };
+    let place = |model: &str| WorkloadKey { server: "e22".into(), model: Some(model.into()) };
     let runs = ["c", "d"].into_iter().cycle().take(running);
     let _runs: Vec<_> = runs.map(|model| site.loads.begin(place(model), 100)).collect();
     site.want("rare", None);
@@ -240,18 +240,18 @@
     let mut site = Site::new(&["a", "b", "c", "first", "second"].map(|n| (n, 70_000, 0)));
     site.engine("e1", &["a", "b"], &["first", "second"]);
     site.engine("e22", &["a", "c"], &[]);
-    for (seconds, model, (due_ms, left_ms)) in [(5, "first", first), (1, "second", second)] {
-        let want = WantNote {
+    for (seconds, model, (due_ms, remaining_ms)) in [(5, "first", first), (1, "second", second)] {
+        let want = QueuedDemand {
             service: SERVICE.into(),
             model: model.into(),
             adapter: None,
             waiting: 1,
-            left_ms,
+            remaining_ms,
             due_ms,
             avoid: Vec::new(),
         };
         for now in [NOW.saturating_sub(Duration::from_secs(seconds)), NOW] {
-            let note = DemandNote { wants: vec![want.clone()], counts: Vec::new() };
+            let note = DemandReport { queued: vec![want.clone()], arrivals: Vec::new() };
             site.demand.update(&format!("d-{model}").into(), note, now);
         }
     }
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -4,11 +4,11 @@
 
 use comfreymux_lib::boot_clock::Moment;
 use comfreymux_lib::cluster::fingerprint::Fingerprint;
-use comfreymux_lib::cluster::quarantine::HELD_FOR;
+use comfreymux_lib::cluster::quarantine::HOLD_TIME;
 use comfreymux_lib::cluster::quarantine::Quarantine;
-use comfreymux_lib::cluster::quarantine_report::Passed;
-use comfreymux_lib::cluster::quarantine_report::Stage;
-use comfreymux_lib::cluster::server_instance::ServerStart;
+use comfreymux_lib::cluster::quarantine_report::CrashStage;
+use comfreymux_lib::cluster::quarantine_report::RequestProgress;
+use comfreymux_lib::cluster::server_instance::ServerInstance;
 use http::Method;
 use proptest::prelude::*;
 
@@ -18,8 +18,8 @@
     Fingerprint::new(&Method::POST, "shop.example", "/draft/7", &n.to_be_bytes())
 }
 
-fn server(n: usize) -> ServerStart {
-    ServerStart::from(format!("s{n}").as_str())
+fn server(n: usize) -> ServerInstance {
+    ServerInstance::from(format!("s{n}").as_str())
 }
 
 fn start() -> Moment {
@@ -27,21 +27,27 @@
 }
 
 /// A daemon before which a request crashed some servers, one a second.
-fn after_crashes(count: usize, stage: Stage) -> (Quarantine, Moment) {
+fn after_crashes(count: usize, stage: CrashStage) -> (Quarantine, Moment) {
     let mut quarantine = Quarantine::default();
     let mut now = start();
     for n in 0..count {
         now += SECOND;
-        quarantine.crashed(&server(n), Moment::ZERO, print(1), stage, now);
+        quarantine.record_crash(&server(n), Moment::ZERO, print(1), stage, now);
     }
     (quarantine, now)
 }
 
 #[test]
 fn held_at_third() {
-    let (mut quarantine, now) = after_crashes(2, Stage::Begun);
+    let (mut quarantine, now) = after_crashes(2, CrashStage::BeforeEvents);
     assert!(!quarantine.is_held(&print(1), now));
-    assert!(quarantine.crashed(&server(2), Moment::ZERO, print(1), Stage::Begun, now));
+    assert!(quarantine.record_crash(
+        &server(2),
+        Moment::ZERO,
+        print(1),
+        CrashStage::BeforeEvents,
+        now
+    ));
     assert!(quarantine.is_held(&print(1), now));
     assert!(!quarantine.is_held(&print(2), now));
 }
@@ -51,12 +57,12 @@
 fn crash_counted_once() {
     let mut here = Quarantine::default();
     for _daemon in 0..3 {
-        let (there, now) = after_crashes(1, Stage::Begun);
+        let (there, now) = after_crashes(1, CrashStage::BeforeEvents);
         here.hear(&there.note(now, false), now);
-        here.crashed(&server(0), Moment::ZERO, print(1), Stage::Begun, now);
+        here.record_crash(&server(0), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
     }
     assert!(!here.is_held(&print(1), start()));
-    assert_eq!(here.crashed_by(&print(1)).len(), 1);
+    assert_eq!(here.suspected_crashes(&print(1)).len(), 1);
 }
 
 /// A server started again under its id and crashed again before its entry told so; its crashes counted as one.
@@ -66,8 +72,13 @@
     for n in 1..=3 {
         let sent = start() + SECOND * n;
         assert!(!quarantine.has_crashed(&server(0), sent));
-        let is_held =
-            quarantine.crashed(&server(0), sent, print(1), Stage::Begun, sent + SECOND / 2);
+        let is_held = quarantine.record_crash(
+            &server(0),
+            sent,
+            print(1),
+            CrashStage::BeforeEvents,
+            sent + SECOND / 2,
+        );
         assert_eq!(is_held, n == 3);
         assert!(quarantine.has_crashed(&server(0), sent));
     }
@@ -80,12 +91,12 @@
     let mut here = Quarantine::default();
     for n in 0..3 {
         let mut there = Quarantine::default();
-        there.crashed(&server(n), Moment::ZERO, print(1), Stage::Begun, now);
+        there.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
         here.hear(&there.note(now, false), now);
     }
     // Others may tell of further suspects yet.
-    assert!(!here.judge(print(1), now));
-    assert!(here.judge(print(1), now + SECOND));
+    assert!(!here.evaluate(print(1), now));
+    assert!(here.evaluate(print(1), now + SECOND));
     assert!(here.is_held(&print(1), now + SECOND));
 }
 
@@ -96,32 +107,38 @@
     let mut now = start();
     for n in 0..3 {
         for request in [1, 2] {
-            quarantine.crashed(&server(n), Moment::ZERO, print(request), Stage::Begun, now);
+            quarantine.record_crash(
+                &server(n),
+                Moment::ZERO,
+                print(request),
+                CrashStage::BeforeEvents,
+                now,
+            );
         }
         now += SECOND;
     }
-    assert!(!quarantine.judge(print(1), now) && !quarantine.judge(print(2), now));
+    assert!(!quarantine.evaluate(print(1), now) && !quarantine.evaluate(print(2), now));
     // One of them has an answer: it was the other.
-    quarantine.passed(print(2), Passed::Whole, now);
-    assert!(quarantine.judge(print(1), now));
+    quarantine.record_progress(print(2), RequestProgress::Complete, now);
+    assert!(quarantine.evaluate(print(1), now));
 }
 
 /// An honest request went on elsewhere, and its whole answer had to be awaited before the other one was held.
 #[test]
 fn companion_passes() {
-    let (mut quarantine, now) = after_crashes(3, Stage::Begun);
+    let (mut quarantine, now) = after_crashes(3, CrashStage::BeforeEvents);
     let mut other = Quarantine::default();
     for n in 0..3 {
-        quarantine.crashed(&server(n), Moment::ZERO, print(2), Stage::Begun, now);
-        other.crashed(&server(n), Moment::ZERO, print(3), Stage::Young, now);
+        quarantine.record_crash(&server(n), Moment::ZERO, print(2), CrashStage::BeforeEvents, now);
+        other.record_crash(&server(n), Moment::ZERO, print(3), CrashStage::FirstEvent, now);
     }
-    quarantine.passed(print(2), Passed::Begun, now + SECOND);
-    assert_eq!(quarantine.crashed_by(&print(2)).len(), 0);
+    quarantine.record_progress(print(2), RequestProgress::Begun, now + SECOND);
+    assert_eq!(quarantine.suspected_crashes(&print(2)).len(), 0);
     // One that crashes servers after its first event comes so far each time.
-    other.passed(print(3), Passed::Begun, now + SECOND);
-    assert_eq!(other.crashed_by(&print(3)).len(), 3);
-    other.passed(print(3), Passed::Young, now + SECOND);
-    assert_eq!(other.crashed_by(&print(3)).len(), 0);
+    other.record_progress(print(3), RequestProgress::Begun, now + SECOND);
+    assert_eq!(other.suspected_crashes(&print(3)).len(), 3);
+    other.record_progress(print(3), RequestProgress::Young, now + SECOND);
+    assert_eq!(other.suspected_crashes(&print(3)).len(), 0);
 }
 
 /// A request crashed servers about when its first event was due, and each event cleared it of the crashes before.
@@ -129,11 +146,14 @@
 fn relapse_counts() {
     let mut quarantine = Quarantine::default();
     let mut now = start();
-    for (n, stage) in [Stage::Begun, Stage::Young, Stage::Begun].into_iter().enumerate() {
-        if stage == Stage::Young {
-            quarantine.passed(print(1), Passed::Begun, now);
+    for (n, stage) in [CrashStage::BeforeEvents, CrashStage::FirstEvent, CrashStage::BeforeEvents]
+        .into_iter()
+        .enumerate()
+    {
+        if stage == CrashStage::FirstEvent {
+            quarantine.record_progress(print(1), RequestProgress::Begun, now);
         }
-        quarantine.crashed(&server(n), Moment::ZERO, print(1), stage, now + SECOND / 10);
+        quarantine.record_crash(&server(n), Moment::ZERO, print(1), stage, now + SECOND / 10);
         now += SECOND;
     }
     assert!(quarantine.is_held(&print(1), now));
@@ -145,7 +165,13 @@
     let mut quarantine = Quarantine::default();
     for n in 0..5 {
         for request in [1, 2] {
-            quarantine.crashed(&server(n), Moment::ZERO, print(request), Stage::Begun, start());
+            quarantine.record_crash(
+                &server(n),
+                Moment::ZERO,
+                print(request),
+                CrashStage::BeforeEvents,
+                start(),
+            );
         }
     }
     assert!(quarantine.is_held(&print(1), start()) && quarantine.is_held(&print(2), start()));
@@ -154,7 +180,7 @@
 /// A daemon that was away for long, or has just started, did not learn of a held request.
 #[test]
 fn held_told_on() {
-    let (mut there, now) = after_crashes(3, Stage::Begun);
+    let (mut there, now) = after_crashes(3, CrashStage::BeforeEvents);
     let later = now + SECOND * 60;
     assert!(there.is_held(&print(1), later));
     let mut here = Quarantine::default();
@@ -168,9 +194,9 @@
     let now = start();
     let mut quarantine = Quarantine::default();
     for n in 0..5 {
-        quarantine.crashed(&server(n), Moment::ZERO, print(2), Stage::Other, now);
-        quarantine.crashed(&server(n), Moment::ZERO, print(3), Stage::Young, now);
-        quarantine.crashed(&server(n), Moment::ZERO, print(1), Stage::Begun, now);
+        quarantine.record_crash(&server(n), Moment::ZERO, print(2), CrashStage::Other, now);
+        quarantine.record_crash(&server(n), Moment::ZERO, print(3), CrashStage::FirstEvent, now);
+        quarantine.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
     }
     assert!(quarantine.is_held(&print(1), now));
     assert!(!quarantine.is_held(&print(2), now));
@@ -183,9 +209,9 @@
     let now = start();
     let (mut here, mut there) = <(Quarantine, Quarantine)>::default();
     for n in 0..5 {
-        there.crashed(&server(n), Moment::ZERO, print(1), Stage::Begun, now);
+        there.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
         here.hear(&there.note(now, false), now);
-        here.crashed(&server(n), Moment::ZERO, print(2), Stage::Other, now);
+        here.record_crash(&server(n), Moment::ZERO, print(2), CrashStage::Other, now);
     }
     assert!(here.is_held(&print(1), now));
     assert!(!here.is_held(&print(2), now));
@@ -194,7 +220,7 @@
 /// A server that gives no head before its answer hid which request crashed it.
 #[test]
 fn unanswered_held() {
-    let (mut quarantine, now) = after_crashes(3, Stage::Other);
+    let (mut quarantine, now) = after_crashes(3, CrashStage::Other);
     assert!(quarantine.is_held(&print(1), now));
 }
 
@@ -204,9 +230,9 @@
     let mut quarantine = Quarantine::default();
     let mut now = start();
     for n in 0..6 {
-        quarantine.crashed(&server(n), Moment::ZERO, print(1), Stage::Begun, now);
+        quarantine.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
         if n % 2 == 1 {
-            quarantine.passed(print(1), Passed::Whole, now + SECOND);
+            quarantine.record_progress(print(1), RequestProgress::Complete, now + SECOND);
         }
         now += SECOND * 2;
     }
@@ -216,26 +242,32 @@
 /// One daemon knew that a request had been answered, another held it.
 #[test]
 fn clearing_told() {
-    let (mut there, now) = after_crashes(2, Stage::Begun);
+    let (mut there, now) = after_crashes(2, CrashStage::BeforeEvents);
     let mut here = Quarantine::default();
     here.hear(&there.note(now, false), now);
-    there.passed(print(1), Passed::Whole, now);
+    there.record_progress(print(1), RequestProgress::Complete, now);
     here.hear(&there.note(now + SECOND, false), now + SECOND);
     // Older word that was under way does not undo it.
-    let (late, _) = after_crashes(2, Stage::Begun);
+    let (late, _) = after_crashes(2, CrashStage::BeforeEvents);
     here.hear(&late.note(now, false), now + SECOND);
-    assert!(!here.crashed(&server(2), Moment::ZERO, print(1), Stage::Begun, now + SECOND * 2));
+    assert!(!here.record_crash(
+        &server(2),
+        Moment::ZERO,
+        print(1),
+        CrashStage::BeforeEvents,
+        now + SECOND * 2
+    ));
 }
 
 #[test]
 fn released_unasked() {
-    let (mut quarantine, now) = after_crashes(3, Stage::Begun);
-    let asked = now + HELD_FOR;
+    let (mut quarantine, now) = after_crashes(3, CrashStage::BeforeEvents);
+    let asked = now + HOLD_TIME;
     assert!(quarantine.sweep(asked).is_empty());
     assert!(quarantine.is_held(&print(1), asked));
-    assert!(quarantine.sweep(asked + HELD_FOR).is_empty());
-    assert_eq!(quarantine.sweep(asked + HELD_FOR + SECOND), [print(1)]);
-    assert!(!quarantine.is_held(&print(1), asked + HELD_FOR + SECOND));
+    assert!(quarantine.sweep(asked + HOLD_TIME).is_empty());
+    assert_eq!(quarantine.sweep(asked + HOLD_TIME + SECOND), [print(1)]);
+    assert!(!quarantine.is_held(&print(1), asked + HOLD_TIME + SECOND));
 }
 
 /// Crashes of thousands of servers and requests fill no memory, and no datagram.
@@ -244,11 +276,11 @@
     let mut quarantine = Quarantine::default();
     for n in 0..2000 {
         for request in 0..40 {
-            quarantine.crashed(
+            quarantine.record_crash(
                 &server(n / 3),
                 Moment::ZERO,
                 print(request + n as u32),
-                Stage::Begun,
+                CrashStage::BeforeEvents,
                 start(),
             );
         }
@@ -270,9 +302,9 @@
         let notes: Vec<_> = sightings
             .iter()
             .map(|(at, request, stage)| {
-                let stage = [Stage::Begun, Stage::Young, Stage::Other][*stage as usize];
+                let stage = [CrashStage::BeforeEvents, CrashStage::FirstEvent, CrashStage::Other][*stage as usize];
                 let mut seer = Quarantine::default();
-                seer.crashed(&server(*at), Moment::ZERO, print(*request), stage, now);
+                seer.record_crash(&server(*at), Moment::ZERO, print(*request), stage, now);
                 seer.note(now, false)
             })
             .collect();
@@ -283,7 +315,7 @@
             }
             let list = |n| {
                 let mut servers: Vec<_> =
-                    hearer.crashed_by(&print(n)).into_iter().cloned().collect();
+                    hearer.suspected_crashes(&print(n)).into_iter().cloned().collect();
                 servers.sort();
                 servers
             };
--- a/lib/tests/test_rate_limits.rs
+++ b/lib/tests/test_rate_limits.rs
@@ -8,7 +8,7 @@
 use comfreymux_lib::cluster::rate_limit::RateLimit;
 use comfreymux_lib::cluster::rate_limits::RateLimits;
 use comfreymux_lib::cluster::rate_share::RateShare;
-use comfreymux_lib::cluster::server_instance::ServerStart;
+use comfreymux_lib::cluster::server_instance::ServerInstance;
 use comfreymux_lib::placement::entries::DaemonEntry;
 use rstest::rstest;
 
@@ -22,8 +22,8 @@
     RateLimit::new(rate).expect("a limit")
 }
 
-fn server() -> ServerStart {
-    ServerStart::from("s1")
+fn server() -> ServerInstance {
+    ServerInstance::from("s1")
 }
 
 fn start() -> Moment {
@@ -53,7 +53,7 @@
     fn meet(peers: &mut PeerTable, peer: usize) {
         let addr = SocketAddr::from(([127, 0, 0, 1], 7000 + peer as u16));
         let entry = DaemonEntry { addr, process: peer as u64, centre: "".into(), small: false };
-        peers.list(&format!("d{peer}").into(), &entry, start());
+        peers.put_listed(&format!("d{peer}").into(), &entry, start());
     }
 
     fn share(&self, limit: RateLimit) -> Option<RateShare> {
@@ -65,10 +65,10 @@
     fn press(&mut self, now: Moment) -> bool {
         let Some(limit) = self.rates.limit(&server()) else { return true };
         let share = self.share(limit);
-        let turns = self.rates.turns(now, |_, _| share);
-        let is_now = turns[&server()].is_now();
+        let turns = self.rates.send_permits(now, |_, _| share);
+        let is_now = turns[&server()].is_granted();
         if is_now {
-            self.rates.sent(&server(), share.expect("a turn has a share"), now);
+            self.rates.record_send(&server(), share.expect("a turn has a share"), now);
         }
         is_now
     }
@@ -87,7 +87,7 @@
 fn told(count: usize, rate: f64) -> Vec<Daemon> {
     let mut daemons: Vec<_> = (0..count).map(|n| Daemon::new(n, count)).collect();
     for daemon in &mut daemons {
-        daemon.rates.answered(&server(), Some(limit(rate)), start(), start());
+        daemon.rates.record_answer(&server(), Some(limit(rate)), start(), start());
     }
     daemons
 }
@@ -134,7 +134,7 @@
         if step % 300 == 100 {
             daemons.remove(0);
             let mut daemon = Daemon::new(new, count);
-            daemon.rates.answered(&server(), Some(limit(rate)), at(step), at(step));
+            daemon.rates.record_answer(&server(), Some(limit(rate)), at(step), at(step));
             daemons.push(daemon);
         }
         // Each second of the others learns of it a second later.
@@ -156,7 +156,7 @@
     for step in 0..COURSE {
         if step == 600 {
             for daemon in &mut daemons {
-                daemon.rates.answered(&server(), Some(limit(1.3)), at(step), at(step));
+                daemon.rates.record_answer(&server(), Some(limit(1.3)), at(step), at(step));
             }
         }
         let is_idle = (300..600).contains(&step);
@@ -171,10 +171,10 @@
 #[test]
 fn answers_crossed() {
     let mut rates = RateLimits::default();
-    assert!(rates.answered(&server(), Some(limit(1.3)), at(0), at(10)));
-    assert!(!rates.answered(&server(), None, at(5), at(11)));
+    assert!(rates.record_answer(&server(), Some(limit(1.3)), at(0), at(10)));
+    assert!(!rates.record_answer(&server(), None, at(5), at(11)));
     assert_eq!(rates.limit(&server()), Some(limit(1.3)));
-    assert!(rates.answered(&server(), None, at(11), at(12)));
+    assert!(rates.record_answer(&server(), None, at(11), at(12)));
     assert_eq!(rates.limit(&server()), None);
 }
 
@@ -182,10 +182,10 @@
 #[test]
 fn end_told() {
     let (mut here, mut there) = <(RateLimits, RateLimits)>::default();
-    there.answered(&server(), Some(limit(1.3)), at(0), at(0));
+    there.record_answer(&server(), Some(limit(1.3)), at(0), at(0));
     let old = there.note(at(0), false);
     assert_eq!(here.hear(&old, at(0)), [server()]);
-    there.answered(&server(), None, at(5), at(6));
+    there.record_answer(&server(), None, at(5), at(6));
     assert_eq!(here.hear(&there.note(at(7), false), at(7)), [server()]);
     assert_eq!(here.limit(&server()), None);
     let later = old.into_iter().map(|mut note| {
@@ -200,7 +200,7 @@
 #[test]
 fn hearsay_untold() {
     let (mut here, mut there) = <(RateLimits, RateLimits)>::default();
-    there.answered(&server(), Some(limit(1.3)), at(0), at(0));
+    there.record_answer(&server(), Some(limit(1.3)), at(0), at(0));
     here.hear(&there.note(at(0), false), at(0));
     assert!(here.note(at(1), false).is_empty());
     assert_eq!(here.note(at(1), true).len(), 1);
@@ -210,7 +210,7 @@
 #[test]
 fn start_forgotten() {
     let mut rates = RateLimits::default();
-    rates.answered(&server(), Some(limit(1.3)), at(0), at(0));
+    rates.record_answer(&server(), Some(limit(1.3)), at(0), at(0));
     rates.retain(|_| false);
     assert_eq!(rates.limit(&server()), None);
 }
--- a/lib/tests/test_reader_duty.rs
+++ b/lib/tests/test_reader_duty.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use comfreymux_lib::boot_clock::Moment;
-use comfreymux_lib::cluster::reader_role::Before;
-use comfreymux_lib::cluster::reader_role::ReaderDuty;
+use comfreymux_lib::cluster::reader_role::HigherRanked;
+use comfreymux_lib::cluster::reader_role::ReaderRole;
 
 /// Time between looks of a daemon.
 const TICK: Duration = Duration::from_millis(300);
@@ -22,7 +22,7 @@
 
 /// Daemons of one data centre in the order of their ranks.
 struct Centre {
-    duties: Vec<ReaderDuty>,
+    duties: Vec<ReaderRole>,
     health: Vec<Health>,
     /// When each was last heard as a reader.
     heard: Vec<Option<Moment>>,
@@ -32,7 +32,7 @@
 impl Centre {
     fn new(count: usize) -> Self {
         Self {
-            duties: (0..count).map(|_| ReaderDuty::default()).collect(),
+            duties: (0..count).map(|_| ReaderRole::default()).collect(),
             health: vec![Health::Well; count],
             heard: vec![None; count],
             now: Duration::from_secs(100),
@@ -43,10 +43,10 @@
         self.heard[n].is_some_and(|at| self.now <= at + SILENT)
     }
 
-    fn before(&self, n: usize) -> Before {
+    fn before(&self, n: usize) -> HigherRanked {
         let heard: Vec<usize> = (0..n).filter(|m| self.is_heard(*m)).collect();
         let blind = heard.iter().filter(|m| self.health[**m] == Health::Blind).count();
-        Before { daemons: n, readers: heard.len() - blind, blind }
+        HigherRanked { daemons: n, readers: heard.len() - blind, blind }
     }
 
     /// All daemons look once.
@@ -57,7 +57,7 @@
                 continue;
             }
             let before = self.before(n);
-            if self.duties[n].look(before, self.now) {
+            if self.duties[n].update(before, self.now) {
                 self.heard[n] = Some(self.now);
             }
         }
--- a/lib/tests/test_reader_notes.rs
+++ b/lib/tests/test_reader_notes.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use comfreymux_lib::boot_clock::Moment;
-use comfreymux_lib::cluster::digest::LeftNote;
+use comfreymux_lib::cluster::digest::ServerDeparture;
 use comfreymux_lib::cluster::directory::Change;
-use comfreymux_lib::cluster::directory::Copies;
 use comfreymux_lib::cluster::directory::Directory;
 use comfreymux_lib::cluster::directory::Server;
+use comfreymux_lib::cluster::directory::WeightCopies;
 
 const fn ms(ms: u64) -> Moment {
     Duration::from_millis(ms)
@@ -23,17 +23,17 @@
         slots: 8,
         leaving,
         models: Vec::new(),
-        copies: Copies::default(),
-        beat,
+        copies: WeightCopies::default(),
+        heartbeat: beat,
         born: None,
     }
 }
 
 /// Reads one more record of the feed.
 fn read(directory: &mut Directory, now: Moment, server: Server) -> Change {
-    directory.read(now);
+    directory.record_read(now);
     let change = directory.put(server, Bytes::from_static(b"{}"), now);
-    directory.advance(directory.end() + 1);
+    directory.advance(directory.feed_end() + 1);
     change
 }
 
@@ -44,10 +44,10 @@
 fn hearsay_passed() {
     let mut reader = Directory::default();
     read(&mut reader, ms(0), server("a", 1, false));
-    let note = LeftNote { server: "a".into(), beat: 2 };
-    assert_eq!(reader.leave(&note, ms(1_000)), Change::Leaving);
+    let note = ServerDeparture { server: "a".into(), heartbeat: 2 };
+    assert_eq!(reader.apply_departure(&note, ms(1_000)), Change::Leaving);
     assert_eq!(read(&mut reader, ms(1_100), server("a", 2, true)), Change::None);
-    assert_eq!(reader.gone(ms(1_200)), [note]);
+    assert_eq!(reader.all_departures(ms(1_200)), [note]);
 }
 
 /// A server whose entry did not come back after an outage of the store is told as gone: others do not read that.
@@ -55,11 +55,11 @@
 fn swept_told() {
     let mut reader = Directory::default();
     read(&mut reader, ms(0), server("a", 1, false));
-    reader.read(ms(9_000));
+    reader.record_read(ms(9_000));
     assert_eq!(reader.remove("a", ms(9_000)), Change::Lapsed);
-    assert!(reader.gone(ms(9_100)).is_empty());
+    assert!(reader.all_departures(ms(9_100)).is_empty());
     assert_eq!(reader.sweep(ms(11_300)), ["a"]);
-    assert_eq!(reader.gone(ms(11_400)).len(), 1);
+    assert_eq!(reader.all_departures(ms(11_400)).len(), 1);
     assert!(reader.left(ms(11_400)).is_empty(), "who reads finds out by itself");
 }
 
@@ -71,10 +71,18 @@
     for n in 0..100_u64 {
         read(&mut reader, ms(n * 100), server("a", n, false));
     }
-    assert_eq!(reader.end(), 100);
-    assert_eq!(reader.told_from(), 59, "the end before the first read of the last four seconds");
-    reader.relisted();
-    assert_eq!(reader.told_from(), 100, "changes between two listings are not known one by one");
+    assert_eq!(reader.feed_end(), 100);
+    assert_eq!(
+        reader.history_start(),
+        59,
+        "the end before the first read of the last four seconds"
+    );
+    reader.clear_history();
+    assert_eq!(
+        reader.history_start(),
+        100,
+        "changes between two listings are not known one by one"
+    );
 }
 
 /// A server that joins is told with its entry; one that left again is not.
@@ -84,9 +92,9 @@
     assert_eq!(read(&mut reader, ms(0), server("a", 1, false)), Change::Joined);
     read(&mut reader, ms(100), server("b", 1, false));
     read(&mut reader, ms(200), server("b", 2, true));
-    let joined = reader.joined(ms(300));
+    let joined = reader.recent_joins(ms(300));
     assert_eq!(joined.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(), ["a"]);
-    assert!(reader.joined(ms(5_000)).is_empty());
+    assert!(reader.recent_joins(ms(5_000)).is_empty());
 }
 
 /// Whoever lives by words has a picture like the reader's, or finds out that it has not.
@@ -98,15 +106,15 @@
         read(directory, ms(0), server("a", 1, false));
         read(directory, ms(0), server("b", 1, false));
     }
-    assert_eq!(reader.usable(), other.usable());
+    assert_eq!(reader.checksum(), other.checksum());
     read(&mut reader, ms(100), server("b", 2, false));
-    assert_eq!(reader.usable(), other.usable(), "a heartbeat is no change");
+    assert_eq!(reader.checksum(), other.checksum(), "a heartbeat is no change");
     read(&mut reader, ms(200), server("b", 3, true));
-    assert_ne!(reader.usable(), other.usable());
-    for note in reader.gone(ms(300)) {
-        other.leave(&note, ms(300));
+    assert_ne!(reader.checksum(), other.checksum());
+    for note in reader.all_departures(ms(300)) {
+        other.apply_departure(&note, ms(300));
     }
-    assert_eq!(reader.usable(), other.usable());
+    assert_eq!(reader.checksum(), other.checksum());
     reader.remove("b", ms(400));
-    assert_eq!(reader.usable(), other.usable(), "one that leaves is as good as gone");
+    assert_eq!(reader.checksum(), other.checksum(), "one that leaves is as good as gone");
 }
--- a/lib/tests/test_replicas.rs
+++ b/lib/tests/test_replicas.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use comfreymux_lib::cluster::digest::CountNote;
-use comfreymux_lib::cluster::digest::DemandNote;
-use comfreymux_lib::cluster::workloads::Place;
+use comfreymux_lib::cluster::digest::ArrivalCount;
+use comfreymux_lib::cluster::digest::DemandReport;
+use comfreymux_lib::cluster::workloads::WorkloadKey;
 use comfreymux_lib::placement::engine_table::LoadJob;
 use comfreymux_lib::placement::engine_table::Source;
 use comfreymux_testutils::placing_site::NOW;
@@ -52,9 +52,9 @@
     site.engine("e333", &["hot", "c"], &[]);
     site.engine("e4444", &["d", "e"], &["hot"]);
     let count =
-        |count| CountNote { service: SERVICE.into(), model: "hot".into(), adapter: None, count };
+        |count| ArrivalCount { service: SERVICE.into(), model: "hot".into(), adapter: None, count };
     for (seconds, total) in [(10, 0), (8, 16), (6, 32), (4, 48), (2, 64), (0, 112)] {
-        let note = DemandNote { wants: Vec::new(), counts: vec![count(total)] };
+        let note = DemandReport { queued: Vec::new(), arrivals: vec![count(total)] };
         site.demand.update(&"d1".into(), note, NOW.saturating_sub(Duration::from_secs(seconds)));
     }
     assert_eq!(load_of(&site.plan(), "hot").map(|l| l.0), Some("e4444"));
@@ -70,7 +70,7 @@
     site.engine("e333", &["c", "d"], &["hot"]);
     site.busy("hot", 1);
     assert_eq!(load_of(&site.plan(), "hot"), None);
-    let place = |server: &str| Place { server: server.into(), model: Some("hot".into()) };
+    let place = |server: &str| WorkloadKey { server: server.into(), model: Some("hot".into()) };
     let running: Vec<_> =
         (0..80).map(|n| site.loads.begin(place(["e1", "e22"][n % 2]), 100)).collect();
     assert_eq!(load_of(&site.plan(), "hot").map(|l| l.0), Some("e333"));
--- a/lib/tests/test_starts.rs
+++ b/lib/tests/test_starts.rs
@@ -4,23 +4,23 @@
 
 use bytes::Bytes;
 use comfreymux_lib::boot_clock::Moment;
-use comfreymux_lib::cluster::digest::HeldNote;
-use comfreymux_lib::cluster::digest::LeftNote;
+use comfreymux_lib::cluster::digest::LoadedModelReport;
+use comfreymux_lib::cluster::digest::ServerDeparture;
 use comfreymux_lib::cluster::directory::Change;
-use comfreymux_lib::cluster::directory::Copies;
 use comfreymux_lib::cluster::directory::Directory;
-use comfreymux_lib::cluster::directory::HeldModel;
+use comfreymux_lib::cluster::directory::LoadedModel;
 use comfreymux_lib::cluster::directory::Server;
-use comfreymux_lib::cluster::engine_inventories::Holding;
+use comfreymux_lib::cluster::directory::WeightCopies;
+use comfreymux_lib::cluster::engine_inventories::EngineInventory;
 use comfreymux_lib::cluster::engine_inventories::Holdings;
-use comfreymux_lib::cluster::latest_instances::StartOrder;
+use comfreymux_lib::cluster::latest_instances::InstanceOrder;
 use comfreymux_lib::cluster::server_health::Evidence;
-use comfreymux_lib::cluster::server_health::Health;
-use comfreymux_lib::cluster::server_instance::ServerStart;
-use comfreymux_lib::cluster::workloads::Loads;
-use comfreymux_lib::cluster::workloads::Place;
-use comfreymux_lib::cluster::workloads::ServerWord;
-use comfreymux_lib::cluster::workloads::Work;
+use comfreymux_lib::cluster::server_health::ServerHealth;
+use comfreymux_lib::cluster::server_instance::ServerInstance;
+use comfreymux_lib::cluster::workloads::ReportedWorkload;
+use comfreymux_lib::cluster::workloads::Workload;
+use comfreymux_lib::cluster::workloads::WorkloadKey;
+use comfreymux_lib::cluster::workloads::Workloads;
 use comfreymux_lib::ids::Birth;
 use comfreymux_lib::placement::engine_table::AdapterJob;
 use comfreymux_lib::placement::engine_table::LoadJob;
@@ -39,8 +39,8 @@
     Duration::from_millis(ms)
 }
 
-fn held(name: &str) -> HeldModel {
-    HeldModel { name: name.into(), adapters: Vec::new() }
+fn held(name: &str) -> LoadedModel {
+    LoadedModel { name: name.into(), adapters: Vec::new() }
 }
 
 fn server(born: Option<Birth>, beat: u64, models: &[&str]) -> Server {
@@ -52,14 +52,17 @@
         slots: 8,
         leaving: false,
         models: models.iter().map(|m| held(m)).collect(),
-        copies: Copies { memory: models.iter().map(|m| (*m).into()).collect(), disk: Vec::new() },
-        beat,
+        copies: WeightCopies {
+            memory: models.iter().map(|m| (*m).into()).collect(),
+            disk: Vec::new(),
+        },
+        heartbeat: beat,
         born,
     }
 }
 
-fn start(born: Birth) -> ServerStart {
-    ServerStart { id: "e1".into(), born: Some(born) }
+fn start(born: Birth) -> ServerInstance {
+    ServerInstance { id: "e1".into(), born: Some(born) }
 }
 
 fn put(directory: &mut Directory, server: Server, now: u64) -> Change {
@@ -80,7 +83,7 @@
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &[]), 9_000), Change::Restarted);
     assert!(models(&directory).is_empty());
-    assert_eq!(directory.get("e1").expect("listed").beat, 1);
+    assert_eq!(directory.get("e1").expect("listed").heartbeat, 1);
 }
 
 /// A peer that was cut off relays the entry that it last read. The engine has started again since; the
@@ -93,7 +96,7 @@
     assert_eq!(put(&mut directory, old, 100), Change::None);
     assert!(models(&directory).is_empty());
     let now = directory.get("e1").expect("listed");
-    assert_eq!((now.leaving, now.beat, now.born), (false, 1, Some(SECOND)));
+    assert_eq!((now.leaving, now.heartbeat, now.born), (false, 1, Some(SECOND)));
     assert!(directory.left(ms(100)).is_empty());
 }
 
@@ -107,7 +110,7 @@
     assert_eq!(put(&mut directory, server(Some(SECOND), 2, &["veil"]), 600), Change::None);
     assert_eq!(models(&directory), ["cuff"]);
     assert_eq!(put(&mut directory, server(Some(THIRD), 2, &["cuff"]), 700), Change::None);
-    assert_eq!(directory.get("e1").expect("listed").beat, 2);
+    assert_eq!(directory.get("e1").expect("listed").heartbeat, 2);
 }
 
 /// Only the heartbeat count starts anew while the start is the same: that is an old entry of this start,
@@ -118,7 +121,7 @@
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
     assert_eq!(put(&mut directory, server(Some(FIRST), 1, &[]), 100), Change::None);
     assert_eq!(models(&directory), ["hem"]);
-    assert_eq!(directory.get("e1").expect("listed").beat, 70);
+    assert_eq!(directory.get("e1").expect("listed").heartbeat, 70);
 }
 
 /// Servers that do not tell their start are judged by their heartbeats alone.
@@ -128,7 +131,7 @@
     put(&mut directory, server(None, 70, &["hem"]), 0);
     assert_eq!(put(&mut directory, server(None, 1, &[]), 100), Change::None);
     assert_eq!(
-        directory.leave(&LeftNote { server: "e1".into(), beat: 70 }, ms(100)),
+        directory.apply_departure(&ServerDeparture { server: "e1".into(), heartbeat: 70 }, ms(100)),
         Change::Leaving
     );
     assert_eq!(put(&mut directory, server(None, 71, &[]), 200), Change::None);
@@ -160,7 +163,7 @@
     assert_eq!(late.remove("e1", ms(1_000)), Change::Removed);
     put(&mut early, server(Some(SECOND), 1, &[]), 1_500);
     for left in late.left(ms(1_600)) {
-        assert_eq!(early.leave(&left, ms(1_600)), Change::None);
+        assert_eq!(early.apply_departure(&left, ms(1_600)), Change::None);
     }
     assert!(!early.get("e1").expect("listed").leaving);
 }
@@ -171,8 +174,8 @@
 fn left_newer() {
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
-    let note = LeftNote { server: start(SECOND), beat: 1 };
-    assert_eq!(directory.leave(&note, ms(100)), Change::Leaving);
+    let note = ServerDeparture { server: start(SECOND), heartbeat: 1 };
+    assert_eq!(directory.apply_departure(&note, ms(100)), Change::Leaving);
     assert!(models(&directory).is_empty());
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &["hem"]), 200), Change::None);
     assert!(directory.get("e1").expect("listed").leaving);
@@ -199,13 +202,13 @@
 fn word_first() {
     let mut directory = Directory::default();
     put(&mut directory, Server { leaving: true, ..server(Some(FIRST), 70, &["hem"]) }, 0);
-    assert_eq!(directory.hear(&start(SECOND), ms(100)), StartOrder::Newer);
+    assert_eq!(directory.hear(&start(SECOND), ms(100)), InstanceOrder::Newer);
     let now = directory.get("e1").expect("listed");
-    assert_eq!((now.leaving, now.beat, now.born), (false, 0, Some(SECOND)));
-    assert!(now.models.is_empty() && now.copies == Copies::default());
+    assert_eq!((now.leaving, now.heartbeat, now.born), (false, 0, Some(SECOND)));
+    assert!(now.models.is_empty() && now.copies == WeightCopies::default());
     assert!(!directory.is_current(&start(FIRST)));
-    assert_eq!(directory.hear(&start(FIRST), ms(200)), StartOrder::Older);
-    assert_eq!(directory.hear(&start(SECOND), ms(300)), StartOrder::Same);
+    assert_eq!(directory.hear(&start(FIRST), ms(200)), InstanceOrder::Older);
+    assert_eq!(directory.hear(&start(SECOND), ms(300)), InstanceOrder::Same);
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &["cuff"]), 400), Change::Updated);
     assert_eq!(models(&directory), ["cuff"]);
 }
@@ -215,9 +218,9 @@
 #[test]
 fn lapse_ended() {
     let mut directory = Directory::default();
-    directory.read(ms(0));
+    directory.record_read(ms(0));
     put(&mut directory, server(Some(FIRST), 70, &[]), 0);
-    directory.read(ms(9_000));
+    directory.record_read(ms(9_000));
     assert_eq!(directory.remove("e1", ms(9_000)), Change::Lapsed);
     directory.hear(&start(SECOND), ms(9_500));
     assert!(directory.sweep(ms(12_000)).is_empty());
@@ -229,13 +232,13 @@
 #[test]
 fn holding_older() {
     let mut holdings = Holdings::default();
-    let note = |name: &str| HeldNote { name: name.into(), adapters: Vec::new() };
-    let holding = |born: Birth, sequence: u64, beat: u64, models: &[&str]| Holding {
+    let note = |name: &str| LoadedModelReport { name: name.into(), adapters: Vec::new() };
+    let holding = |born: Birth, sequence: u64, heartbeat: u64, models: &[&str]| EngineInventory {
         server: start(born),
         sequence,
-        beat,
+        heartbeat,
         models: models.iter().map(|m| note(m)).collect(),
-        coming: Vec::new(),
+        pending: Vec::new(),
     };
     let now = server(Some(SECOND), 1, &[]);
     assert!(holdings.put(7, holding(FIRST, 12, 70, &["hem"]), ms(0)));
@@ -249,32 +252,32 @@
 /// start, or a failure of it that shows late, would keep callers from a sound server.
 #[test]
 fn pause_gone() {
-    let mut health = Health::default();
+    let mut health = ServerHealth::default();
     let service = SERVICE.into();
     for n in 0..8 {
-        health.note(&service, &start(FIRST), ms(n * 5_000), Evidence::Unreachable);
+        health.record(&service, &start(FIRST), ms(n * 5_000), Evidence::Unreachable);
     }
     assert!(health.is_avoided(&start(FIRST), ms(35_100)));
     assert!(!health.is_avoided(&start(SECOND), ms(35_100)));
-    health.note(&service, &start(FIRST), ms(40_000), Evidence::Unreachable);
-    assert!(!health.is_dark(&start(SECOND), ms(40_100)));
+    health.record(&service, &start(FIRST), ms(40_000), Evidence::Unreachable);
+    assert!(!health.is_unreachable(&start(SECOND), ms(40_100)));
 }
 
 /// A server starts again while requests of this daemon and of its peers seem to run there, since their
 /// connections have not broken yet. New requests would avoid the idle server.
 #[test]
 fn loads_apart() {
-    let loads = Loads::default();
-    let place = |born: Birth| Place { server: start(born), model: None };
+    let loads = Workloads::default();
+    let place = |born: Birth| WorkloadKey { server: start(born), model: None };
     let running = loads.begin(place(FIRST), 500);
-    let work = Work { running: 4, prompt: 900 };
-    loads.heard(&"d2".into(), ms(0), vec![(place(FIRST), work)]);
-    loads.told(&start(FIRST), ms(0), ServerWord { running: 9, waiting: 3, slots: 8 });
+    let work = Workload { running: 4, prompt_tokens: 900 };
+    loads.set_peer(&"d2".into(), ms(0), vec![(place(FIRST), work)]);
+    loads.set_reported(&start(FIRST), ms(0), ReportedWorkload { running: 9, waiting: 3, slots: 8 });
     assert_eq!(loads.at(&start(FIRST), ms(100)).running, 12);
-    assert_eq!(loads.at(&start(SECOND), ms(100)), Work::default());
+    assert_eq!(loads.at(&start(SECOND), ms(100)), Workload::default());
     let again = loads.begin(place(SECOND), 100);
     drop(running);
-    assert_eq!(loads.at(&start(SECOND), ms(200)), Work { running: 1, prompt: 100 });
+    assert_eq!(loads.at(&start(SECOND), ms(200)), Workload { running: 1, prompt_tokens: 100 });
     drop(again);
 }
 
@@ -313,7 +316,7 @@
     assert_eq!((engine.sequence, engine.confirmed), (0, false));
     let report = EngineReport {
         models: Vec::new(),
-        copies: Copies { memory: Vec::new(), disk: vec!["hem".into()] },
+        copies: WeightCopies { memory: Vec::new(), disk: vec!["hem".into()] },
         busy: false,
         sequence: 1,
         born: Some(SECOND),
@@ -371,13 +374,13 @@
     let (mut early, mut late) = entry_ended();
     put(&mut early, server(Some(FIRST), 18, &[]), 13_000);
     for left in late.left(ms(13_100)) {
-        early.leave(&left, ms(13_100));
+        early.apply_departure(&left, ms(13_100));
     }
-    assert_eq!(early.settle(ms(19_200)), ["e1"]);
+    assert_eq!(early.confirm_returns(ms(19_200)), ["e1"]);
     assert!(!early.get("e1").expect("listed").leaving);
     put(&mut early, server(Some(FIRST), 19, &["hem"]), 19_300);
     for left in late.left(ms(13_900)) {
-        assert_eq!(early.leave(&left, ms(19_400)), Change::None);
+        assert_eq!(early.apply_departure(&left, ms(19_400)), Change::None);
     }
     assert!(!early.get("e1").expect("listed").leaving);
 }
@@ -389,10 +392,10 @@
     let (mut early, mut late) = entry_ended();
     put(&mut early, server(Some(FIRST), 13, &[]), 12_000);
     for left in late.left(ms(12_100)) {
-        assert_eq!(early.leave(&left, ms(12_100)), Change::Leaving);
+        assert_eq!(early.apply_departure(&left, ms(12_100)), Change::Leaving);
     }
     assert_eq!(put(&mut early, server(Some(FIRST), 14, &[]), 12_500), Change::None);
-    assert!(early.settle(ms(17_000)).is_empty());
+    assert!(early.confirm_returns(ms(17_000)).is_empty());
     assert!(early.get("e1").expect("listed").leaving);
 }
 
@@ -404,8 +407,8 @@
     let (_, mut late) = entry_ended();
     put(&mut early, server(Some(FIRST), 1, &[]), 0);
     for left in late.left(ms(10_200)) {
-        assert_eq!(early.leave(&left, ms(10_200)), Change::Leaving);
+        assert_eq!(early.apply_departure(&left, ms(10_200)), Change::Leaving);
     }
-    assert!(early.settle(ms(60_000)).is_empty());
+    assert!(early.confirm_returns(ms(60_000)).is_empty());
     assert!(early.get("e1").expect("listed").leaving);
 }
--- a/lib/tests/test_tenure.rs
+++ b/lib/tests/test_tenure.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreymux_lib::boot_clock::Moment;
-use comfreymux_lib::cluster::peer_table::HeardTenure;
+use comfreymux_lib::cluster::peer_table::PeerLease;
 use comfreymux_lib::placement::entries::LeaseEntry;
 use comfreymux_lib::placement::lease_state::LEASE_TTL;
 use comfreymux_lib::placement::lease_state::LeaseState;
@@ -67,12 +67,7 @@
     }
 
     /// The same at a daemon that hears another's claim.
-    fn hearing(
-        &mut self,
-        tenure: &mut LeaseState,
-        now: Moment,
-        heard: Option<HeardTenure>,
-    ) -> bool {
+    fn hearing(&mut self, tenure: &mut LeaseState, now: Moment, heard: Option<PeerLease>) -> bool {
         match tenure.next_step(now, heard) {
             LeaseStep::Sleep(_) => false,
             LeaseStep::Read => {
@@ -142,7 +137,7 @@
                 heard = a.claim(ms(t)).map(|claim| (t, claim));
             }
         }
-        let fresh = heard.filter(|(at, _)| t <= at + 900).map(|(at, claim)| HeardTenure {
+        let fresh = heard.filter(|(at, _)| t <= at + 900).map(|(at, claim)| PeerLease {
             fence: claim.fence,
             until: ms(at) + claim.valid_for,
             end: claim.end,
@@ -260,7 +255,7 @@
     let mut feed = Feed::default();
     let mut a = daemon(1, true);
     feed.settle(&mut a, ms(100));
-    a.next_step(ms(200), Some(HeardTenure { fence: 9, until: ms(2_000), end: 9 }));
+    a.next_step(ms(200), Some(PeerLease { fence: 9, until: ms(2_000), end: 9 }));
     assert_eq!(a.fence(ms(200)), None);
 }
 
--- a/lib/tests/test_trials.rs
+++ b/lib/tests/test_trials.rs
@@ -4,7 +4,7 @@
 
 use comfreymux_lib::boot_clock::Moment;
 use comfreymux_lib::cluster::fingerprint::Fingerprint;
-use comfreymux_lib::cluster::server_instance::ServerStart;
+use comfreymux_lib::cluster::server_instance::ServerInstance;
 use comfreymux_lib::serve::trials::Trial;
 use comfreymux_lib::serve::trials::Trials;
 use http::Method;
@@ -44,7 +44,7 @@
     tell(&fleet, now);
     let first = next(&fleet, &copies, now);
     assert_eq!(first.len(), 1);
-    copies[first[0]].begin(ServerStart::from("e1"));
+    copies[first[0]].begin(ServerInstance::from("e1"));
     tell(&fleet, now);
     assert_eq!(next(&fleet, &copies, now), [0; 0], "an engine has one");
     copies[first[0]] = fleet[first[0]].wait(print(), now);
--- a/lib/testutils/src/placing_site.rs
+++ b/lib/testutils/src/placing_site.rs
@@ -10,14 +10,14 @@
 use comfreymux_lib::cluster::configuration::EngineSpec;
 use comfreymux_lib::cluster::configuration::ModelSpec;
 use comfreymux_lib::cluster::configuration::Service;
-use comfreymux_lib::cluster::digest::CountNote;
-use comfreymux_lib::cluster::digest::DemandNote;
-use comfreymux_lib::cluster::digest::WantNote;
-use comfreymux_lib::cluster::directory::Copies;
-use comfreymux_lib::cluster::directory::HeldModel;
+use comfreymux_lib::cluster::digest::ArrivalCount;
+use comfreymux_lib::cluster::digest::DemandReport;
+use comfreymux_lib::cluster::digest::QueuedDemand;
+use comfreymux_lib::cluster::directory::LoadedModel;
 use comfreymux_lib::cluster::directory::Server;
+use comfreymux_lib::cluster::directory::WeightCopies;
 use comfreymux_lib::cluster::run_times::RunTimes;
-use comfreymux_lib::cluster::workloads::Loads;
+use comfreymux_lib::cluster::workloads::Workloads;
 use comfreymux_lib::placement::demand::Demand;
 use comfreymux_lib::placement::engine_table::Engine;
 use comfreymux_lib::placement::engine_table::EngineTable;
@@ -42,7 +42,7 @@
     /// What callers ask for.
     pub demand: Demand,
     /// Requests in progress.
-    pub loads: Loads,
+    pub loads: Workloads,
     /// Loads from the weight store that may begin.
     pub room: usize,
     /// What is known of the weight store.
@@ -52,9 +52,9 @@
 fn spec(size: u64, adapters: usize) -> ModelSpec {
     ModelSpec {
         size,
-        load: Duration::from_secs(6),
-        disk: Duration::from_millis(1600),
-        warm: Duration::from_millis(1200),
+        store_load: Duration::from_secs(6),
+        disk_load: Duration::from_millis(1600),
+        memory_load: Duration::from_millis(1200),
         adapters: (1..=adapters).map(|n| format!("a{n}").into()).collect(),
         adapter_size: 50,
     }
@@ -68,16 +68,16 @@
             EngineSpec { models, slots: 64, memory: 200_000, adapter_slots: 8, load_rate: 2.2 };
         let service = Service { name: SERVICE.into(), engine: Some(engine) };
         let limits = CallerLimits {
-            head: 8192,
-            body: 8192,
-            head_time: Duration::from_secs(1),
-            idle: Duration::from_secs(1),
+            max_head: 8192,
+            max_body: 8192,
+            head_timeout: Duration::from_secs(1),
+            idle_timeout: Duration::from_secs(1),
         };
         Self {
             config: Configuration::new(1, Vec::new(), vec![service], limits),
             ledger: EngineTable::default(),
             demand: Demand::default(),
-            loads: Loads::default(),
+            loads: Workloads::default(),
             room: 8,
             share: StoreShare { proven: 4, limit: 4 },
         }
@@ -89,7 +89,7 @@
     ///
     /// Never: the address is well formed.
     pub fn engine(&mut self, id: &str, held: &[&str], disk: &[&str]) -> &mut Engine {
-        let held_model = |name: &&str| HeldModel { name: (*name).into(), adapters: Vec::new() };
+        let held_model = |name: &&str| LoadedModel { name: (*name).into(), adapters: Vec::new() };
         let server = Server {
             id: id.into(),
             service: SERVICE.into(),
@@ -98,8 +98,8 @@
             slots: 64,
             leaving: false,
             models: held.iter().map(held_model).collect(),
-            copies: Copies::default(),
-            beat: 1,
+            copies: WeightCopies::default(),
+            heartbeat: 1,
             born: None,
         };
         let engine = Engine {
@@ -124,16 +124,16 @@
 
     /// Makes one request wait for a model or adapter.
     pub fn want(&mut self, model: &str, adapter: Option<&str>) {
-        let want = WantNote {
+        let want = QueuedDemand {
             service: SERVICE.into(),
             model: model.into(),
             adapter: adapter.map(Into::into),
             waiting: 1,
-            left_ms: 10_000,
+            remaining_ms: 10_000,
             due_ms: 4_000,
             avoid: Vec::new(),
         };
-        let note = DemandNote { wants: vec![want], counts: Vec::new() };
+        let note = DemandReport { queued: vec![want], arrivals: Vec::new() };
         self.demand.update(&format!("d-{model}").into(), note, NOW);
     }
 
@@ -146,8 +146,8 @@
     pub fn asked(&mut self, model: &str, times: u32) {
         for count in [0, times] {
             let count =
-                CountNote { service: SERVICE.into(), model: model.into(), adapter: None, count };
-            let note = DemandNote { wants: Vec::new(), counts: vec![count] };
+                ArrivalCount { service: SERVICE.into(), model: model.into(), adapter: None, count };
+            let note = DemandReport { queued: Vec::new(), arrivals: vec![count] };
             self.demand.update(&format!("busy-{model}").into(), note, NOW);
         }
     }
