--- a/lib/src/cluster/directory.rs
+++ b/lib/src/cluster/directory.rs
@@ -204,7 +204,7 @@
     }
 
     /// Notes that the feed is as a reader of it tells: it was read at `read`, up to `end`.
-    pub fn told(&mut self, read: Moment, end: Offset) {
+    pub fn record_relayed_read(&mut self, read: Moment, end: Offset) {
         self.advance(end);
         if self.read.is_none_or(|known| known < read) {
             self.note_pause(read);
@@ -249,7 +249,7 @@
 
     /// Takes in that somebody named a start of a server. All ways by which daemons hear of servers
     /// come through here: an older start is passed over, and a newer one ends what was known.
-    pub fn hear(&mut self, start: &ServerInstance, now: Moment) -> InstanceOrder {
+    pub fn observe_instance(&mut self, start: &ServerInstance, now: Moment) -> InstanceOrder {
         let order = self.starts.observe(start, now);
         if order == InstanceOrder::Newer
             && let Some(entry) = self.entries.get_mut(&start.id)
@@ -268,7 +268,7 @@
 
     /// Takes in a server's entry.
     pub fn put(&mut self, mut server: Server, raw: Bytes, now: Moment) -> Change {
-        let order = self.hear(&server.instance(), now);
+        let order = self.observe_instance(&server.instance(), now);
         if order == InstanceOrder::Older {
             return Change::None;
         }
@@ -359,7 +359,7 @@
     }
 
     /// Returns the servers that left lately, to be told to peers: each daemon reads at other moments.
-    pub fn left(&mut self, now: Moment) -> Vec<ServerDeparture> {
+    pub fn recent_departures(&mut self, now: Moment) -> Vec<ServerDeparture> {
         self.left.retain(|(at, _)| now <= *at + TELL_FOR);
         self.left.iter().map(|(_, note)| note.clone()).collect()
     }
@@ -367,7 +367,7 @@
     /// Returns the servers that left lately or did not come back, for those who live by this daemon's word.
     pub fn all_departures(&mut self, now: Moment) -> Vec<ServerDeparture> {
         self.lost.retain(|(at, _)| now <= *at + TELL_FOR);
-        let mut list = self.left(now);
+        let mut list = self.recent_departures(now);
         list.extend(self.lost.iter().map(|(_, note)| note.clone()));
         list
     }
@@ -377,7 +377,7 @@
     /// It may only have been cut off until its entry ran out, and be back while the word still goes on;
     /// [`Self::settle`] finds that out.
     pub fn apply_departure(&mut self, note: &ServerDeparture, now: Moment) -> Change {
-        if self.hear(&note.server, now) == InstanceOrder::Older {
+        if self.observe_instance(&note.server, now) == InstanceOrder::Older {
             return Change::None;
         }
         let entry = self.entries.get_mut(&note.server.id);
--- a/lib/src/cluster/engine_inventories.rs
+++ b/lib/src/cluster/engine_inventories.rs
@@ -64,11 +64,11 @@
 
 /// The newest word on each start of an engine.
 #[derive(Debug, Default)]
-pub struct Holdings {
+pub struct EngineInventories {
     told: HashMap<ServerInstance, Told>,
 }
 
-impl Holdings {
+impl EngineInventories {
     /// Takes in word of the holder with `fence`; returns whether anything changed.
     pub fn put(&mut self, fence: Fence, holding: EngineInventory, now: Moment) -> bool {
         if let Some(old) = self.told.get(&holding.server)
--- a/lib/src/cluster/peer_table.rs
+++ b/lib/src/cluster/peer_table.rs
@@ -82,7 +82,7 @@
     /// Its process, once known.
     pub process: ProcessId,
     /// When it was last heard; none where it is only listed.
-    pub heard: Option<Moment>,
+    pub last_heard: Option<Moment>,
     /// Its data centre, once heard.
     pub centre: CentreId,
     /// Configuration that it follows.
@@ -124,7 +124,7 @@
     pub fn put_listed(&mut self, id: &DaemonId, listed: &DaemonEntry, now: Moment) {
         let peer = self.entry(id, listed.addr, listed.process, now);
         // The list is older than what the peer itself says.
-        if peer.heard.is_none() {
+        if peer.last_heard.is_none() {
             peer.addr = listed.addr;
             peer.process = listed.process;
             peer.centre = listed.centre.clone();
@@ -143,7 +143,7 @@
         self.peers.entry(id.clone()).or_insert_with(|| Peer {
             addr,
             process,
-            heard: None,
+            last_heard: None,
             centre: CentreId::default(),
             config_version: 0,
             config_checked: Moment::ZERO,
@@ -166,14 +166,14 @@
     ) -> bool {
         let silent = self.peer_timeout();
         let peer = self.entry(id, addr, process, now);
-        let was_silent = peer.heard.is_none_or(|h| now > h + silent);
+        let was_silent = peer.last_heard.is_none_or(|h| now > h + silent);
         if peer.process != process {
             peer.reader_status = None;
         }
         peer.addr = addr;
         peer.process = process;
         peer.rank = ReaderRank { is_small: digest.is_small, process };
-        peer.heard = Some(now);
+        peer.last_heard = Some(now);
         peer.centre = digest.centre.clone();
         peer.config_version = digest.config_version;
         let age = Duration::from_millis(digest.config_age.into());
@@ -231,7 +231,7 @@
 
     /// Returns whether a peer is known to be gone: it was silent for much longer than it should be.
     pub(super) fn is_gone(&self, peer: &Peer, now: Moment) -> bool {
-        now > peer.heard.unwrap_or(peer.listed).max(peer.listed) + self.peer_timeout()
+        now > peer.last_heard.unwrap_or(peer.listed).max(peer.listed) + self.peer_timeout()
     }
 
     /// Returns the peers heard lately.
@@ -326,7 +326,7 @@
     pub fn holder(&self, now: Moment) -> Option<(&DaemonId, &Peer, PeerLease)> {
         let claims = self.peers.iter().filter_map(|(id, p)| Some((id, p, p.lease?)));
         let silent = self.holder_interval() * MISSED_BY_HOLDER;
-        let is_fresh = |p: &Peer| p.heard.is_some_and(|h| now <= h + silent);
+        let is_fresh = |p: &Peer| p.last_heard.is_some_and(|h| now <= h + silent);
         claims.filter(|(_, p, t)| now <= t.until && is_fresh(p)).max_by_key(|(_, _, t)| t.fence)
     }
 
@@ -336,7 +336,8 @@
             let others = self.peers.values().filter(|p| p.centre != centre).count();
             return others > 1 && now > self.remote_heard(centre, now) + OTHERS_SILENT;
         }
-        let mut others = self.peers.values().filter(|p| p.heard.is_some() && p.centre != centre);
+        let mut others =
+            self.peers.values().filter(|p| p.last_heard.is_some() && p.centre != centre);
         let silent = self.peer_timeout();
         let mut count = 0;
         let all_silent = others.all(|p| {
@@ -350,7 +351,7 @@
     pub fn sweep(&mut self, now: Moment) {
         let turns = DIGEST_EVERY * self.daemons() as u32 * FORGET_TURNS;
         let forget = if self.is_large_fleet() { turns.max(FORGET_AFTER) } else { FORGET_AFTER };
-        self.peers.retain(|_, p| now <= p.heard.unwrap_or(p.listed).max(p.listed) + forget);
+        self.peers.retain(|_, p| now <= p.last_heard.unwrap_or(p.listed).max(p.listed) + forget);
     }
 }
 
@@ -363,6 +364,6 @@
 
     /// Returns whether it was heard lately: less than `silent` ago.
     pub fn is_reachable(&self, now: Moment, silent: Duration) -> bool {
-        self.heard.is_some_and(|h| now <= h + silent)
+        self.last_heard.is_some_and(|h| now <= h + silent)
     }
 }
--- a/lib/src/cluster/quarantine.rs
+++ b/lib/src/cluster/quarantine.rs
@@ -169,7 +169,7 @@
     }
 
     /// Returns what peers should know; a reader also tells what it heard from others.
-    pub fn note(&self, now: Moment, is_reader: bool) -> QuarantineReport {
+    pub fn report(&self, now: Moment, is_reader: bool) -> QuarantineReport {
         let is_fresh = |since: Moment| now <= since + TOLD_FOR;
         let mut crashes: Vec<_> = self
             .crashes
--- a/lib/src/cluster/quarantine_report.rs
+++ b/lib/src/cluster/quarantine_report.rs
@@ -37,23 +37,23 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum RequestProgress {
     /// To its first event.
-    Begun,
+    FirstEvent,
     /// To events that went on for a while.
-    Young,
+    Streaming,
     /// To the end of a whole answer.
     Complete,
 }
 
 impl RequestProgress {
     /// All of them.
-    pub const ALL: [Self; 3] = [Self::Begun, Self::Young, Self::Complete];
+    pub const ALL: [Self; 3] = [Self::FirstEvent, Self::Streaming, Self::Complete];
 
     /// Returns whether a request that came so far is not to blame for a crash at a stage: it crashes each server at the
     /// same place, if it does.
     pub fn clears(self, stage: CrashStage) -> bool {
         match self {
-            Self::Begun => stage == CrashStage::BeforeEvents,
-            Self::Young => stage < CrashStage::Other,
+            Self::FirstEvent => stage == CrashStage::BeforeEvents,
+            Self::Streaming => stage < CrashStage::Other,
             Self::Complete => true,
         }
     }
--- a/lib/src/cluster/rate_limits.rs
+++ b/lib/src/cluster/rate_limits.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns what peers should know; a reader also tells what it heard from others.
-    pub fn note(&self, now: Moment, is_reader: bool) -> Vec<LimitReport> {
+    pub fn report(&self, now: Moment, is_reader: bool) -> Vec<LimitReport> {
         let is_told = |word: &Word| {
             (word.is_own || is_reader) && (word.limit.is_some() || now <= word.at + END_TOLD)
         };
--- a/lib/src/cluster/reader_role.rs
+++ b/lib/src/cluster/reader_role.rs
@@ -63,7 +63,7 @@
     }
 
     /// Ends the duty at once: this daemon stops, or its fleet is small.
-    pub fn end(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
--- a/lib/src/cluster/readers.rs
+++ b/lib/src/cluster/readers.rs
@@ -130,7 +130,7 @@
     /// Returns when some daemon of another data centre was last heard, here or by a reader of this one.
     pub fn remote_heard(&self, centre: &str, now: Moment) -> Moment {
         let others = self.peers.values().filter(|p| p.centre != centre && !p.centre.is_empty());
-        let heard = others.filter_map(|p| p.heard).max().unwrap_or_default();
+        let heard = others.filter_map(|p| p.last_heard).max().unwrap_or_default();
         let words = self.readers(centre, now).filter_map(|(_, p)| p.fresh_reader_status(now));
         words.map(|word| word.remote_heard).max().unwrap_or_default().max(heard)
     }
--- a/lib/src/serve/apply_updates.rs
+++ b/lib/src/serve/apply_updates.rs
@@ -105,7 +105,7 @@
 
 /// Takes in that somebody named a start of a server, and returns how it stands to the newest one.
 pub fn take_start(entry: &Entry, start: &ServerInstance, from: &str) -> InstanceOrder {
-    let order = entry.directory.borrow_mut().hear(start, entry.now());
+    let order = entry.directory.borrow_mut().observe_instance(start, entry.now());
     if order == InstanceOrder::Newer && entry.directory.borrow().is_current(start) {
         log_change(entry, &start.id, Change::Restarted, from);
         servers_changed(entry);
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -167,7 +167,7 @@
         self.first = Some(first);
         self.young_since = Some(first);
         self.trial = None;
-        entry.note_passed(self, RequestProgress::Begun);
+        entry.note_passed(self, RequestProgress::FirstEvent);
     }
 
     /// Returns the servers that it was sent to, the last one too.
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -6,7 +6,7 @@
 use crate::boot_clock::Moment;
 use crate::cluster::directory::Directory;
 use crate::cluster::directory::Server;
-use crate::cluster::engine_inventories::Holdings;
+use crate::cluster::engine_inventories::EngineInventories;
 use crate::cluster::run_times::RunTimes;
 use crate::cluster::send_permit::SendPermit;
 use crate::cluster::send_permit::SendPermits;
@@ -51,7 +51,7 @@
     /// The servers.
     pub directory: &'a Directory,
     /// What engines hold.
-    pub holdings: &'a Holdings,
+    pub holdings: &'a EngineInventories,
     /// Work at the servers.
     pub loads: &'a Workloads,
     /// Servers to avoid.
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -17,8 +17,8 @@
 use crate::cluster::configuration::ServiceName;
 use crate::cluster::digest::ProcessId;
 use crate::cluster::directory::Directory;
+use crate::cluster::engine_inventories::EngineInventories;
 use crate::cluster::engine_inventories::EngineInventory;
-use crate::cluster::engine_inventories::Holdings;
 use crate::cluster::peer_table::PeerTable;
 use crate::cluster::quarantine::Quarantine;
 use crate::cluster::rate_limits::RateLimits;
@@ -140,7 +140,7 @@
     /// The servers.
     pub directory: RefCell<Directory>,
     /// What engines hold.
-    pub holdings: RefCell<Holdings>,
+    pub holdings: RefCell<EngineInventories>,
     /// Work at servers.
     pub loads: Workloads,
     /// Servers to avoid.
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -274,7 +274,7 @@
             return false;
         }
         entry.metrics.word("taken");
-        entry.directory.borrow_mut().told(heard.read, end);
+        entry.directory.borrow_mut().record_relayed_read(heard.read, end);
         entry.coverage.reached(heard.read);
         entry.coverage.is_partial.set(true);
         true
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -66,14 +66,14 @@
             ready: entry.is_ready(),
             is_small: settings.host.is_small(),
             workloads: entry.loads.snapshot_own().into_iter().map(note).collect(),
-            limits: entry.rates.borrow().note(now, entry.reads()),
-            quarantine: entry.quarantine.borrow().note(now, entry.reads()),
+            limits: entry.rates.borrow().report(now, entry.reads()),
+            quarantine: entry.quarantine.borrow().report(now, entry.reads()),
             lease: claim.map(LeaseReport::from),
         }
     }
 
     fn digest_message(&self) -> Vec<u8> {
-        let left = self.entry.directory.borrow_mut().left(self.entry.now());
+        let left = self.entry.directory.borrow_mut().recent_departures(self.entry.now());
         self.encode(Payload::Digest(self.digest(left)))
     }
 
@@ -124,7 +124,7 @@
         let does = if is_needed {
             duty.update(before, now)
         } else {
-            duty.end();
+            duty.reset();
             false
         };
         if did != does {
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -61,7 +61,7 @@
     pub fn note_events(&self, attempt: &mut Attempt) {
         if attempt.young_since.is_some_and(|first| self.now() >= first + YOUNG) {
             attempt.young_since = None;
-            self.note_passed(attempt, RequestProgress::Young);
+            self.note_passed(attempt, RequestProgress::Streaming);
         }
     }
 
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -8,7 +8,7 @@
 use comfreymux_lib::cluster::directory::Directory;
 use comfreymux_lib::cluster::directory::Server;
 use comfreymux_lib::cluster::directory::WeightCopies;
-use comfreymux_lib::cluster::engine_inventories::Holdings;
+use comfreymux_lib::cluster::engine_inventories::EngineInventories;
 use comfreymux_lib::cluster::run_times::RunTimes;
 use comfreymux_lib::cluster::send_permit::SendPermits;
 use comfreymux_lib::cluster::server_health::ServerHealth;
@@ -136,11 +136,11 @@
     put(&mut early, "a", 1, false);
     put(&mut late, "a", 1, false);
     assert_eq!(late.remove("a", ms(1_000)), Change::Removed);
-    for start in late.left(ms(1_100)) {
+    for start in late.recent_departures(ms(1_100)) {
         assert_eq!(early.apply_departure(&start, ms(1_100)), Change::Leaving);
     }
     assert!(early.get("a").expect("listed").leaving);
-    assert!(late.left(ms(9_000)).is_empty());
+    assert!(late.recent_departures(ms(9_000)).is_empty());
 }
 
 /// A server that leaves gets requests again, since an old heartbeat comes after its notice.
@@ -183,7 +183,7 @@
     assert_eq!(directory.suspend("a", ms(0)), Change::Suspended);
     assert_eq!(directory.suspend("a", ms(100)), Change::None);
     assert_eq!((directory.servers().count(), directory.raw_entries().count()), (0, 0));
-    assert!(directory.left(ms(100)).is_empty());
+    assert!(directory.recent_departures(ms(100)).is_empty());
     assert_eq!(put(&mut directory, "a", 2, false), Change::Resumed);
     assert_eq!(directory.servers().count(), 1);
     assert_eq!(directory.suspend("b", ms(100)), Change::None);
@@ -226,7 +226,7 @@
     let chooser = Chooser {
         turns: &turns,
         directory: &directory,
-        holdings: &Holdings::default(),
+        holdings: &EngineInventories::default(),
         loads: &Workloads::default(),
         health: &ServerHealth::default(),
         run_times: &RunTimes::default(),
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -58,7 +58,7 @@
     let mut here = Quarantine::default();
     for _daemon in 0..3 {
         let (there, now) = after_crashes(1, CrashStage::BeforeEvents);
-        here.hear(&there.note(now, false), now);
+        here.hear(&there.report(now, false), now);
         here.record_crash(&server(0), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
     }
     assert!(!here.is_held(&print(1), start()));
@@ -92,7 +92,7 @@
     for n in 0..3 {
         let mut there = Quarantine::default();
         there.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
-        here.hear(&there.note(now, false), now);
+        here.hear(&there.report(now, false), now);
     }
     // Others may tell of further suspects yet.
     assert!(!here.evaluate(print(1), now));
@@ -132,12 +132,12 @@
         quarantine.record_crash(&server(n), Moment::ZERO, print(2), CrashStage::BeforeEvents, now);
         other.record_crash(&server(n), Moment::ZERO, print(3), CrashStage::FirstEvent, now);
     }
-    quarantine.record_progress(print(2), RequestProgress::Begun, now + SECOND);
+    quarantine.record_progress(print(2), RequestProgress::FirstEvent, now + SECOND);
     assert_eq!(quarantine.suspected_crashes(&print(2)).len(), 0);
     // One that crashes servers after its first event comes so far each time.
-    other.record_progress(print(3), RequestProgress::Begun, now + SECOND);
+    other.record_progress(print(3), RequestProgress::FirstEvent, now + SECOND);
     assert_eq!(other.suspected_crashes(&print(3)).len(), 3);
-    other.record_progress(print(3), RequestProgress::Young, now + SECOND);
+    other.record_progress(print(3), RequestProgress::Streaming, now + SECOND);
     assert_eq!(other.suspected_crashes(&print(3)).len(), 0);
 }
 
@@ -151,7 +151,7 @@
         .enumerate()
     {
         if stage == CrashStage::FirstEvent {
-            quarantine.record_progress(print(1), RequestProgress::Begun, now);
+            quarantine.record_progress(print(1), RequestProgress::FirstEvent, now);
         }
         quarantine.record_crash(&server(n), Moment::ZERO, print(1), stage, now + SECOND / 10);
         now += SECOND;
@@ -184,7 +184,7 @@
     let later = now + SECOND * 60;
     assert!(there.is_held(&print(1), later));
     let mut here = Quarantine::default();
-    assert_eq!(here.hear(&there.note(later, false), later), [print(1)]);
+    assert_eq!(here.hear(&there.report(later, false), later), [print(1)]);
     assert!(here.is_held(&print(1), later));
 }
 
@@ -210,7 +210,7 @@
     let (mut here, mut there) = <(Quarantine, Quarantine)>::default();
     for n in 0..5 {
         there.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
-        here.hear(&there.note(now, false), now);
+        here.hear(&there.report(now, false), now);
         here.record_crash(&server(n), Moment::ZERO, print(2), CrashStage::Other, now);
     }
     assert!(here.is_held(&print(1), now));
@@ -244,12 +244,12 @@
 fn clearing_told() {
     let (mut there, now) = after_crashes(2, CrashStage::BeforeEvents);
     let mut here = Quarantine::default();
-    here.hear(&there.note(now, false), now);
+    here.hear(&there.report(now, false), now);
     there.record_progress(print(1), RequestProgress::Complete, now);
-    here.hear(&there.note(now + SECOND, false), now + SECOND);
+    here.hear(&there.report(now + SECOND, false), now + SECOND);
     // Older word that was under way does not undo it.
     let (late, _) = after_crashes(2, CrashStage::BeforeEvents);
-    here.hear(&late.note(now, false), now + SECOND);
+    here.hear(&late.report(now, false), now + SECOND);
     assert!(!here.record_crash(
         &server(2),
         Moment::ZERO,
@@ -285,7 +285,7 @@
             );
         }
     }
-    let note = quarantine.note(start(), true);
+    let note = quarantine.report(start(), true);
     assert!(quarantine.held().count() <= 1024);
     assert!(note.crashes.len() <= 16 && note.held.len() <= 16);
     assert!(note.crashes.iter().all(|c| c.requests.len() <= 16));
@@ -305,7 +305,7 @@
                 let stage = [CrashStage::BeforeEvents, CrashStage::FirstEvent, CrashStage::Other][*stage as usize];
                 let mut seer = Quarantine::default();
                 seer.record_crash(&server(*at), Moment::ZERO, print(*request), stage, now);
-                seer.note(now, false)
+                seer.report(now, false)
             })
             .collect();
         let crashed_by = |notes: &[_]| {
--- a/lib/tests/test_rate_limits.rs
+++ b/lib/tests/test_rate_limits.rs
@@ -183,10 +183,10 @@
 fn end_told() {
     let (mut here, mut there) = <(RateLimits, RateLimits)>::default();
     there.record_answer(&server(), Some(limit(1.3)), at(0), at(0));
-    let old = there.note(at(0), false);
+    let old = there.report(at(0), false);
     assert_eq!(here.hear(&old, at(0)), [server()]);
     there.record_answer(&server(), None, at(5), at(6));
-    assert_eq!(here.hear(&there.note(at(7), false), at(7)), [server()]);
+    assert_eq!(here.hear(&there.report(at(7), false), at(7)), [server()]);
     assert_eq!(here.limit(&server()), None);
     let later = old.into_iter().map(|mut note| {
         note.age = STEP * 10;
@@ -201,9 +201,9 @@
 fn hearsay_untold() {
     let (mut here, mut there) = <(RateLimits, RateLimits)>::default();
     there.record_answer(&server(), Some(limit(1.3)), at(0), at(0));
-    here.hear(&there.note(at(0), false), at(0));
-    assert!(here.note(at(1), false).is_empty());
-    assert_eq!(here.note(at(1), true).len(), 1);
+    here.hear(&there.report(at(0), false), at(0));
+    assert!(here.report(at(1), false).is_empty());
+    assert_eq!(here.report(at(1), true).len(), 1);
 }
 
 /// A server's next start was held to the limit of the last one.
--- a/lib/tests/test_reader_notes.rs
+++ b/lib/tests/test_reader_notes.rs
@@ -60,7 +60,7 @@
     assert!(reader.all_departures(ms(9_100)).is_empty());
     assert_eq!(reader.sweep(ms(11_300)), ["a"]);
     assert_eq!(reader.all_departures(ms(11_400)).len(), 1);
-    assert!(reader.left(ms(11_400)).is_empty(), "who reads finds out by itself");
+    assert!(reader.recent_departures(ms(11_400)).is_empty(), "who reads finds out by itself");
 }
 
 /// A daemon that heard nothing for longer than changes are told must not take the next word for the whole: it would
--- a/lib/tests/test_starts.rs
+++ b/lib/tests/test_starts.rs
@@ -11,8 +11,8 @@
 use comfreymux_lib::cluster::directory::LoadedModel;
 use comfreymux_lib::cluster::directory::Server;
 use comfreymux_lib::cluster::directory::WeightCopies;
+use comfreymux_lib::cluster::engine_inventories::EngineInventories;
 use comfreymux_lib::cluster::engine_inventories::EngineInventory;
-use comfreymux_lib::cluster::engine_inventories::Holdings;
 use comfreymux_lib::cluster::latest_instances::InstanceOrder;
 use comfreymux_lib::cluster::server_health::Evidence;
 use comfreymux_lib::cluster::server_health::ServerHealth;
@@ -97,7 +97,7 @@
     assert!(models(&directory).is_empty());
     let now = directory.get("e1").expect("listed");
     assert_eq!((now.leaving, now.heartbeat, now.born), (false, 1, Some(SECOND)));
-    assert!(directory.left(ms(100)).is_empty());
+    assert!(directory.recent_departures(ms(100)).is_empty());
 }
 
 /// An engine crashes twice within a second. The entries arrive out of order: the last start's first,
@@ -162,7 +162,7 @@
     put(&mut late, server(Some(FIRST), 70, &[]), 0);
     assert_eq!(late.remove("e1", ms(1_000)), Change::Removed);
     put(&mut early, server(Some(SECOND), 1, &[]), 1_500);
-    for left in late.left(ms(1_600)) {
+    for left in late.recent_departures(ms(1_600)) {
         assert_eq!(early.apply_departure(&left, ms(1_600)), Change::None);
     }
     assert!(!early.get("e1").expect("listed").leaving);
@@ -202,13 +202,13 @@
 fn word_first() {
     let mut directory = Directory::default();
     put(&mut directory, Server { leaving: true, ..server(Some(FIRST), 70, &["hem"]) }, 0);
-    assert_eq!(directory.hear(&start(SECOND), ms(100)), InstanceOrder::Newer);
+    assert_eq!(directory.observe_instance(&start(SECOND), ms(100)), InstanceOrder::Newer);
     let now = directory.get("e1").expect("listed");
     assert_eq!((now.leaving, now.heartbeat, now.born), (false, 0, Some(SECOND)));
     assert!(now.models.is_empty() && now.copies == WeightCopies::default());
     assert!(!directory.is_current(&start(FIRST)));
-    assert_eq!(directory.hear(&start(FIRST), ms(200)), InstanceOrder::Older);
-    assert_eq!(directory.hear(&start(SECOND), ms(300)), InstanceOrder::Same);
+    assert_eq!(directory.observe_instance(&start(FIRST), ms(200)), InstanceOrder::Older);
+    assert_eq!(directory.observe_instance(&start(SECOND), ms(300)), InstanceOrder::Same);
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &["cuff"]), 400), Change::Updated);
     assert_eq!(models(&directory), ["cuff"]);
 }
@@ -222,7 +222,7 @@
     put(&mut directory, server(Some(FIRST), 70, &[]), 0);
     directory.record_read(ms(9_000));
     assert_eq!(directory.remove("e1", ms(9_000)), Change::Lapsed);
-    directory.hear(&start(SECOND), ms(9_500));
+    directory.observe_instance(&start(SECOND), ms(9_500));
     assert!(directory.sweep(ms(12_000)).is_empty());
     assert!(directory.is_current(&start(SECOND)));
 }
@@ -231,7 +231,7 @@
 /// sent there for what the last start held, whatever the number of orders that it had accepted.
 #[test]
 fn holding_older() {
-    let mut holdings = Holdings::default();
+    let mut holdings = EngineInventories::default();
     let note = |name: &str| LoadedModelReport { name: name.into(), adapters: Vec::new() };
     let holding = |born: Birth, sequence: u64, heartbeat: u64, models: &[&str]| EngineInventory {
         server: start(born),
@@ -373,13 +373,13 @@
 fn returned_usable() {
     let (mut early, mut late) = entry_ended();
     put(&mut early, server(Some(FIRST), 18, &[]), 13_000);
-    for left in late.left(ms(13_100)) {
+    for left in late.recent_departures(ms(13_100)) {
         early.apply_departure(&left, ms(13_100));
     }
     assert_eq!(early.confirm_returns(ms(19_200)), ["e1"]);
     assert!(!early.get("e1").expect("listed").leaving);
     put(&mut early, server(Some(FIRST), 19, &["hem"]), 19_300);
-    for left in late.left(ms(13_900)) {
+    for left in late.recent_departures(ms(13_900)) {
         assert_eq!(early.apply_departure(&left, ms(19_400)), Change::None);
     }
     assert!(!early.get("e1").expect("listed").leaving);
@@ -391,7 +391,7 @@
 fn heartbeat_late() {
     let (mut early, mut late) = entry_ended();
     put(&mut early, server(Some(FIRST), 13, &[]), 12_000);
-    for left in late.left(ms(12_100)) {
+    for left in late.recent_departures(ms(12_100)) {
         assert_eq!(early.apply_departure(&left, ms(12_100)), Change::Leaving);
     }
     assert_eq!(put(&mut early, server(Some(FIRST), 14, &[]), 12_500), Change::None);
@@ -406,7 +406,7 @@
     let mut early = Directory::default();
     let (_, mut late) = entry_ended();
     put(&mut early, server(Some(FIRST), 1, &[]), 0);
-    for left in late.left(ms(10_200)) {
+    for left in late.recent_departures(ms(10_200)) {
         assert_eq!(early.apply_departure(&left, ms(10_200)), Change::Leaving);
     }
     assert!(early.confirm_returns(ms(60_000)).is_empty());
