--- a/lib/src/cluster/peer_table.rs
+++ b/lib/src/cluster/peer_table.rs
@@ -156,7 +156,7 @@
     }
 
     /// Takes in a peer's digest; returns whether the peer had been out of reach before.
-    pub fn heard(
+    pub fn record_digest(
         &mut self,
         id: &DaemonId,
         addr: SocketAddr,
--- a/lib/src/cluster/quarantine.rs
+++ b/lib/src/cluster/quarantine.rs
@@ -193,7 +193,7 @@
     }
 
     /// Takes in what a peer knows; returns the requests that are held from now on.
-    pub fn hear(&mut self, note: &QuarantineReport, now: Moment) -> Vec<Fingerprint> {
+    pub fn merge(&mut self, note: &QuarantineReport, now: Moment) -> Vec<Fingerprint> {
         for ((print, passed), age) in &note.cleared {
             self.clear_at(*print, *passed, now.saturating_sub(*age));
         }
--- a/lib/src/cluster/rate_limits.rs
+++ b/lib/src/cluster/rate_limits.rs
@@ -76,7 +76,7 @@
     }
 
     /// Takes in what a peer heard; returns the servers whose limit changed.
-    pub fn hear(&mut self, notes: &[LimitReport], now: Moment) -> Vec<ServerInstance> {
+    pub fn merge(&mut self, notes: &[LimitReport], now: Moment) -> Vec<ServerInstance> {
         let mut changed = Vec::new();
         for note in notes {
             let at = now.saturating_sub(note.age);
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -151,7 +151,7 @@
         let entry = &self.entry;
         let now = entry.now();
         let had_holder = entry.peers.borrow().holder(now).is_some();
-        let was_silent = entry.peers.borrow_mut().heard(from, addr, process, digest, now);
+        let was_silent = entry.peers.borrow_mut().record_digest(from, addr, process, digest, now);
         if was_silent {
             slog::info!(entry.log, "dependency-regained"; "dependency" => "peer", "peer" => %from,
                 "addr" => %addr, "config" => digest.config_version);
--- a/lib/src/serve/server_feedback.rs
+++ b/lib/src/serve/server_feedback.rs
@@ -55,7 +55,7 @@
 
     /// Takes in what a peer heard of servers' limits.
     pub fn hear_limits(&self, notes: &[LimitReport], from: &str) {
-        let changed = self.rates.borrow_mut().hear(notes, self.now());
+        let changed = self.rates.borrow_mut().merge(notes, self.now());
         for server in changed {
             self.note_limit(&server, from);
         }
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -159,7 +159,7 @@
 
 /// Takes in what a peer knows of such requests.
 pub fn hear(entry: &Rc<Entry>, note: &QuarantineReport, from: &str) {
-    let held = entry.quarantine.borrow_mut().hear(note, entry.now());
+    let held = entry.quarantine.borrow_mut().merge(note, entry.now());
     for print in held {
         note_held(entry, print, from);
         // It may be that no daemon holds it by what it saw itself. One record is enough.
--- a/lib/tests/test_peer_table.rs
+++ b/lib/tests/test_peer_table.rs
@@ -22,7 +22,7 @@
         let tenure = (n + 1 == count).then_some(LeaseReport { fence: 1, left_ms: 1000, end: 1 });
         let centre = ["near", "far"][usize::from(n % 2)];
         let digest = Digest { lease: tenure, ..digest(centre, Duration::ZERO) };
-        peers.heard(&format!("d{n}").into(), addr(n), n.into(), &digest, NOW);
+        peers.record_digest(&format!("d{n}").into(), addr(n), n.into(), &digest, NOW);
     }
     peers
 }
@@ -44,8 +44,13 @@
 }
 
 fn hear(peers: &mut PeerTable, n: u16, centre: &str, config_age: Duration, now: Duration) {
-    let _was_silent =
-        peers.heard(&format!("d{n}").into(), addr(n), n.into(), &digest(centre, config_age), now);
+    let _was_silent = peers.record_digest(
+        &format!("d{n}").into(),
+        addr(n),
+        n.into(),
+        &digest(centre, config_age),
+        now,
+    );
 }
 
 /// Each of 72 daemons asked the store for the configuration each second; two in a data centre do.
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -58,7 +58,7 @@
     let mut here = Quarantine::default();
     for _daemon in 0..3 {
         let (there, now) = after_crashes(1, CrashStage::BeforeEvents);
-        here.hear(&there.report(now, false), now);
+        here.merge(&there.report(now, false), now);
         here.record_crash(&server(0), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
     }
     assert!(!here.is_held(&print(1), start()));
@@ -92,7 +92,7 @@
     for n in 0..3 {
         let mut there = Quarantine::default();
         there.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
-        here.hear(&there.report(now, false), now);
+        here.merge(&there.report(now, false), now);
     }
     // Others may tell of further suspects yet.
     assert!(!here.evaluate(print(1), now));
@@ -184,7 +184,7 @@
     let later = now + SECOND * 60;
     assert!(there.is_held(&print(1), later));
     let mut here = Quarantine::default();
-    assert_eq!(here.hear(&there.report(later, false), later), [print(1)]);
+    assert_eq!(here.merge(&there.report(later, false), later), [print(1)]);
     assert!(here.is_held(&print(1), later));
 }
 
@@ -210,7 +210,7 @@
     let (mut here, mut there) = <(Quarantine, Quarantine)>::default();
     for n in 0..5 {
         there.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
-        here.hear(&there.report(now, false), now);
+        here.merge(&there.report(now, false), now);
         here.record_crash(&server(n), Moment::ZERO, print(2), CrashStage::Other, now);
     }
     assert!(here.is_held(&print(1), now));
@@ -244,12 +244,12 @@
 fn clearing_told() {
     let (mut there, now) = after_crashes(2, CrashStage::BeforeEvents);
     let mut here = Quarantine::default();
-    here.hear(&there.report(now, false), now);
+    here.merge(&there.report(now, false), now);
     there.record_progress(print(1), RequestProgress::Complete, now);
-    here.hear(&there.report(now + SECOND, false), now + SECOND);
+    here.merge(&there.report(now + SECOND, false), now + SECOND);
     // Older word that was under way does not undo it.
     let (late, _) = after_crashes(2, CrashStage::BeforeEvents);
-    here.hear(&late.report(now, false), now + SECOND);
+    here.merge(&late.report(now, false), now + SECOND);
     assert!(!here.record_crash(
         &server(2),
         Moment::ZERO,
@@ -311,7 +311,7 @@
         let crashed_by = |notes: &[_]| {
             let mut hearer = Quarantine::default();
             for note in notes {
-                hearer.hear(note, now);
+                hearer.merge(note, now);
             }
             let list = |n| {
                 let mut servers: Vec<_> =
--- a/lib/tests/test_rate_limits.rs
+++ b/lib/tests/test_rate_limits.rs
@@ -184,15 +184,15 @@
     let (mut here, mut there) = <(RateLimits, RateLimits)>::default();
     there.record_answer(&server(), Some(limit(1.3)), at(0), at(0));
     let old = there.report(at(0), false);
-    assert_eq!(here.hear(&old, at(0)), [server()]);
+    assert_eq!(here.merge(&old, at(0)), [server()]);
     there.record_answer(&server(), None, at(5), at(6));
-    assert_eq!(here.hear(&there.report(at(7), false), at(7)), [server()]);
+    assert_eq!(here.merge(&there.report(at(7), false), at(7)), [server()]);
     assert_eq!(here.limit(&server()), None);
     let later = old.into_iter().map(|mut note| {
         note.age = STEP * 10;
         note
     });
-    assert!(here.hear(&later.collect::<Vec<_>>(), at(10)).is_empty());
+    assert!(here.merge(&later.collect::<Vec<_>>(), at(10)).is_empty());
     assert_eq!(here.limit(&server()), None);
 }
 
@@ -201,7 +201,7 @@
 fn hearsay_untold() {
     let (mut here, mut there) = <(RateLimits, RateLimits)>::default();
     there.record_answer(&server(), Some(limit(1.3)), at(0), at(0));
-    here.hear(&there.report(at(0), false), at(0));
+    here.merge(&there.report(at(0), false), at(0));
     assert!(here.report(at(1), false).is_empty());
     assert_eq!(here.report(at(1), true).len(), 1);
 }
