--- a/cli/src/entry.rs
+++ b/cli/src/entry.rs
@@ -5,7 +5,7 @@
 
 use comfreymux_lib::boot_clock::BootClock;
 use comfreymux_lib::logging;
-use comfreymux_lib::serve::daemon_state::Entry;
+use comfreymux_lib::serve::daemon_state::DaemonState;
 use comfreymux_lib::serve::daemon_state::EntrySettings;
 use comfreymux_lib::serve::lifecycle;
 use comfreymux_lib::serve::pool::Pool;
@@ -43,7 +43,7 @@
     let process = rand::random();
     let clock = Rc::new(BootClock);
     let entry =
-        Entry::new(settings, process, protocol, store, Pool::default(), log.logger(), clock);
+        DaemonState::new(settings, process, protocol, store, Pool::default(), log.logger(), clock);
     let result = LocalSet::new().block_on(&runtime, lifecycle::run(entry, Rc::new(file)));
     log.flush();
     result
--- a/lib/src/serve/accept.rs
+++ b/lib/src/serve/accept.rs
@@ -22,7 +22,7 @@
 use crate::serve::active_requests::ActiveRequests;
 use crate::serve::body::ReplyBody;
 use crate::serve::caller_socket::CallerSocket;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::handle::handle;
 use crate::serve::socket;
 
@@ -41,7 +41,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts callers for as long as the daemon runs.
-pub async fn serve_callers(entry: Rc<Entry>, listener: TcpListener) {
+pub async fn serve_callers(entry: Rc<DaemonState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _peer)) => {
@@ -56,7 +56,7 @@
     }
 }
 
-async fn serve_caller(entry: Rc<Entry>, stream: TcpStream) {
+async fn serve_caller(entry: Rc<DaemonState>, stream: TcpStream) {
     if socket::accepted(&stream).is_err() {
         return;
     }
@@ -80,7 +80,7 @@
 }
 
 /// Answers whether new callers are welcome.
-pub async fn serve_ready(entry: Rc<Entry>, listener: TcpListener) {
+pub async fn serve_ready(entry: Rc<DaemonState>, listener: TcpListener) {
     let path = entry.protocol.ready_path();
     serve_small(entry, listener, move |entry, asked| {
         if asked != path {
@@ -96,7 +96,7 @@
 }
 
 /// Serves metrics as text.
-pub async fn serve_metrics(entry: Rc<Entry>, listener: TcpListener) {
+pub async fn serve_metrics(entry: Rc<DaemonState>, listener: TcpListener) {
     serve_small(entry, listener, |entry, asked| match asked {
         "/metrics" => {
             entry.metrics.load(entry.waits.total(), entry.active.get());
@@ -110,9 +110,9 @@
 }
 
 async fn serve_small(
-    entry: Rc<Entry>,
+    entry: Rc<DaemonState>,
     listener: TcpListener,
-    answer: impl Fn(&Entry, &str) -> (StatusCode, String) + 'static,
+    answer: impl Fn(&DaemonState, &str) -> (StatusCode, String) + 'static,
 ) {
     let answer = Rc::new(answer);
     loop {
--- a/lib/src/serve/active_requests.rs
+++ b/lib/src/serve/active_requests.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::serve::active_request::ActiveRequest;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 
 /// Counts a connection's requests from their heads to the last bytes of their answers.
 ///
@@ -12,7 +12,7 @@
 /// waited for a slow caller ended, and the caller got a part of it.
 #[derive(Debug)]
 pub struct ActiveRequests {
-    entry: Rc<Entry>,
+    entry: Rc<DaemonState>,
     /// Requests that the HTTP library has whole answers to, which may not have been written; the
     /// daemon's count still holds them.
     unwritten: Cell<u32>,
@@ -20,7 +20,7 @@
 
 impl ActiveRequests {
     /// Counts for a connection without requests.
-    pub fn new(entry: Rc<Entry>) -> Rc<Self> {
+    pub fn new(entry: Rc<DaemonState>) -> Rc<Self> {
         Rc::new(Self { entry, unwritten: Cell::default() })
     }
 
--- a/lib/src/serve/adapter_loading.rs
+++ b/lib/src/serve/adapter_loading.rs
@@ -10,13 +10,13 @@
 use crate::placement::engine_table::AdapterJob;
 use crate::protocol::OrderKind;
 use crate::serve::engine_orders::OrderFailure;
-use crate::serve::placement_controller::ADAPTER_TIME;
-use crate::serve::placement_controller::Orders;
-use crate::serve::placement_controller::REST;
+use crate::serve::placement_controller::ADAPTER_LOAD_TIME;
+use crate::serve::placement_controller::FAILURE_BACKOFF;
+use crate::serve::placement_controller::PlacementController;
 
-impl Orders {
+impl PlacementController {
     /// Loads an adapter, and notes what came of it.
-    pub(super) async fn run_adapter(
+    pub(super) async fn run_adapter_load(
         self: Rc<Self>,
         server: ServerInstance,
         job: AdapterJob,
@@ -42,11 +42,11 @@
                 }
                 Err(_failure) => {
                     engine.confirmed = false;
-                    engine.backoff_until = now + REST;
+                    engine.backoff_until = now + FAILURE_BACKOFF;
                 }
             }
         });
-        self.publish(&server, &job.model, fence);
+        self.publish_inventory(&server, &job.model, fence);
     }
 
     async fn carry_out_adapter(
@@ -62,13 +62,17 @@
         {
             sleep(Duration::from_millis(3)).await;
         }
-        let change = self.engines.announce(server, fence);
+        let change = self.engine_orders.begin_orders(server, fence);
         if let Some((model, adapter)) = &job.victim {
-            self.engines.order(server, OrderKind::Unload, model, Some(adapter), fence).await?;
+            self.engine_orders
+                .execute(server, OrderKind::Unload, model, Some(adapter), fence)
+                .await?;
         }
-        self.engines.order(server, OrderKind::Load, &job.model, Some(&job.adapter), fence).await?;
+        self.engine_orders
+            .execute(server, OrderKind::Load, &job.model, Some(&job.adapter), fence)
+            .await?;
         drop(change);
-        sleep(ADAPTER_TIME).await;
+        sleep(ADAPTER_LOAD_TIME).await;
         Ok(())
     }
 }
--- a/lib/src/serve/apply_updates.rs
+++ b/lib/src/serve/apply_updates.rs
@@ -16,15 +16,15 @@
 use crate::placement::entries;
 use crate::placement::entries::DaemonEntry;
 use crate::protocol::FormatError;
-use crate::serve::daemon_state::Entry;
-use crate::serve::store_calls::noted;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::store_calls::track_call;
 use crate::store::Batch;
 use crate::store::Feed;
 use crate::store::FeedRecord;
 use crate::store::StoreError;
 
 /// The source of what a peer relays, in the log.
-pub const PEER: &str = "peer";
+pub const FROM_PEER: &str = "peer";
 /// Key of the configuration's record.
 pub const CONFIG_KEY: &str = "config";
 /// Pause after a call that failed.
@@ -36,15 +36,15 @@
 
 /// Takes in a configuration; an older one than that in force changes nothing, nor does one that cannot
 /// be read. Returns whether it can be read.
-pub fn adopt_config(entry: &Entry, raw: &Bytes, from: &str) -> bool {
+pub fn apply_config(entry: &DaemonState, raw: &Bytes, from: &str) -> bool {
     let config = match entry.protocol.configuration(raw) {
         Ok(config) => config,
         Err(error) => {
-            entry.note_unread(Feed::Configuration, CONFIG_KEY, &error.0);
+            entry.log_unreadable(Feed::Configuration, CONFIG_KEY, &error.0);
             return false;
         }
     };
-    entry.unread.borrow_mut().clear(Feed::Configuration, CONFIG_KEY);
+    entry.unreadable.borrow_mut().clear(Feed::Configuration, CONFIG_KEY);
     let old = entry.config_version();
     if config.version <= old {
         return true;
@@ -54,13 +54,13 @@
     *entry.config.borrow_mut() = Some(Rc::new(config));
     *entry.raw_config.borrow_mut() = raw.clone();
     entry.config_changed.notify_one();
-    entry.news.notify_one();
-    entry.plan.notify_one();
+    entry.report_due.notify_one();
+    entry.plan_due.notify_one();
     true
 }
 
 /// Reads a server's entry.
-fn read_server(entry: &Entry, key: &ServerId, raw: &[u8]) -> Result<Server, FormatError> {
+fn read_server(entry: &DaemonState, key: &ServerId, raw: &[u8]) -> Result<Server, FormatError> {
     let server = entry.protocol.server(key, raw)?;
     // A server stays in its service. Another writer's entry under its id, with a greater heartbeat,
     // would hide all that the server itself says.
@@ -72,18 +72,25 @@
 }
 
 /// Takes in one server's entry, or its removal.
-pub fn take_server(entry: &Entry, key: &ServerId, value: Option<&Bytes>, from: &str) -> Change {
+pub fn apply_server(
+    entry: &DaemonState,
+    key: &ServerId,
+    value: Option<&Bytes>,
+    from: &str,
+) -> Change {
     let now = entry.now();
     let read = value.map(|raw| (raw, read_server(entry, key, raw)));
     if let Some((_, Err(error))) = &read {
-        entry.note_unread(Feed::Servers, key, &error.0);
+        entry.log_unreadable(Feed::Servers, key, &error.0);
     } else {
-        entry.unread.borrow_mut().clear(Feed::Servers, key);
+        entry.unreadable.borrow_mut().clear(Feed::Servers, key);
     }
     let mut directory = entry.directory.borrow_mut();
     let change = match read {
         None => directory.remove(key, now),
-        Some((raw, Ok(server))) if from == PEER => directory.put_relayed(server, raw.clone(), now),
+        Some((raw, Ok(server))) if from == FROM_PEER => {
+            directory.put_relayed(server, raw.clone(), now)
+        }
         Some((raw, Ok(server))) => directory.put(server, raw.clone(), now),
         Some((_, Err(_unread))) => directory.suspend(key, now),
     };
@@ -95,7 +102,7 @@
 }
 
 /// Takes in that the record under a key names no server.
-fn take_unread(entry: &Entry, key: &ServerId) -> Change {
+fn take_unread(entry: &DaemonState, key: &ServerId) -> Change {
     let change = entry.directory.borrow_mut().suspend(key, entry.now());
     if change != Change::None {
         log_change(entry, key, change, "store");
@@ -104,16 +111,16 @@
 }
 
 /// Takes in that somebody named a start of a server, and returns how it stands to the newest one.
-pub fn take_start(entry: &Entry, start: &ServerInstance, from: &str) -> InstanceOrder {
+pub fn apply_start(entry: &DaemonState, start: &ServerInstance, from: &str) -> InstanceOrder {
     let order = entry.directory.borrow_mut().observe_instance(start, entry.now());
     if order == InstanceOrder::Newer && entry.directory.borrow().is_current(start) {
         log_change(entry, &start.id, Change::Restarted, from);
-        servers_changed(entry);
+        on_servers_changed(entry);
     }
     order
 }
 
-fn log_change(entry: &Entry, id: &ServerId, change: Change, from: &str) {
+fn log_change(entry: &DaemonState, id: &ServerId, change: Change, from: &str) {
     let directory = entry.directory.borrow();
     let server = directory.get(id);
     let models = server.map_or(0, |s| s.models.len());
@@ -125,12 +132,12 @@
 }
 
 /// Takes in records of the servers' feed; the whole list, or what came after what was read before.
-pub fn take_servers(entry: &Entry, batch: &Batch, is_whole: bool) {
+pub fn apply_server_batch(entry: &DaemonState, batch: &Batch, is_whole: bool) {
     let mut changed = false;
     entry.directory.borrow_mut().record_read(entry.now());
-    entry.note_batch(Feed::Servers, batch);
+    entry.log_unreadable_records(Feed::Servers, batch);
     for record in &batch.records {
-        changed |= take_server(entry, &record.key, record.value.as_ref(), "store") != Change::None;
+        changed |= apply_server(entry, &record.key, record.value.as_ref(), "store") != Change::None;
     }
     let unread: Vec<&SmolStr> = batch.unread.iter().filter_map(|r| r.key.as_ref()).collect();
     for key in &unread {
@@ -142,7 +149,7 @@
         let listed: Vec<SmolStr> = read.chain(unread).cloned().collect();
         let missing = entry.directory.borrow().missing(&listed);
         for id in missing {
-            changed |= take_server(entry, &id, None, "store") != Change::None;
+            changed |= apply_server(entry, &id, None, "store") != Change::None;
         }
     }
     let mut directory = entry.directory.borrow_mut();
@@ -152,13 +159,13 @@
     }
     drop(directory);
     if changed {
-        servers_changed(entry);
-        entry.news.notify_one();
+        on_servers_changed(entry);
+        entry.report_due.notify_one();
     }
 }
 
 /// Drops servers whose entries did not come back in time, and takes up those that have.
-pub fn sweep_servers(entry: &Entry) {
+pub fn sweep_servers(entry: &DaemonState) {
     let gone = entry.directory.borrow_mut().sweep(entry.now());
     for id in &gone {
         slog::info!(entry.log, "server"; "server" => %id, "change" => "Gone", "from" => "store");
@@ -168,26 +175,26 @@
         log_change(entry, id, Change::Joined, "store");
     }
     if !gone.is_empty() || !back.is_empty() {
-        servers_changed(entry);
-        entry.news.notify_one();
+        on_servers_changed(entry);
+        entry.report_due.notify_one();
     }
 }
 
 /// Tells the parts that depend on the list of servers.
-pub fn servers_changed(entry: &Entry) {
+pub fn on_servers_changed(entry: &DaemonState) {
     let directory = entry.directory.borrow();
     let is_known = |start: &ServerInstance| directory.is_current(start);
     entry.health.borrow_mut().retain(is_known);
     entry.holdings.borrow_mut().retain(is_known);
-    entry.loads.retain(entry.now(), is_known);
-    entry.rates.borrow_mut().retain(is_known);
+    entry.workloads.retain(entry.now(), is_known);
+    entry.rate_limits.borrow_mut().retain(is_known);
     entry.pool.sweep(is_known);
     entry.waits.changed.notify_waiters();
-    entry.plan.notify_one();
+    entry.plan_due.notify_one();
 }
 
 /// Lists this daemon in the store, and learns of the others.
-pub async fn follow_daemons(entry: Rc<Entry>) {
+pub async fn follow_daemons(entry: Rc<DaemonState>) {
     let settings = entry.settings();
     let me = DaemonEntry {
         addr: settings.peer,
@@ -198,7 +205,7 @@
     let record = || FeedRecord { key: settings.id.clone(), value: Some(entries::encode(&me)) };
     loop {
         let call = entry.store.append(Feed::Daemons, record(), None);
-        if noted(&entry, Feed::Daemons, call).await.is_ok() {
+        if track_call(&entry, Feed::Daemons, call).await.is_ok() {
             break;
         }
         sleep(PAUSE * 2).await;
@@ -208,23 +215,23 @@
     for look in DAEMON_LOOKS {
         sleep(look.saturating_sub(before)).await;
         // In a large fleet the second one would cost hundreds of calls, and newcomers tell all their state thrice.
-        if from.is_some() && entry.is_large() {
+        if from.is_some() && entry.is_large_fleet() {
             return;
         }
         before = look;
         from = Some(look_at_daemons(&entry, from).await);
-        entry.acquainted.set(true);
+        entry.peers_known.set(true);
     }
 }
 
 /// Reads the list of daemons, from an offset on where one is known; returns where to read on.
-async fn look_at_daemons(entry: &Entry, mut from: Option<Offset>) -> Offset {
+async fn look_at_daemons(entry: &DaemonState, mut from: Option<Offset>) -> Offset {
     loop {
         let call = match from {
             None => entry.store.newest(Feed::Daemons),
             Some(offset) => entry.store.read(Feed::Daemons, offset, Duration::ZERO),
         };
-        match noted(entry, Feed::Daemons, call).await {
+        match track_call(entry, Feed::Daemons, call).await {
             Ok(batch) => {
                 take_daemons(entry, &batch);
                 return batch.end;
@@ -235,18 +242,18 @@
     }
 }
 
-fn take_daemons(entry: &Entry, batch: &Batch) {
+fn take_daemons(entry: &DaemonState, batch: &Batch) {
     let id = &entry.settings().id;
     let now = entry.now();
-    entry.note_batch(Feed::Daemons, batch);
+    entry.log_unreadable_records(Feed::Daemons, batch);
     for record in batch.records.iter().filter(|r| r.key != *id) {
         let Some(raw) = &record.value else { continue };
         match entries::decode::<DaemonEntry>(raw) {
             Ok(peer) => {
-                entry.unread.borrow_mut().clear(Feed::Daemons, &record.key);
+                entry.unreadable.borrow_mut().clear(Feed::Daemons, &record.key);
                 entry.peers.borrow_mut().put_listed(&record.key, &peer, now);
             }
-            Err(error) => entry.note_unread(Feed::Daemons, &record.key, &error.0),
+            Err(error) => entry.log_unreadable(Feed::Daemons, &record.key, &error.0),
         }
     }
 }
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -21,8 +21,8 @@
 use crate::protocol::CallerTerms;
 use crate::protocol::SendTerms;
 use crate::serve::choose::Chosen;
-use crate::serve::daemon_state::Entry;
-use crate::serve::failover_origin::Standing;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::failover_origin::FailoverOrigin;
 use crate::serve::headers::strip_connection;
 use crate::serve::reply::Refusal;
 use crate::serve::send::Break;
@@ -130,7 +130,12 @@
     }
 
     /// Makes the request of a send to `server`.
-    pub fn request(&self, entry: &Entry, server: &Server, resume: Option<u64>) -> Request<Bytes> {
+    pub fn request(
+        &self,
+        entry: &DaemonState,
+        server: &Server,
+        resume: Option<u64>,
+    ) -> Request<Bytes> {
         let behind = if self.is_late { LATE_RANKS } else { 0 };
         let rank = self.route.priority.saturating_add(behind).min(LAST_PRIORITY);
         let priority = self.item().map(|_| rank);
@@ -163,7 +168,7 @@
     }
 
     /// Notes the first event of its answer.
-    pub fn began(&mut self, entry: &Entry, first: Moment) {
+    pub fn began(&mut self, entry: &DaemonState, first: Moment) {
         self.first = Some(first);
         self.young_since = Some(first);
         self.trial = None;
@@ -176,18 +181,18 @@
     }
 
     /// Notes that it leaves a silent server, and returns how it stood there.
-    pub fn leave(&mut self, entry: &Entry) -> Standing {
+    pub fn leave(&mut self, entry: &DaemonState) -> FailoverOrigin {
         let (server, verdict, has_left) = (self.last.clone(), self.verdict, self.has_left);
-        let standing = Standing { server, verdict, has_left };
+        let standing = FailoverOrigin { server, verdict, failed_over: has_left };
         self.failed(entry, &SendFailure::doubtful("the server fell silent"));
         self.has_left = true;
         standing
     }
 
     /// Takes in that the next server refused it, so that it stays with the silent one.
-    pub fn stay(&mut self, entry: &Entry, failure: &SendFailure, standing: Standing) {
+    pub fn stay(&mut self, entry: &DaemonState, failure: &SendFailure, standing: FailoverOrigin) {
         self.failed(entry, failure);
-        self.has_left = standing.has_left;
+        self.has_left = standing.failed_over;
         self.runs -= 1;
         self.arrivals -= 1;
         self.verdict = standing.verdict;
@@ -218,7 +223,7 @@
     }
 
     /// Takes in that a send failed.
-    pub fn failed(&mut self, entry: &Entry, failure: &SendFailure) {
+    pub fn failed(&mut self, entry: &DaemonState, failure: &SendFailure) {
         self.sending = false;
         self.trial = None;
         self.reason = failure.reason;
@@ -231,7 +236,7 @@
         if failure.lacks {
             self.note_lack(entry, &server);
         }
-        entry.note_health(&self.service, &server, failure.evidence);
+        entry.record_health(&self.service, &server, failure.evidence);
         slog::info!(entry.log, "send-failed"; "attempt" => self.id(), "print" => %self.print,
             "server" => %server, "reason" => failure.reason, "verdict" => %failure.verdict,
             "broke" => failure.broke.map_or("-", Break::name),
@@ -239,7 +244,7 @@
         self.tried.push(server);
     }
 
-    fn note_lack(&self, entry: &Entry, server: &ServerInstance) {
+    fn note_lack(&self, entry: &DaemonState, server: &ServerInstance) {
         let Some(item) = self.item() else { return };
         let directory = entry.directory.borrow();
         if let Some(server) = directory.get(&server.id).filter(|s| s.born == server.born) {
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -44,7 +44,7 @@
 use crate::protocol::Protocol;
 use crate::serve::choose::Chooser;
 use crate::serve::freshness::Coverage;
-use crate::serve::graceful_stop::PlannedStop;
+use crate::serve::graceful_stop::GracefulStop;
 use crate::serve::model_waits::Waits;
 use crate::serve::pool::Pool;
 use crate::serve::random_source::Draws;
@@ -120,7 +120,7 @@
 
 /// The shared state.
 #[derive(Debug)]
-pub struct Entry {
+pub struct DaemonState {
     /// Settings as of the last reload.
     pub settings: RefCell<Rc<EntrySettings>>,
     /// This process.
@@ -142,7 +142,7 @@
     /// What engines hold.
     pub holdings: RefCell<EngineInventories>,
     /// Work at servers.
-    pub loads: Workloads,
+    pub workloads: Workloads,
     /// Servers to avoid.
     pub health: RefCell<ServerHealth>,
     /// How long requests run at engines.
@@ -150,7 +150,7 @@
     /// Repeated sends.
     pub budget: RefCell<RetryBudgets>,
     /// Limits that servers name.
-    pub rates: RefCell<RateLimits>,
+    pub rate_limits: RefCell<RateLimits>,
     /// Requests under which servers crashed.
     pub quarantine: RefCell<Quarantine>,
     /// Suspects at engines.
@@ -160,58 +160,58 @@
     /// Waiting requests.
     pub waits: Waits,
     /// Whether the store's list of daemons was read.
-    pub acquainted: Cell<bool>,
+    pub peers_known: Cell<bool>,
     /// Whether this daemon reads the store for its data centre, and since when it should.
     pub duty: RefCell<ReaderRole>,
     /// What the list of servers stands on.
     pub coverage: Coverage,
     /// Signalled when readers should tell their words at once.
-    pub news: Notify,
+    pub report_due: Notify,
     /// Signalled when peers should hear at once of a request that crashes servers.
-    pub crash_news: Notify,
+    pub quarantine_changed: Notify,
     /// Signalled when a reader tells of something that has to be fetched from it.
-    pub fetch: Notify,
+    pub fetch_due: Notify,
     /// The placement lease.
     pub tenure: RefCell<LeaseState>,
     /// Signalled when orders wait for a record of the lease that lists their engine.
-    pub lease_due: Notify,
+    pub renewal_due: Notify,
     /// Signalled when such a record is in the store.
-    pub orders_listed: Notify,
+    pub lease_renewed: Notify,
     /// Demand of all daemons, filled at the holder of the lease.
     pub demand: RefCell<Demand>,
     /// Engines as the holder knows them.
     pub ledger: RefCell<EngineTable>,
     /// Wakes the holder.
-    pub plan: Notify,
+    pub plan_due: Notify,
     /// Wakes those who tell peers of a version that has come into force.
     pub config_changed: Notify,
     /// Tells that a peer has a later version of the configuration.
-    pub config_news: Notify,
+    pub newer_config: Notify,
     /// When the store last answered.
-    pub store_seen: Cell<Moment>,
+    pub store_answered: Cell<Moment>,
     /// Whether the store answers, by feed.
-    pub contact: RefCell<StoreHealth>,
+    pub store_health: RefCell<StoreHealth>,
     /// Signalled when a feed is answered again.
-    pub store_back: Notify,
+    pub store_recovered: Notify,
     /// The stop that SIGTERM began.
-    pub stopping: Cell<Option<PlannedStop>>,
+    pub stopping: Cell<Option<GracefulStop>>,
     /// Whether a stop is over, so that what is in progress is given up.
-    pub ending: watch::Sender<bool>,
+    pub aborting: watch::Sender<bool>,
     /// Records of the store that cannot be read.
-    pub unread: RefCell<UnreadableRecords>,
+    pub unreadable: RefCell<UnreadableRecords>,
     /// Requests of callers whose answers are not all written.
     pub active: Cell<u32>,
     /// Whether this daemon is cut off from other data centres and the store.
     pub isolated: Cell<bool>,
     /// Chance.
-    pub draws: RefCell<Draws>,
+    pub random: RefCell<Draws>,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// The log.
     pub log: Logger,
 }
 
-impl Entry {
+impl DaemonState {
     /// Joins the parts of a daemon that knows nothing yet.
     pub fn new(
         settings: EntrySettings,
@@ -244,37 +244,37 @@
             raw_config: RefCell::default(),
             directory: RefCell::default(),
             holdings: RefCell::default(),
-            loads: Workloads::default(),
+            workloads: Workloads::default(),
             health: RefCell::default(),
             run_times: RunTimes::default(),
-            rates: RefCell::default(),
+            rate_limits: RefCell::default(),
             quarantine: RefCell::default(),
             trials: Trials::default(),
             peers: RefCell::new(peers),
             waits: Waits::default(),
-            acquainted: Cell::default(),
+            peers_known: Cell::default(),
             duty: RefCell::default(),
             coverage: Coverage::default(),
-            news: Notify::new(),
-            crash_news: Notify::new(),
-            fetch: Notify::new(),
+            report_due: Notify::new(),
+            quarantine_changed: Notify::new(),
+            fetch_due: Notify::new(),
             tenure: RefCell::new(tenure),
-            lease_due: Notify::new(),
-            orders_listed: Notify::new(),
+            renewal_due: Notify::new(),
+            lease_renewed: Notify::new(),
             demand: RefCell::default(),
             ledger: RefCell::default(),
-            plan: Notify::new(),
+            plan_due: Notify::new(),
             config_changed: Notify::new(),
-            config_news: Notify::new(),
-            store_seen: Cell::default(),
-            contact: RefCell::default(),
-            store_back: Notify::new(),
+            newer_config: Notify::new(),
+            store_answered: Cell::default(),
+            store_health: RefCell::default(),
+            store_recovered: Notify::new(),
             stopping: Cell::default(),
-            ending: watch::Sender::default(),
-            unread: RefCell::default(),
+            aborting: watch::Sender::default(),
+            unreadable: RefCell::default(),
             active: Cell::default(),
             isolated: Cell::default(),
-            draws: RefCell::default(),
+            random: RefCell::default(),
             metrics: Metrics::new(),
             log,
         })
@@ -307,38 +307,38 @@
     }
 
     /// Returns whether this daemon asks the store for the configuration often, on behalf of its data centre.
-    pub fn reads_often(&self) -> bool {
+    pub fn polls_config(&self) -> bool {
         let settings = self.settings.borrow();
         let peers = self.peers.borrow();
         if peers.is_large_fleet() {
-            return self.reads() || self.config_age(self.now()) > WORD_BLIND;
+            return self.is_reader() || self.config_age(self.now()) > WORD_BLIND;
         }
         peers.polls_config(&settings.id, &settings.centre, self.now())
     }
 
     /// Returns whether the fleet is so large that daemons hear of each other through readers.
-    pub fn is_large(&self) -> bool {
+    pub fn is_large_fleet(&self) -> bool {
         self.peers.borrow().is_large_fleet()
     }
 
     /// Returns whether this daemon reads the store for its data centre.
-    pub fn reads(&self) -> bool {
+    pub fn is_reader(&self) -> bool {
         self.duty.borrow().is_reader()
     }
 
     /// Returns whether this daemon knows the platform by the words of readers.
-    pub fn lives_by_words(&self) -> bool {
-        self.is_large() && !self.reads()
+    pub fn relies_on_readers(&self) -> bool {
+        self.is_large_fleet() && !self.is_reader()
     }
 
     /// Returns whether this daemon reads the servers' feed all the time: for others, for its orders, or since the
     /// fleet is small.
-    pub fn follows_servers(&self) -> bool {
-        !self.lives_by_words() || self.standing().is_some()
+    pub fn polls_servers(&self) -> bool {
+        !self.relies_on_readers() || self.held_fence().is_some()
     }
 
     /// Returns this daemon's place in the order of readers.
-    pub fn rank(&self) -> ReaderRank {
+    pub fn reader_rank(&self) -> ReaderRank {
         let is_small = self.settings.borrow().host.is_small();
         ReaderRank { is_small, process: self.process }
     }
@@ -349,19 +349,19 @@
     }
 
     /// Returns until when a request may begin here that must be answered by `deadline`.
-    pub fn last_start(&self, deadline: Moment) -> Moment {
-        self.stopping.get().map_or(Moment::MAX, |stop| stop.last_start(deadline))
+    pub fn latest_start(&self, deadline: Moment) -> Moment {
+        self.stopping.get().map_or(Moment::MAX, |stop| stop.latest_start(deadline))
     }
 
     /// Waits until what is in progress is given up, because a stop is over.
-    pub async fn ended(&self) {
-        let mut ending = self.ending.subscribe();
+    pub async fn aborted(&self) {
+        let mut ending = self.aborting.subscribe();
         let told = ending.wait_for(|is_over| *is_over).await;
         debug_assert!(told.is_ok(), "the sender lives as long as this");
     }
 
     /// Returns whether callers should leave this daemon after their answer.
-    pub fn sends_away(&self) -> bool {
+    pub fn closes_connections(&self) -> bool {
         self.stopping.get().is_some() || self.isolated.get()
     }
 
@@ -369,17 +369,17 @@
     /// reader that told so.
     pub fn config_age(&self, now: Moment) -> Duration {
         let told = now.saturating_sub(self.coverage.config.get());
-        self.contact.borrow().silence(Feed::Configuration, now).min(told)
+        self.store_health.borrow().silence(Feed::Configuration, now).min(told)
     }
 
     /// Returns for how long the store has answered neither this daemon nor a reader that told so.
     pub fn store_silence(&self, now: Moment) -> Duration {
-        now.saturating_sub(self.store_seen.get().max(self.coverage.servers.get()))
+        now.saturating_sub(self.store_answered.get().max(self.coverage.servers.get()))
     }
 
     /// Returns whether operators may have written a version that this daemon does not follow: it has heard of one, or
     /// nobody has told for too long that there is none.
-    pub fn is_unsure(&self, now: Moment) -> bool {
+    pub fn is_config_stale(&self, now: Moment) -> bool {
         let told = now.saturating_sub(self.peers.borrow().config_checked(self.config_version()));
         let age = self.config_age(now).min(told);
         age > self.settings.borrow().stale_after || self.is_behind()
@@ -391,32 +391,37 @@
     }
 
     /// Returns the fencing number of this daemon's tenure, though orders may be paused.
-    pub fn standing(&self) -> Option<Fence> {
+    pub fn held_fence(&self) -> Option<Fence> {
         self.tenure.borrow().held_fence()
     }
 
     /// Returns how long this daemon waits before it bids for a lease that nobody holds.
-    pub fn bid_patience(&self) -> Duration {
-        let rank = self.rank();
+    pub fn bid_delay(&self) -> Duration {
+        let rank = self.reader_rank();
         let bidders = self.peers.borrow().bidders(rank.is_small);
         let draw = (self.process % DRAWS) as f64 / DRAWS as f64;
         bidders.bid_delay(rank.is_small, draw)
     }
 
     /// Returns whether the budget has a repeated send left.
-    pub fn has_repeat(&self, service: &ServiceName) -> bool {
+    pub fn has_retry(&self, service: &ServiceName) -> bool {
         let daemons = self.peers.borrow().daemons();
         self.budget.borrow_mut().has_retry(service, self.now(), daemons)
     }
 
     /// Takes one repeated send out of the budget.
-    pub fn take_repeat(&self, service: &ServiceName) -> bool {
+    pub fn take_retry(&self, service: &ServiceName) -> bool {
         let daemons = self.peers.borrow().daemons();
         self.budget.borrow_mut().take_retry(service, self.now(), daemons)
     }
 
     /// Takes in evidence about a start of a server.
-    pub fn note_health(&self, service: &ServiceName, server: &ServerInstance, evidence: Evidence) {
+    pub fn record_health(
+        &self,
+        service: &ServiceName,
+        server: &ServerInstance,
+        evidence: Evidence,
+    ) {
         // Requests fail at a start that is over long after the next one serves: a pause would keep
         // callers from a sound server.
         if !self.directory.borrow().is_current(server) {
@@ -430,9 +435,9 @@
     }
 
     /// Counts a record of the store that cannot be read, and logs it where that is news.
-    pub fn note_unread(&self, feed: Feed, key: &str, reason: &str) {
+    pub fn log_unreadable(&self, feed: Feed, key: &str, reason: &str) {
         self.metrics.unread(feed.name());
-        let note = self.unread.borrow_mut().record(feed, key, reason, self.now());
+        let note = self.unreadable.borrow_mut().record(feed, key, reason, self.now());
         if let Some(note) = note {
             slog::warn!(self.log, "record-unreadable"; "feed" => %feed, "key" => note.key.as_str(),
                 "reason" => note.reason, "unlogged" => note.unlogged);
@@ -440,15 +445,15 @@
     }
 
     /// Takes in which records of a batch could not be read.
-    pub fn note_batch(&self, feed: Feed, batch: &Batch) {
+    pub fn log_unreadable_records(&self, feed: Feed, batch: &Batch) {
         for record in &batch.unread {
             let key = record.key.as_ref().map_or(record.shown.as_str(), |key| key.as_str());
-            self.note_unread(feed, key, &record.reason);
+            self.log_unreadable(feed, key, &record.reason);
         }
     }
 
     /// Takes in the lease holder's word on what engines hold, and wakes those that wait for it.
-    pub fn put_holdings(&self, fence: Fence, list: Vec<EngineInventory>) {
+    pub fn update_inventory(&self, fence: Fence, list: Vec<EngineInventory>) {
         let now = self.now();
         for holding in list {
             self.holdings.borrow_mut().put(fence, holding, now);
@@ -457,8 +462,8 @@
     }
 
     /// Calls `f` with what a choice of servers looks at.
-    pub fn choose<T>(&self, f: impl FnOnce(&Chooser<'_>) -> T) -> T {
-        let turns = self.turns();
+    pub fn with_chooser<T>(&self, f: impl FnOnce(&Chooser<'_>) -> T) -> T {
+        let turns = self.send_permits();
         let directory = self.directory.borrow();
         let holdings = self.holdings.borrow();
         let health = self.health.borrow();
@@ -466,14 +471,14 @@
         f(&Chooser {
             directory: &directory,
             holdings: &holdings,
-            loads: &self.loads,
+            loads: &self.workloads,
             health: &health,
             run_times: &self.run_times,
             turns: &turns,
             centre: &settings.centre,
             now: self.now(),
             unseen: self.peers.borrow().unseen_requests(),
-            draw: self.draws.borrow().next(),
+            draw: self.random.borrow().next(),
         })
     }
 }
--- a/lib/src/serve/engine_client.rs
+++ b/lib/src/serve/engine_client.rs
@@ -16,7 +16,7 @@
 pub type CallResult = Result<(StatusCode, Bytes), CallError>;
 
 /// Makes calls to engines.
-pub trait EngineCalls: fmt::Debug {
+pub trait EngineClient: fmt::Debug {
     /// Makes a call to an engine at an address, which must be answered within `limit`.
     fn call<'a>(
         &'a self,
--- a/lib/src/serve/engine_orders.rs
+++ b/lib/src/serve/engine_orders.rs
@@ -22,9 +22,9 @@
 use crate::protocol::OrderReply;
 use crate::serve::apply_updates;
 use crate::serve::call::CallError;
-use crate::serve::daemon_state::Entry;
-use crate::serve::engine_client::EngineCalls;
-use crate::serve::orders_guard::ChangeGuard;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::engine_client::EngineClient;
+use crate::serve::orders_guard::OrdersGuard;
 
 /// Time for an engine's answer to an order or a question: many times what it takes.
 const ANSWER_LIMIT: Duration = Duration::from_millis(500);
@@ -64,13 +64,13 @@
 /// Gives orders to engines.
 #[derive(Debug)]
 pub struct EngineOrders {
-    entry: Rc<Entry>,
-    calls: Rc<dyn EngineCalls>,
+    entry: Rc<DaemonState>,
+    calls: Rc<dyn EngineClient>,
 }
 
 impl EngineOrders {
     /// Gives orders for a daemon.
-    pub fn new(entry: Rc<Entry>, calls: Rc<dyn EngineCalls>) -> Self {
+    pub fn new(entry: Rc<DaemonState>, calls: Rc<dyn EngineClient>) -> Self {
         Self { entry, calls }
     }
 
@@ -98,7 +98,7 @@
     /// # Errors
     ///
     /// The start is over.
-    pub fn check_start(&self, start: &ServerInstance) -> Result<(), OrderFailure> {
+    pub fn check_instance(&self, start: &ServerInstance) -> Result<(), OrderFailure> {
         self.target(start).map(|_server| ())
     }
 
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// The lease is lost, the engine is silent or not as believed, or what it holds is not known.
-    pub async fn order(
+    pub async fn execute(
         &self,
         server: &ServerInstance,
         kind: OrderKind,
@@ -175,7 +175,7 @@
                     slog::info!(self.entry.log, "order-given-up"; "server" => %server,
                         "expect" => order.expect, "tries" => tries);
                     let target = self.target(server)?;
-                    self.entry.note_health(&target.service, server, Evidence::Unreachable);
+                    self.entry.record_health(&target.service, server, Evidence::Unreachable);
                     return Err(OrderFailure::Silent);
                 }
             }
@@ -230,8 +230,8 @@
     }
 
     /// Announces a change at an engine: its orders are given while the guard lives.
-    pub fn announce(&self, server: &ServerInstance, fence: Fence) -> ChangeGuard {
-        ChangeGuard::new(&self.entry, engine_key(&server.id), fence)
+    pub fn begin_orders(&self, server: &ServerInstance, fence: Fence) -> OrdersGuard {
+        OrdersGuard::new(&self.entry, engine_key(&server.id), fence)
     }
 
     /// Waits until an engine may be ordered under `fence`.
@@ -243,11 +243,11 @@
         let entry = &self.entry;
         let engine = engine_key(&server.id);
         loop {
-            let listed = entry.orders_listed.notified();
+            let listed = entry.lease_renewed.notified();
             if entry.tenure.borrow().fence_for(engine, entry.now()) == Some(fence) {
                 return Ok(());
             }
-            if entry.standing() != Some(fence) {
+            if entry.held_fence() != Some(fence) {
                 return Err(OrderFailure::LeaseLost);
             }
             let _waited = timeout(BUSY_PAUSE, listed).await;
@@ -280,9 +280,9 @@
         let began = self.entry.now();
         loop {
             sleep(REPORT_LAG).await;
-            let report = self.report(server).await;
-            self.check_start(server)?;
-            if self.entry.standing() != Some(order.fence) {
+            let report = self.fetch_report(server).await;
+            self.check_instance(server)?;
+            if self.entry.held_fence() != Some(order.fence) {
                 return Err(OrderFailure::LeaseLost);
             }
             let report = report.ok_or(OrderFailure::Silent)?;
@@ -312,7 +312,7 @@
     }
 
     /// Reads the report of one start of an engine; none where it cannot be had.
-    pub async fn report(&self, start: &ServerInstance) -> Option<EngineReport> {
+    pub async fn fetch_report(&self, start: &ServerInstance) -> Option<EngineReport> {
         let entry = &self.entry;
         let server = self.target(start).ok()?;
         let request = entry.protocol.report(&server);
@@ -341,6 +341,6 @@
     /// Takes in which start an engine reports for, and returns whether that is the one asked.
     fn is_current(&self, start: &ServerInstance, report: &EngineReport) -> bool {
         let told = ServerInstance { id: start.id.clone(), born: report.born };
-        apply_updates::take_start(&self.entry, &told, "report") == InstanceOrder::Same
+        apply_updates::apply_start(&self.entry, &told, "report") == InstanceOrder::Same
     }
 }
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -11,13 +11,13 @@
 use crate::serve::attempt::Attempt;
 use crate::serve::choose::Choice;
 use crate::serve::choose::Chosen;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::failover::Exchange;
 use crate::serve::failover::ask;
 use crate::serve::reply::Refusal;
 use crate::serve::send;
-use crate::serve::server_feedback::LIMITED;
-use crate::serve::server_feedback::missed;
+use crate::serve::server_feedback::RATE_LIMITED;
+use crate::serve::server_feedback::retry_after;
 use crate::serve::suspects;
 use crate::verdict::Verdict;
 
@@ -34,7 +34,7 @@
 ///
 /// Returns the answer of our own that the caller gets.
 pub async fn run(
-    entry: &Rc<Entry>,
+    entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Result<(response::Parts, Bytes), Refusal> {
     loop {
@@ -46,11 +46,12 @@
             return Err(refusal);
         }
         let Some(chosen) = choose(entry, attempt) else {
-            let turn = entry.choose(|c| c.next_turn(&attempt.service, attempt.item().as_ref()));
+            let turn =
+                entry.with_chooser(|c| c.next_turn(&attempt.service, attempt.item().as_ref()));
             if let Some(turn) = turn.filter(|_| !attempt.is_spent()) {
                 let left = (attempt.arrived + attempt.route.latency_goal).saturating_sub(now);
-                if let Some(retry) = missed(turn, left) {
-                    return Err(Refusal::failed(attempt.verdict, LIMITED, retry));
+                if let Some(retry) = retry_after(turn, left) {
+                    return Err(Refusal::failed(attempt.verdict, RATE_LIMITED, retry));
                 }
                 tokio::time::sleep(FULL_PAUSE).await;
                 continue;
@@ -69,7 +70,7 @@
             attempt.tried.clear();
             continue;
         };
-        if attempt.arrivals > 0 && !entry.take_repeat(&attempt.service) {
+        if attempt.arrivals > 0 && !entry.take_retry(&attempt.service) {
             return Err(Refusal::failed(attempt.verdict, "the retry budget is spent", FULL));
         }
         let sent = send_once(entry, attempt, &chosen);
@@ -97,10 +98,10 @@
     }
 }
 
-fn choose(entry: &Entry, attempt: &Attempt) -> Option<Chosen> {
+fn choose(entry: &DaemonState, attempt: &Attempt) -> Option<Chosen> {
     match attempt.item() {
-        None => entry.choose(|c| c.plain(&attempt.service, &attempt.tried)),
-        Some(item) => match entry.choose(|c| c.engine(&item, &attempt.tried)) {
+        None => entry.with_chooser(|c| c.plain(&attempt.service, &attempt.tried)),
+        Some(item) => match entry.with_chooser(|c| c.engine(&item, &attempt.tried)) {
             Choice::Server(chosen) => Some(chosen),
             Choice::Missing | Choice::NoServer => None,
         },
@@ -109,11 +110,11 @@
 
 /// Whether a failure of the server's own is worth another server: only where the request may run
 /// again and both limits allow it.
-fn is_retried(entry: &Entry, attempt: &mut Attempt, head: &response::Parts) -> bool {
+fn is_retried(entry: &DaemonState, attempt: &mut Attempt, head: &response::Parts) -> bool {
     let failed = head.status.is_server_error();
     let Some(server) = attempt.last.clone() else { return false };
     let evidence = if failed { Evidence::Failed } else { Evidence::Sound };
-    entry.note_health(&attempt.service, &server, evidence);
+    entry.record_health(&attempt.service, &server, evidence);
     if !failed || attempt.route.kind != RouteKind::Idempotent {
         return false;
     }
@@ -124,20 +125,20 @@
     attempt.tried.push(server);
     let is_open = attempt.may_repeat(entry.now()) && choose(entry, attempt).is_some();
     // The next round takes the repeat out of the budget; a server's own answer is better than ours.
-    is_open && entry.has_repeat(&attempt.service)
+    is_open && entry.has_retry(&attempt.service)
 }
 
 /// Sends the request; the answer is read whole.
 fn send_once(
-    entry: &Rc<Entry>,
+    entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
     chosen: &Chosen,
 ) -> Exchange<(response::Parts, Bytes)> {
     let server = Rc::clone(&chosen.server);
     attempt.sent(chosen, entry.now());
-    entry.note_send(&server.instance());
+    entry.record_send(&server.instance());
     let request = attempt.request(entry, &server, None);
-    let work = entry.loads.begin(attempt.place(&server), attempt.terms.prompt);
+    let work = entry.workloads.begin(attempt.place(&server), attempt.terms.prompt);
     let id = attempt.terms.attempt.clone();
     let entry = Rc::clone(entry);
     Box::pin(async move {
--- a/lib/src/serve/exchange_stream.rs
+++ b/lib/src/serve/exchange_stream.rs
@@ -12,7 +12,7 @@
 use crate::serve::attempt::Attempt;
 use crate::serve::body::ReplyBody;
 use crate::serve::choose::Chosen;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::event_stream::Flow;
 use crate::serve::event_stream::Progress;
 use crate::serve::failover::Exchange;
@@ -57,11 +57,11 @@
 /// # Errors
 ///
 /// Returns the answer of our own that the caller gets.
-pub async fn open(entry: &Rc<Entry>, attempt: &mut Attempt) -> Result<Opened, Refusal> {
+pub async fn open(entry: &Rc<DaemonState>, attempt: &mut Attempt) -> Result<Opened, Refusal> {
     let resume = attempt.terms.last_event;
     loop {
         let chosen = find_server(entry, attempt).await?;
-        if attempt.arrivals > 0 && !entry.take_repeat(&attempt.service) {
+        if attempt.arrivals > 0 && !entry.take_retry(&attempt.service) {
             return Err(Refusal::failed(attempt.verdict, "the retry budget is spent", COME_BACK));
         }
         let sent = begin(entry, attempt, &chosen, resume);
@@ -96,16 +96,16 @@
 
 /// Sends the request; the answer is read until the first event.
 pub fn begin(
-    entry: &Rc<Entry>,
+    entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
     chosen: &Chosen,
     resume: Option<u64>,
 ) -> Exchange<Opened> {
     let server = Rc::clone(&chosen.server);
     attempt.sent(chosen, entry.now());
-    entry.note_send(&server.instance());
+    entry.record_send(&server.instance());
     let request = attempt.request(entry, &server, resume);
-    let work = entry.loads.begin(attempt.place(&server), attempt.terms.prompt);
+    let work = entry.workloads.begin(attempt.place(&server), attempt.terms.prompt);
     let id = attempt.terms.attempt.clone();
     let entry = Rc::clone(entry);
     Box::pin(async move {
@@ -130,7 +130,7 @@
 }
 
 /// Begins the answer to the caller and leaves the rest to a task.
-pub fn relay(entry: &Rc<Entry>, attempt: Attempt, started: Started) -> Response<ReplyBody> {
+pub fn relay(entry: &Rc<DaemonState>, attempt: Attempt, started: Started) -> Response<ReplyBody> {
     let (sender, body) = ReplyBody::stream();
     let mut response = Response::new(body);
     *response.status_mut() = started.head.status;
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -14,7 +14,7 @@
 use crate::serve::attempt::Attempt;
 use crate::serve::choose::Choice;
 use crate::serve::choose::Chosen;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::find_server::AGAIN;
 use crate::serve::find_server::unusable;
 use crate::serve::model_waits::WaitGuard;
@@ -50,10 +50,10 @@
 ///
 /// There is no usable answer.
 pub async fn ask<T: 'static>(
-    entry: &Rc<Entry>,
+    entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
     sent: Exchange<T>,
-    begin: impl Fn(&Rc<Entry>, &mut Attempt, &Chosen) -> Exchange<T>,
+    begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &Chosen) -> Exchange<T>,
 ) -> Result<T, SendFailure> {
     let mut current = sent;
     loop {
@@ -76,10 +76,10 @@
 /// was let go first, a refusal left the request nowhere, and its answer was cut or replaced by a failure. A
 /// refusal comes at once, so the silent one is kept until then.
 pub async fn offer<T: 'static>(
-    entry: &Rc<Entry>,
+    entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
     next: &Chosen,
-    begin: impl Fn(&Rc<Entry>, &mut Attempt, &Chosen) -> Exchange<T>,
+    begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &Chosen) -> Exchange<T>,
 ) -> Option<Exchange<T>> {
     let standing = attempt.leave(entry);
     let mut offered = begin(entry, attempt, next);
@@ -99,7 +99,7 @@
 /// Given up for nothing, it cut answers that were coming: the caller saw a broken stream or a failure, and
 /// the server's log a run that would have ended well. So attempts, budget, place and connection come first.
 pub async fn hear<T>(
-    entry: &Rc<Entry>,
+    entry: &Rc<DaemonState>,
     attempt: &Attempt,
     patience: Duration,
     answer: impl Future<Output = T>,
@@ -114,7 +114,7 @@
 }
 
 /// Returns once the request can go on at another server; never, where it may not.
-async fn elsewhere(entry: &Rc<Entry>, attempt: &Attempt, patience: Duration) -> Chosen {
+async fn elsewhere(entry: &Rc<DaemonState>, attempt: &Attempt, patience: Duration) -> Chosen {
     if !attempt.route.is_retryable() {
         return pending().await;
     }
@@ -145,35 +145,35 @@
 }
 
 /// Returns another server that can take the request now, its repeat taken out of the budget.
-async fn able(entry: &Entry, attempt: &Attempt) -> Option<Chosen> {
-    if entry.is_held(&attempt.print) || !entry.has_repeat(&attempt.service) {
+async fn able(entry: &DaemonState, attempt: &Attempt) -> Option<Chosen> {
+    if entry.is_held(&attempt.print) || !entry.has_retry(&attempt.service) {
         return None;
     }
     let item = attempt.item();
     let tried = attempt.all_tried();
-    let chosen = entry.choose(|c| c.spare(&attempt.service, item.as_ref(), &tried))?;
+    let chosen = entry.with_chooser(|c| c.spare(&attempt.service, item.as_ref(), &tried))?;
     let server = &chosen.server;
     if entry.pool.prepare(&server.instance(), server.addr).await.is_err() {
-        entry.note_health(&attempt.service, &server.instance(), Evidence::Unreachable);
+        entry.record_health(&attempt.service, &server.instance(), Evidence::Unreachable);
         return None;
     }
     // Nothing is awaited from here until the caller of `hear` has the server.
-    entry.take_repeat(&attempt.service).then_some(chosen)
+    entry.take_retry(&attempt.service).then_some(chosen)
 }
 
 /// Tells of a silent server that cannot be left yet, and lets other requests avoid it.
-fn note(entry: &Entry, attempt: &Attempt) {
+fn note(entry: &DaemonState, attempt: &Attempt) {
     let Some(server) = &attempt.last else { return };
     slog::info!(entry.log, "server-silent"; "attempt" => attempt.id(), "server" => %server,
         "ms" => entry.now().saturating_sub(attempt.arrived).as_millis());
-    entry.note_health(&attempt.service, server, Evidence::Failed);
+    entry.record_health(&attempt.service, server, Evidence::Failed);
 }
 
 /// Asks for the model at another engine, where no other holds it.
-fn want(entry: &Entry, attempt: &Attempt, until: Moment) -> Option<WaitGuard> {
+fn want(entry: &DaemonState, attempt: &Attempt, until: Moment) -> Option<WaitGuard> {
     let item = attempt.item()?;
     let tried = attempt.all_tried();
-    if matches!(entry.choose(|c| c.engine(&item, &tried)), Choice::Server(_)) {
+    if matches!(entry.with_chooser(|c| c.engine(&item, &tried)), Choice::Server(_)) {
         return None;
     }
     Some(entry.waits.begin(item, until, until, unusable(entry, &attempt.service, &tried)))
--- a/lib/src/serve/failover_origin.rs
+++ b/lib/src/serve/failover_origin.rs
@@ -5,11 +5,11 @@
 
 /// How a request stands at a silent server that it leaves, in case the next one refuses it.
 #[derive(Clone, Debug)]
-pub struct Standing {
+pub struct FailoverOrigin {
     /// The server.
     pub server: Option<ServerInstance>,
     /// What was known of the request running elsewhere before.
     pub verdict: Verdict,
     /// Whether it had left another silent server before.
-    pub has_left: bool,
+    pub failed_over: bool,
 }
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -16,11 +16,11 @@
 use crate::serve::attempt::Attempt;
 use crate::serve::choose::Choice;
 use crate::serve::choose::Chosen;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::handle::ELSEWHERE;
 use crate::serve::reply::Refusal;
-use crate::serve::server_feedback::LIMITED;
-use crate::serve::server_feedback::missed;
+use crate::serve::server_feedback::RATE_LIMITED;
+use crate::serve::server_feedback::retry_after;
 use crate::serve::suspects::HELD;
 use crate::verdict::Verdict;
 
@@ -42,12 +42,15 @@
 /// # Errors
 ///
 /// Returns the answer of our own where the wait is hopeless.
-pub async fn find_server(entry: &Rc<Entry>, attempt: &mut Attempt) -> Result<Chosen, Refusal> {
+pub async fn find_server(
+    entry: &Rc<DaemonState>,
+    attempt: &mut Attempt,
+) -> Result<Chosen, Refusal> {
     if let Some(refusal) = entry.held_refusal(attempt) {
         return Err(refusal);
     }
     let Some(item) = attempt.item() else {
-        let chosen = entry.choose(|c| c.plain(&attempt.service, &attempt.tried));
+        let chosen = entry.with_chooser(|c| c.plain(&attempt.service, &attempt.tried));
         return chosen.ok_or_else(|| Refusal::failed(attempt.verdict, "no server", COME_BACK));
     };
     let began = entry.now();
@@ -70,7 +73,7 @@
         }
         let now = entry.now();
         let patience = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
-        let give_up = patience.min(entry.last_start(attempt.deadline));
+        let give_up = patience.min(entry.latest_start(attempt.deadline));
         if let Some(refusal) = hopeless(entry, attempt, &item, began, give_up) {
             attempt.waited += now.saturating_sub(began);
             return Err(refusal);
@@ -100,7 +103,7 @@
 /// All suspects of a crash would go to the next engine in the same moment, from every daemon, before any of these
 /// could tell that it has one there. Attempts at one request go one after the other over all daemons, and one that may
 /// crash one too many waits until the others of its last crash have had time to show that they did not do it.
-async fn take_turns(entry: &Rc<Entry>, attempt: &mut Attempt) {
+async fn take_turns(entry: &Rc<DaemonState>, attempt: &mut Attempt) {
     attempt.trial = None;
     if !entry.is_suspect(&attempt.print) {
         return;
@@ -118,7 +121,7 @@
 }
 
 /// Returns whether it is an attempt's turn, or it needs none.
-fn may_go(entry: &Entry, attempt: &mut Attempt) -> bool {
+fn may_go(entry: &DaemonState, attempt: &mut Attempt) -> bool {
     if !entry.is_suspect(&attempt.print) {
         attempt.trial = None;
         return true;
@@ -129,16 +132,16 @@
 }
 
 /// Chooses an engine; a suspect gets one to itself among suspects, when it is its turn.
-fn engine(entry: &Entry, attempt: &mut Attempt, item: &ModelTarget) -> Choice {
+fn engine(entry: &DaemonState, attempt: &mut Attempt, item: &ModelTarget) -> Choice {
     if !may_go(entry, attempt) {
         return Choice::Missing;
     }
     let Some(trial) = &attempt.trial else {
-        return entry.choose(|c| c.engine(item, &attempt.tried));
+        return entry.with_chooser(|c| c.engine(item, &attempt.tried));
     };
     let mut closed = entry.trials.servers(entry.now());
     closed.extend_from_slice(&attempt.tried);
-    let choice = entry.choose(|c| c.engine(item, &closed));
+    let choice = entry.with_chooser(|c| c.engine(item, &closed));
     if let Choice::Server(chosen) = &choice {
         trial.begin(chosen.server.instance());
     }
@@ -146,7 +149,7 @@
 }
 
 /// Lets a request go to a chosen engine, unless its queue is too long for the caller.
-fn admit(entry: &Entry, attempt: &mut Attempt, chosen: Chosen) -> Result<Chosen, Refusal> {
+fn admit(entry: &DaemonState, attempt: &mut Attempt, chosen: Chosen) -> Result<Chosen, Refusal> {
     let now = entry.now();
     let left = |until: Moment| until.saturating_sub(now);
     let leaves = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
@@ -171,23 +174,27 @@
 }
 
 /// Engines that this request cannot use: those that failed it, and those out of reach.
-pub fn unusable(entry: &Entry, service: &str, tried: &[ServerInstance]) -> Vec<ServerInstance> {
-    let mut list = entry.choose(|c| c.dark(service));
-    list.extend(entry.choose(|c| c.held_back(service)));
+pub fn unusable(
+    entry: &DaemonState,
+    service: &str,
+    tried: &[ServerInstance],
+) -> Vec<ServerInstance> {
+    let mut list = entry.with_chooser(|c| c.dark(service));
+    list.extend(entry.with_chooser(|c| c.held_back(service)));
     list.extend_from_slice(tried);
     list
 }
 
 /// Refuses a wait that cannot end in time, as soon as that is known.
 fn hopeless(
-    entry: &Entry,
+    entry: &DaemonState,
     attempt: &Attempt,
     item: &ModelTarget,
     began: Moment,
     give_up: Moment,
 ) -> Option<Refusal> {
     let now = entry.now();
-    let expected = entry.choose(|c| {
+    let expected = entry.with_chooser(|c| {
         let servers = c.directory.servers().filter(|s| s.service == item.service && !s.leaving);
         let times = servers.filter_map(|s| {
             c.holdings.expected_at(&s.instance(), &item.model, item.adapter.as_deref(), now)
@@ -196,9 +203,9 @@
     });
     let verdict = attempt.verdict;
     if expected.is_none() && now > began + WORD_TIME {
-        let turn = entry.choose(|c| c.next_turn(&item.service, Some(item)));
-        if let Some(retry) = turn.and_then(|turn| missed(turn, give_up.saturating_sub(now))) {
-            return Some(Refusal::failed(verdict, LIMITED, retry));
+        let turn = entry.with_chooser(|c| c.next_turn(&item.service, Some(item)));
+        if let Some(retry) = turn.and_then(|turn| retry_after(turn, give_up.saturating_sub(now))) {
+            return Some(Refusal::failed(verdict, RATE_LIMITED, retry));
         }
     }
     if expected.is_none() && nobody_loads(entry) {
@@ -212,7 +219,7 @@
         _ if now + FIRST_EVENT > give_up => {
             Some(Refusal::failed(verdict, "the model was not loaded in time", COME_BACK))
         }
-        None if !entry.choose(|c| c.has_copy(item)) => {
+        None if !entry.with_chooser(|c| c.has_copy(item)) => {
             let load = load_time(attempt, item);
             let is_silent = now > began + WORD_TIME;
             (is_silent || now + load > give_up)
@@ -227,7 +234,7 @@
 
 /// Whether this daemon is cut off from the store and other data centres, and from whoever orders loads: callers are
 /// better off with another one, where the balancer takes them.
-fn nobody_loads(entry: &Entry) -> bool {
+fn nobody_loads(entry: &DaemonState) -> bool {
     let has_holder = || entry.peers.borrow().holder(entry.now()).is_some();
     entry.isolated.get() && entry.fence().is_none() && !has_holder()
 }
@@ -250,7 +257,7 @@
 }
 
 /// Chooses another server for a stream that broke off; callers wait for events, so not for long.
-pub async fn find_again(entry: &Rc<Entry>, attempt: &mut Attempt) -> Option<Chosen> {
+pub async fn find_again(entry: &Rc<DaemonState>, attempt: &mut Attempt) -> Option<Chosen> {
     let item = attempt.item()?;
     // A stream that left a server by itself would still have one: it is not broken off before its time.
     let until = if attempt.has_left { attempt.deadline } else { entry.now() + AGAIN };
--- a/lib/src/serve/follow_config.rs
+++ b/lib/src/serve/follow_config.rs
@@ -12,12 +12,12 @@
 
 use crate::ids::Offset;
 use crate::serve::apply_updates::CONFIG_KEY;
-use crate::serve::apply_updates::adopt_config;
-use crate::serve::daemon_state::Entry;
-use crate::serve::store_calls::give_up;
-use crate::serve::store_calls::noted;
-use crate::serve::store_calls::noted_read;
-use crate::serve::store_calls::pause_after;
+use crate::serve::apply_updates::apply_config;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::store_calls::abandon_call;
+use crate::serve::store_calls::backoff_after;
+use crate::serve::store_calls::track_call;
+use crate::serve::store_calls::track_read;
 use crate::store::Batch;
 use crate::store::Feed;
 use crate::store::StoreError;
@@ -49,14 +49,15 @@
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 
 /// Follows the configuration for as long as the daemon runs.
-pub async fn follow_config(entry: Rc<Entry>) {
+pub async fn follow_config(entry: Rc<DaemonState>) {
     let mut from = None;
     let mut pause = PAUSE;
     loop {
         let mut sent = entry.now();
         let result = match from {
             None => {
-                noted(&entry, Feed::Configuration, entry.store.newest(Feed::Configuration)).await
+                track_call(&entry, Feed::Configuration, entry.store.newest(Feed::Configuration))
+                    .await
             }
             Some(offset) => {
                 wait_for_need(&entry).await;
@@ -73,8 +74,8 @@
             Err(StoreError::Expired) => from = None,
             // A call that was given up late was pause enough.
             Err(_failed) => {
-                let is_back = pause_after(&entry, sent, pause).await;
-                let has_readers = from.is_some() && entry.lives_by_words();
+                let is_back = backoff_after(&entry, sent, pause).await;
+                let has_readers = from.is_some() && entry.relies_on_readers();
                 pause =
                     if has_readers && !is_back { (pause * 2).min(LONGEST_PAUSE) } else { PAUSE };
             }
@@ -83,43 +84,43 @@
 }
 
 /// Waits for as long as readers follow the configuration for this daemon.
-async fn wait_for_need(entry: &Entry) {
-    while entry.lives_by_words() && !entry.reads_often() {
+async fn wait_for_need(entry: &DaemonState) {
+    while entry.relies_on_readers() && !entry.polls_config() {
         sleep(LOOK_EVERY).await;
     }
 }
 
-fn take_config(entry: &Entry, batch: &Batch) {
-    entry.note_batch(Feed::Configuration, batch);
+fn take_config(entry: &DaemonState, batch: &Batch) {
+    entry.log_unreadable_records(Feed::Configuration, batch);
     let records = batch.records.iter().rev().filter(|r| r.key == CONFIG_KEY);
     // Another writer's record must not hide the operators' version before it.
     for raw in records.filter_map(|r| r.value.as_ref()) {
-        if adopt_config(entry, raw, "store") {
+        if apply_config(entry, raw, "store") {
             break;
         }
     }
 }
 
 /// Waits for the next version.
-async fn read_on(entry: &Entry, from: Offset) -> Result<Batch, StoreError> {
+async fn read_on(entry: &DaemonState, from: Offset) -> Result<Batch, StoreError> {
     let begun = entry.now();
     let was_behind = entry.is_behind();
     let call = entry.store.read(Feed::Configuration, from, longest_wait(entry, was_behind));
     tokio::select! {
         biased;
-        result = noted_read(entry, Feed::Configuration, call) => result,
+        result = track_read(entry, Feed::Configuration, call) => result,
         reason = given_up(entry, was_behind) => {
-            Err(give_up(entry, Feed::Configuration, begun, reason))
+            Err(abandon_call(entry, Feed::Configuration, begun, reason))
         }
     }
 }
 
 /// Returns how long the store may wait for a change before it answers.
-fn longest_wait(entry: &Entry, is_behind: bool) -> Duration {
+fn longest_wait(entry: &DaemonState, is_behind: bool) -> Duration {
     if entry.config_age(entry.now()) > OFTEN_WAIT {
         // An answer is overdue: whether the store is back must show soon.
         Duration::ZERO
-    } else if is_behind || entry.reads_often() {
+    } else if is_behind || entry.polls_config() {
         OFTEN_WAIT
     } else {
         SELDOM_WAIT
@@ -131,17 +132,17 @@
 /// A call that began while this daemon was behind brings what peers have already, however slow the store or
 /// the link is; given up for that, it would be given up again and again and never be answered. It has
 /// the short limit instead.
-async fn given_up(entry: &Entry, was_behind: bool) -> &'static str {
+async fn given_up(entry: &DaemonState, was_behind: bool) -> &'static str {
     let begun = Instant::now();
     loop {
-        if timeout(LOOK_EVERY, entry.config_news.notified()).await.is_ok() {
+        if timeout(LOOK_EVERY, entry.newer_config.notified()).await.is_ok() {
             sleep(NEWS_PAUSE).await;
         }
         let out = begun.elapsed();
         if out >= YOUNG && !was_behind && entry.is_behind() {
             return "a peer has a later version";
         }
-        if out >= OFTEN_LIMIT && (was_behind || entry.reads_often()) {
+        if out >= OFTEN_LIMIT && (was_behind || entry.polls_config()) {
             return "no answer in time";
         }
     }
--- a/lib/src/serve/follow_servers.rs
+++ b/lib/src/serve/follow_servers.rs
@@ -6,11 +6,11 @@
 use tokio::time::sleep;
 
 use crate::boot_clock::Moment;
-use crate::serve::apply_updates::take_servers;
-use crate::serve::daemon_state::Entry;
-use crate::serve::store_calls::noted;
-use crate::serve::store_calls::noted_read;
-use crate::serve::store_calls::pause_after;
+use crate::serve::apply_updates::apply_server_batch;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::store_calls::backoff_after;
+use crate::serve::store_calls::track_call;
+use crate::serve::store_calls::track_read;
 use crate::store::Feed;
 use crate::store::StoreError;
 
@@ -29,7 +29,7 @@
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 
 /// Follows the list of servers.
-pub async fn follow_servers(entry: Rc<Entry>) {
+pub async fn follow_servers(entry: Rc<DaemonState>) {
     // Whether the list was read once.
     let mut is_listed = false;
     let mut pause = PAUSE;
@@ -41,14 +41,14 @@
         let sent = entry.now();
         let end = entry.directory.borrow().feed_end();
         let result = if is_whole {
-            noted(&entry, Feed::Servers, entry.store.newest(Feed::Servers)).await
+            track_call(&entry, Feed::Servers, entry.store.newest(Feed::Servers)).await
         } else {
             let call = entry.store.read(Feed::Servers, end, Duration::ZERO);
-            noted_read(&entry, Feed::Servers, call).await
+            track_read(&entry, Feed::Servers, call).await
         };
         match result {
             Ok(batch) => {
-                take_servers(&entry, &batch, is_whole);
+                apply_server_batch(&entry, &batch, is_whole);
                 if is_whole {
                     entry.coverage.is_partial.set(false);
                 }
@@ -60,9 +60,8 @@
             Err(StoreError::Expired) => is_listed = false,
             Err(_failed) => {
                 // A call that was given up late was pause enough.
-                let is_back = pause_after(&entry, sent, pause).await;
-                let longest =
-                    if is_back || entry.follows_servers() { PAUSE } else { LONGEST_PAUSE };
+                let is_back = backoff_after(&entry, sent, pause).await;
+                let longest = if is_back || entry.polls_servers() { PAUSE } else { LONGEST_PAUSE };
                 pause = (pause * 2).min(longest);
             }
         }
@@ -70,12 +69,12 @@
 }
 
 /// Returns whether the list must be read anew: who gives orders must know what servers hold, which words leave out.
-fn must_list(entry: &Entry) -> bool {
-    entry.standing().is_some() && entry.coverage.is_partial.get()
+fn must_list(entry: &DaemonState) -> bool {
+    entry.held_fence().is_some() && entry.coverage.is_partial.get()
 }
 
 /// Waits until the feed must be read.
-async fn wait_until_due(entry: &Entry) {
+async fn wait_until_due(entry: &DaemonState) {
     loop {
         let left = due(entry).saturating_sub(entry.now());
         if left.is_zero() || must_list(entry) {
@@ -89,7 +88,7 @@
 ///
 /// A daemon that lives by words reads when they have told it nothing new for as long as its own pause would be, so
 /// that its picture is never older than if it read all the time, whatever becomes of readers.
-fn due(entry: &Entry) -> Moment {
-    let part = if entry.is_large() && entry.reads() { READER_PART } else { READ_PART };
+fn due(entry: &DaemonState) -> Moment {
+    let part = if entry.is_large_fleet() && entry.is_reader() { READER_PART } else { READ_PART };
     entry.coverage.servers.get() + entry.settings().drain.mul_f64(part)
 }
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -30,7 +30,7 @@
 use crate::ids::Offset;
 use crate::ids::ServerId;
 use crate::serve::apply_updates;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::suspects;
 
 /// Pause after a datagram could not be received.
@@ -41,22 +41,22 @@
 /// Sends and receives datagrams.
 #[derive(Debug)]
 pub struct Gossip {
-    pub(super) entry: Rc<Entry>,
+    pub(super) entry: Rc<DaemonState>,
     socket: UdpSocket,
     malformed: Cell<u64>,
     /// When the last digest was told.
-    pub(super) told: Cell<Moment>,
+    pub(super) last_digest: Cell<Moment>,
     /// When the lease holder last told all daemons of a large fleet.
-    pub(super) told_all: Cell<Moment>,
+    pub(super) last_broadcast: Cell<Moment>,
     /// Number of digests told.
     pub(super) round: Cell<u64>,
 }
 
 impl Gossip {
     /// Uses a socket.
-    pub fn new(entry: Rc<Entry>, socket: UdpSocket) -> Rc<Self> {
-        let (malformed, told, told_all, round) = <_>::default();
-        Rc::new(Self { entry, socket, malformed, told, told_all, round })
+    pub fn new(entry: Rc<DaemonState>, socket: UdpSocket) -> Rc<Self> {
+        let (malformed, last_digest, last_broadcast, round) = <_>::default();
+        Rc::new(Self { entry, socket, malformed, last_digest, last_broadcast, round })
     }
 
     pub(super) fn encode(&self, content: Payload) -> Vec<u8> {
@@ -78,7 +78,7 @@
     }
 
     /// Takes in datagrams.
-    pub async fn listen(self: Rc<Self>) {
+    pub async fn receive(self: Rc<Self>) {
         let mut buffer = vec![0; DATAGRAM];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
@@ -115,7 +115,7 @@
             Payload::Demand(note) => {
                 if entry.fence().is_some() {
                     entry.demand.borrow_mut().update(&message.from, note, now);
-                    entry.plan.notify_one();
+                    entry.plan_due.notify_one();
                 }
             }
             Payload::Inventories(fence, list) => self.take_holdings(&message.from, fence, list),
@@ -132,18 +132,18 @@
 
     /// Takes in that a peer named a start of a server; returns whether its word on it counts.
     fn is_heard(&self, start: &ServerInstance, from: &DaemonId) -> bool {
-        apply_updates::take_start(&self.entry, start, from) != InstanceOrder::Older
+        apply_updates::apply_start(&self.entry, start, from) != InstanceOrder::Older
     }
 
     /// Takes in what engines hold; a reader passes the lease holder's word on to its data centre.
     fn take_holdings(&self, from: &DaemonId, fence: Fence, mut list: Vec<EngineInventory>) {
         let entry = &self.entry;
         let is_holder = entry.peers.borrow().holder(entry.now()).is_some_and(|(id, ..)| id == from);
-        if is_holder && entry.is_large() && entry.reads() {
+        if is_holder && entry.is_large_fleet() && entry.is_reader() {
             self.relay_holdings(fence, &list);
         }
         list.retain(|holding| self.is_heard(&holding.server, from));
-        entry.put_holdings(fence, list);
+        entry.update_inventory(fence, list);
     }
 
     /// Takes in a peer's state but for its requests.
@@ -157,15 +157,15 @@
                 "addr" => %addr, "config" => digest.config_version);
         }
         if digest.config_version > entry.config_version() {
-            entry.config_news.notify_one();
-            entry.fetch.notify_one();
+            entry.newer_config.notify_one();
+            entry.fetch_due.notify_one();
         }
         if !had_holder && digest.lease.is_some() {
             // Demand that nobody heard is told to the new holder at once.
             entry.waits.begun.notify_one();
         }
         self.take_left(from, &digest.departures);
-        entry.hear_limits(&digest.limits, from);
+        entry.apply_peer_limits(&digest.limits, from);
         suspects::hear(entry, &digest.quarantine, from);
     }
 
@@ -182,7 +182,7 @@
             }
         }
         if changed {
-            apply_updates::servers_changed(entry);
+            apply_updates::on_servers_changed(entry);
         }
     }
 
@@ -194,7 +194,7 @@
                 Workload { running: note.running, prompt_tokens: note.prompt_tokens },
             )
         };
-        self.entry.loads.set_peer(from, self.entry.now(), loads.map(work).collect());
+        self.entry.workloads.set_peer(from, self.entry.now(), loads.map(work).collect());
     }
 
     /// Takes in a reader's word.
@@ -208,13 +208,15 @@
         let is_near = digest.centre == entry.settings().centre;
         match (scope, is_near) {
             (WorkloadScope::Centre, false) => {
-                entry.loads.set_centre(&digest.centre, now, workloads)
+                entry.workloads.set_centre(&digest.centre, now, workloads)
+            }
+            (WorkloadScope::Centre, true) => entry.workloads.set_own_centre(now, workloads),
+            (WorkloadScope::Fleet, true) if !entry.is_reader() => {
+                entry.workloads.set_fleet(now, workloads)
             }
-            (WorkloadScope::Centre, true) => entry.loads.set_own_centre(now, workloads),
-            (WorkloadScope::Fleet, true) if !entry.reads() => entry.loads.set_fleet(now, workloads),
             (WorkloadScope::Fleet, _) => {}
         }
-        if !is_near || entry.follows_servers() {
+        if !is_near || entry.polls_servers() {
             return;
         }
         if digest.config_version <= entry.config_version() {
@@ -239,7 +241,7 @@
             entry.metrics.word("differs");
             slog::warn!(entry.log, "picture-differs"; "reader" => %from, "feed_end" => end,
                 "servers" => directory.servers().count());
-            entry.fetch.notify_one();
+            entry.fetch_due.notify_one();
         }
     }
 
@@ -255,22 +257,22 @@
         let entry = &self.entry;
         let mut changed = false;
         for (id, raw) in joined {
-            let change = apply_updates::take_server(
+            let change = apply_updates::apply_server(
                 entry,
                 &id,
                 Some(&Bytes::from(raw)),
-                apply_updates::PEER,
+                apply_updates::FROM_PEER,
             );
             changed |= change != Change::None;
         }
         if changed {
-            apply_updates::servers_changed(entry);
+            apply_updates::on_servers_changed(entry);
         }
         if from > entry.directory.borrow().feed_end() {
             // Some changes were told while this daemon did not hear: the whole picture is fetched.
             entry.metrics.word("gap");
             entry.coverage.has_gap.set(true);
-            entry.fetch.notify_one();
+            entry.fetch_due.notify_one();
             return false;
         }
         entry.metrics.word("taken");
--- a/lib/src/serve/graceful_stop.rs
+++ b/lib/src/serve/graceful_stop.rs
@@ -18,30 +18,30 @@
 
 /// A planned stop under way.
 #[derive(Clone, Copy, Debug)]
-pub struct PlannedStop {
+pub struct GracefulStop {
     began: Moment,
     grace: Duration,
 }
 
-impl PlannedStop {
+impl GracefulStop {
     /// Begins a stop that may take `grace`.
     pub fn new(began: Moment, grace: Duration) -> Self {
         Self { began, grace }
     }
 
     /// Returns when callers have found other daemons.
-    pub fn callers_left(self) -> Moment {
+    pub fn deregistered_at(self) -> Moment {
         self.began + LEAVE_TIME
     }
 
     /// Returns when what is still in progress is given up.
-    pub fn end(self) -> Moment {
+    pub fn abort_at(self) -> Moment {
         self.began + self.grace.saturating_sub(self.margin())
     }
 
     /// Returns until when the callers of what was given up are told.
-    pub fn last_answer(self) -> Moment {
-        self.end() + self.margin().mul_f64(ANSWER_PART)
+    pub fn answers_until(self) -> Moment {
+        self.abort_at() + self.margin().mul_f64(ANSWER_PART)
     }
 
     /// Returns until when a request may begin that must be answered by `deadline`.
@@ -49,9 +49,9 @@
     /// Callers go on using open connections. What begins while it may last longer than this daemon is
     /// cut, or ends in doubt whether it ran, however quick most servers are: once callers can be
     /// elsewhere only what must be over before the end begins.
-    pub fn last_start(self, deadline: Moment) -> Moment {
-        if deadline <= self.end() {
-            return self.end();
+    pub fn latest_start(self, deadline: Moment) -> Moment {
+        if deadline <= self.abort_at() {
+            return self.abort_at();
         }
         self.began + LEAVE_TIME.min(self.grace.mul_f64(START_PART))
     }
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -27,7 +27,7 @@
 use crate::serve::active_request::ActiveRequest;
 use crate::serve::attempt::Attempt;
 use crate::serve::body::ReplyBody;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::exchange_plain;
 use crate::serve::exchange_stream;
 use crate::serve::exchange_stream::Opened;
@@ -49,7 +49,7 @@
 
 /// Answers a request, which is in progress until its answer is written.
 pub async fn handle(
-    entry: Rc<Entry>,
+    entry: Rc<DaemonState>,
     active: ActiveRequest,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
@@ -59,7 +59,7 @@
         Ok(attempt) => answer(&entry, attempt).await,
         Err((parts, refusal)) => refuse_unrouted(&entry, &parts, &refusal),
     };
-    if entry.sends_away() {
+    if entry.closes_connections() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response.body_mut().hold(active);
@@ -67,7 +67,7 @@
 }
 
 fn refuse_unrouted(
-    entry: &Entry,
+    entry: &DaemonState,
     parts: &request::Parts,
     refusal: &Refusal,
 ) -> Response<ReplyBody> {
@@ -88,7 +88,7 @@
 
 /// Reads the whole body and finds the route.
 async fn read(
-    entry: &Entry,
+    entry: &DaemonState,
     parts: request::Parts,
     body: Incoming,
     arrived: Moment,
@@ -100,7 +100,7 @@
     let body = tokio::select! {
         biased;
         body = read_body(body, config.limits.max_body) => body,
-        () = entry.ended() => Err(Refusal::unrun(STOPS, ELSEWHERE)),
+        () = entry.aborted() => Err(Refusal::unrun(STOPS, ELSEWHERE)),
     };
     let body = match body {
         Ok(body) => body,
@@ -109,7 +109,7 @@
     // The configuration may have changed while the body came.
     let config = entry.config().unwrap_or(config);
     let Some(route) = config.route(host(&parts), parts.uri.path()).cloned() else {
-        let refusal = if entry.is_unsure(entry.now()) {
+        let refusal = if entry.is_config_stale(entry.now()) {
             Refusal::unrun("no such route, but the configuration may be old", LEARNING)
         } else {
             Refusal::wrong(StatusCode::NOT_FOUND, "no such route")
@@ -201,7 +201,7 @@
     None
 }
 
-async fn answer(entry: &Rc<Entry>, mut attempt: Attempt) -> Response<ReplyBody> {
+async fn answer(entry: &Rc<DaemonState>, mut attempt: Attempt) -> Response<ReplyBody> {
     if let Some(refusal) = entry.held_refusal(&attempt) {
         return refuse(entry, &attempt, &refusal);
     }
@@ -209,13 +209,13 @@
         entry.waits.arrived(&item, attempt.arrived);
     }
     entry.budget.borrow_mut().record_first(&attempt.service, attempt.arrived);
-    if entry.now() > entry.last_start(attempt.deadline) {
+    if entry.now() > entry.latest_start(attempt.deadline) {
         return refuse(entry, &attempt, &Refusal::unrun(STOPS, ELSEWHERE));
     }
     let result = tokio::select! {
         biased;
         result = exchange(entry, &mut attempt) => result,
-        () = entry.ended() => Err(attempt.give_up(STOPS, ELSEWHERE)),
+        () = entry.aborted() => Err(attempt.give_up(STOPS, ELSEWHERE)),
     };
     match result {
         Ok(Opened::Other(head, body)) => {
@@ -229,7 +229,7 @@
     }
 }
 
-async fn exchange(entry: &Rc<Entry>, attempt: &mut Attempt) -> Result<Opened, Refusal> {
+async fn exchange(entry: &Rc<DaemonState>, attempt: &mut Attempt) -> Result<Opened, Refusal> {
     if attempt.route.kind == RouteKind::Streaming {
         return exchange_stream::open(entry, attempt).await;
     }
@@ -237,7 +237,7 @@
     Ok(Opened::Other(head, body))
 }
 
-fn refuse(entry: &Entry, attempt: &Attempt, refusal: &Refusal) -> Response<ReplyBody> {
+fn refuse(entry: &DaemonState, attempt: &Attempt, refusal: &Refusal) -> Response<ReplyBody> {
     log_answer(entry, attempt, refusal.status, refusal.reason, None);
     entry.metrics.refused(refusal.reason);
     let mut response = refusal.response();
@@ -249,7 +249,7 @@
 
 /// Writes the one line that tells how a request ended.
 pub fn log_answer(
-    entry: &Entry,
+    entry: &DaemonState,
     attempt: &Attempt,
     status: StatusCode,
     reason: &str,
--- a/lib/src/serve/lease_manager.rs
+++ b/lib/src/serve/lease_manager.rs
@@ -11,9 +11,9 @@
 use crate::placement::entries::LeaseEntry;
 use crate::placement::entries::PLACEMENT_KEY;
 use crate::placement::lease_state::LeaseStep;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::gossip::Gossip;
-use crate::serve::store_calls::noted;
+use crate::serve::store_calls::track_call;
 use crate::store::Feed;
 use crate::store::FeedRecord;
 use crate::store::StoreError;
@@ -28,19 +28,19 @@
 
 /// Carries out what the tenure decides.
 #[derive(Debug)]
-pub struct LeaseKeeper {
-    entry: Rc<Entry>,
+pub struct LeaseManager {
+    entry: Rc<DaemonState>,
     gossip: Rc<Gossip>,
 }
 
-impl LeaseKeeper {
+impl LeaseManager {
     /// Starts without the lease.
-    pub fn new(entry: Rc<Entry>, gossip: Rc<Gossip>) -> Rc<Self> {
+    pub fn new(entry: Rc<DaemonState>, gossip: Rc<Gossip>) -> Rc<Self> {
         Rc::new(Self { entry, gossip })
     }
 
     /// Takes and renews the lease.
-    pub async fn keep(self: Rc<Self>) {
+    pub async fn run(self: Rc<Self>) {
         let entry = &self.entry;
         // Since when nobody is heard to hold the lease.
         let mut vacant = None;
@@ -50,13 +50,13 @@
                 return;
             }
             // Who does not know its peers would bid beside all of them.
-            if entry.config().is_none() || entry.isolated.get() || !entry.acquainted.get() {
+            if entry.config().is_none() || entry.isolated.get() || !entry.peers_known.get() {
                 sleep(LOOK_EVERY).await;
                 continue;
             }
             let now = entry.now();
             let heard = entry.peers.borrow().holder(now).map(|(_, _, tenure)| tenure);
-            let patience = entry.bid_patience();
+            let patience = entry.bid_delay();
             if heard.is_some() {
                 vacant = None;
             }
@@ -65,7 +65,7 @@
             match step {
                 LeaseStep::Sleep(until) => {
                     let _woken =
-                        timeout(until.saturating_sub(now), entry.lease_due.notified()).await;
+                        timeout(until.saturating_sub(now), entry.renewal_due.notified()).await;
                 }
                 LeaseStep::Read if self.is_bystander() => {
                     let due = *vacant.get_or_insert(now) + patience;
@@ -86,16 +86,16 @@
     /// Hundreds read it each time that its holder was lost; all but the first few hear of the next holder before
     /// their turn.
     fn is_bystander(&self) -> bool {
-        self.entry.is_large() && !self.entry.tenure.borrow().may_hold()
+        self.entry.is_large_fleet() && !self.entry.tenure.borrow().may_hold()
     }
 
     async fn read_lease(&self) {
         let entry = &self.entry;
-        let result = noted(entry, Feed::Leases, entry.store.newest(Feed::Leases)).await;
+        let result = track_call(entry, Feed::Leases, entry.store.newest(Feed::Leases)).await;
         let now = entry.now();
         match result {
             Ok(batch) => {
-                entry.note_batch(Feed::Leases, &batch);
+                entry.log_unreadable_records(Feed::Leases, &batch);
                 let newest = batch.records.iter().rev().find(|r| r.key == PLACEMENT_KEY);
                 let raw = newest.and_then(|r| r.value.as_ref());
                 let record = raw.and_then(|raw| self.read_record(raw));
@@ -113,11 +113,11 @@
     fn read_record(&self, raw: &[u8]) -> Option<LeaseEntry> {
         match entries::decode(raw) {
             Ok(record) => {
-                self.entry.unread.borrow_mut().clear(Feed::Leases, PLACEMENT_KEY);
+                self.entry.unreadable.borrow_mut().clear(Feed::Leases, PLACEMENT_KEY);
                 Some(record)
             }
             Err(error) => {
-                self.entry.note_unread(Feed::Leases, PLACEMENT_KEY, &error.0);
+                self.entry.log_unreadable(Feed::Leases, PLACEMENT_KEY, &error.0);
                 None
             }
         }
@@ -129,23 +129,23 @@
         let value = entries::encode(record);
         let feed_record = FeedRecord { key: SmolStr::new(PLACEMENT_KEY), value: Some(value) };
         let call = entry.store.append(Feed::Leases, feed_record, Some(at));
-        let result = noted(entry, Feed::Leases, call).await;
+        let result = track_call(entry, Feed::Leases, call).await;
         let now = entry.now();
         let mut tenure = entry.tenure.borrow_mut();
         match result {
             Ok(offset) => {
                 tenure.on_appended(sent, now, offset);
                 drop(tenure);
-                entry.orders_listed.notify_waiters();
+                entry.lease_renewed.notify_waiters();
                 if record.fence.is_none() {
                     let held_back = entry.tenure.borrow().blocked_engines(now);
                     slog::info!(entry.log, "lease"; "held" => true, "fence" => offset + 1,
                         "sent_ms_ago" => now.saturating_sub(sent).as_millis(),
                         "engines_held_back" => held_back.map_or("all".into(), |n| n.to_string()));
-                    entry.plan.notify_one();
+                    entry.plan_due.notify_one();
                 }
                 // Peers that know of each renewal wait no longer than they must after the last one.
-                self.gossip.tell_digest();
+                self.gossip.publish_digest();
             }
             Err(StoreError::Moved | StoreError::Expired) => {
                 slog::info!(entry.log, "lease-append-refused"; "at" => at);
@@ -178,7 +178,7 @@
         let value = Some(entries::encode(&record));
         let feed_record = FeedRecord { key: SmolStr::new(PLACEMENT_KEY), value };
         let call = entry.store.append(Feed::Leases, feed_record, Some(at));
-        let result = noted(entry, Feed::Leases, call).await;
+        let result = track_call(entry, Feed::Leases, call).await;
         slog::info!(entry.log, "lease-release"; "done" => result.is_ok(), "at" => at);
         // An append without an answer may have given it up: only proof of the contrary keeps it.
         if matches!(result, Ok(_) | Err(StoreError::Doubtful(_))) {
@@ -186,7 +186,7 @@
         } else {
             entry.tenure.borrow_mut().on_release_failed();
         }
-        self.gossip.tell_digest();
+        self.gossip.publish_digest();
         matches!(result, Err(StoreError::Moved))
     }
 }
--- a/lib/src/serve/lifecycle.rs
+++ b/lib/src/serve/lifecycle.rs
@@ -12,16 +12,16 @@
 
 use crate::serve::accept;
 use crate::serve::apply_updates;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::daemon_state::EntrySettings;
 use crate::serve::follow_config;
 use crate::serve::follow_servers;
 use crate::serve::gossip::Gossip;
-use crate::serve::graceful_stop::PlannedStop;
-use crate::serve::lease_manager::LeaseKeeper;
+use crate::serve::graceful_stop::GracefulStop;
+use crate::serve::lease_manager::LeaseManager;
 use crate::serve::peer_sync;
 use crate::serve::peer_transfer;
-use crate::serve::placement_controller::Orders;
+use crate::serve::placement_controller::PlacementController;
 use crate::serve::pooled_client::PooledCalls;
 use crate::serve::socket;
 use crate::serve::suspects;
@@ -52,7 +52,7 @@
 /// # Errors
 ///
 /// An address cannot be used.
-pub fn start(entry: &Rc<Entry>) -> io::Result<Rc<LeaseKeeper>> {
+pub fn start(entry: &Rc<DaemonState>) -> io::Result<Rc<LeaseManager>> {
     let settings = entry.settings();
     let front = socket::listen(settings.front)?;
     let ready = socket::listen(settings.ready)?;
@@ -60,8 +60,8 @@
     entry.tenure.borrow_mut().set_address(settings.peer, entry.now());
     let gossip = Gossip::new(Rc::clone(entry), socket::datagrams(settings.peer)?);
     let calls = Rc::new(PooledCalls::new(Rc::clone(entry)));
-    let orders = Orders::new(Rc::clone(entry), Rc::clone(&gossip), calls);
-    let lease = LeaseKeeper::new(Rc::clone(entry), Rc::clone(&gossip));
+    let orders = PlacementController::new(Rc::clone(entry), Rc::clone(&gossip), calls);
+    let lease = LeaseManager::new(Rc::clone(entry), Rc::clone(&gossip));
     slog::info!(entry.log, "start"; "id" => settings.id.as_str(), "process" => entry.process,
         "centre" => settings.centre.as_str(), "front" => %settings.front,
         "peer" => %settings.peer, "version" => env!("CARGO_PKG_VERSION"));
@@ -70,13 +70,13 @@
     spawn_local(apply_updates::follow_daemons(Rc::clone(entry)));
     spawn_local(suspects::recall(Rc::clone(entry)));
     spawn_local(peer_transfer::serve_peers(Rc::clone(entry), peers));
-    spawn_local(Rc::clone(&gossip).listen());
-    spawn_local(Rc::clone(&gossip).tell_digests());
-    spawn_local(Rc::clone(&gossip).tell_demand());
-    spawn_local(peer_sync::keep_up(Rc::clone(entry)));
-    spawn_local(peer_sync::follow_words(Rc::clone(entry)));
-    spawn_local(Rc::clone(&lease).keep());
-    spawn_local(Rc::clone(&orders).place());
+    spawn_local(Rc::clone(&gossip).receive());
+    spawn_local(Rc::clone(&gossip).publish_digests());
+    spawn_local(Rc::clone(&gossip).publish_demand());
+    spawn_local(peer_sync::sync_from_peers(Rc::clone(entry)));
+    spawn_local(peer_sync::sync_from_readers(Rc::clone(entry)));
+    spawn_local(Rc::clone(&lease).run());
+    spawn_local(Rc::clone(&orders).run());
     spawn_local(accept::serve_callers(Rc::clone(entry), front));
     spawn_local(accept::serve_ready(Rc::clone(entry), ready));
     match socket::listen(settings.metrics) {
@@ -94,7 +94,7 @@
 /// # Errors
 ///
 /// An address cannot be used, or the system gives no signals.
-pub async fn run(entry: Rc<Entry>, source: Rc<dyn SettingsSource>) -> io::Result<()> {
+pub async fn run(entry: Rc<DaemonState>, source: Rc<dyn SettingsSource>) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let lease = start(&entry)?;
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-fn reload(entry: &Entry, source: &dyn SettingsSource, cause: &str) {
+fn reload(entry: &DaemonState, source: &dyn SettingsSource, cause: &str) {
     match source.reload() {
         Ok(None) if cause == "look" => {}
         Ok(None) => slog::info!(entry.log, "reload"; "cause" => cause, "changed" => false),
@@ -126,7 +126,7 @@
     }
 }
 
-async fn sweep(entry: Rc<Entry>) {
+async fn sweep(entry: Rc<DaemonState>) {
     loop {
         sleep(SWEEP_EVERY).await;
         apply_updates::sweep_servers(&entry);
@@ -138,25 +138,25 @@
 
 /// Stops without cutting a request: new callers go elsewhere, those that are here are served, and those
 /// that cannot be served in the grace are told.
-pub async fn stop(entry: &Rc<Entry>, lease: &LeaseKeeper) {
+pub async fn stop(entry: &Rc<DaemonState>, lease: &LeaseManager) {
     let began = entry.now();
-    let stop = PlannedStop::new(began, entry.settings().grace);
+    let stop = GracefulStop::new(began, entry.settings().grace);
     entry.stopping.set(Some(stop));
     slog::info!(entry.log, "stop"; "phase" => "begun", "active" => entry.active.get());
     let mut next_release = began;
     loop {
         if entry.now() >= next_release {
             // A store that is out of reach holds the release up; the stop's end does not wait for it.
-            let left = stop.end().saturating_sub(entry.now());
+            let left = stop.abort_at().saturating_sub(entry.now());
             let _unanswered = timeout(left, lease.release()).await;
             next_release = entry.now() + RELEASE_EVERY;
         }
         let now = entry.now();
-        let is_idle = now >= stop.callers_left() && entry.active.get() == 0;
-        if is_idle || now >= stop.end() {
+        let is_idle = now >= stop.deregistered_at() && entry.active.get() == 0;
+        if is_idle || now >= stop.abort_at() {
             break;
         }
-        sleep(LOOK_EVERY.min(stop.end().saturating_sub(now))).await;
+        sleep(LOOK_EVERY.min(stop.abort_at().saturating_sub(now))).await;
     }
     give_up(entry, stop).await;
     slog::info!(entry.log, "stop"; "phase" => "ended", "active" => entry.active.get(),
@@ -166,13 +166,13 @@
 /// Tells the callers of what is still in progress that it ends here; streams break off.
 ///
 /// They would see a closed connection, and not know whether a request had run.
-async fn give_up(entry: &Entry, stop: PlannedStop) {
+async fn give_up(entry: &DaemonState, stop: GracefulStop) {
     if entry.active.get() == 0 {
         return;
     }
     slog::info!(entry.log, "stop"; "phase" => "given-up", "active" => entry.active.get());
-    entry.ending.send_replace(true);
-    while entry.active.get() > 0 && entry.now() < stop.last_answer() {
+    entry.aborting.send_replace(true);
+    while entry.active.get() > 0 && entry.now() < stop.answers_until() {
         sleep(LAST_LOOK_EVERY).await;
     }
 }
--- a/lib/src/serve/model_loading.rs
+++ b/lib/src/serve/model_loading.rs
@@ -21,8 +21,8 @@
 use crate::protocol::OrderKind;
 use crate::serve::engine_orders::OrderFailure;
 use crate::serve::engine_orders::REPORT_LAG;
-use crate::serve::placement_controller::Orders;
-use crate::serve::placement_controller::REST;
+use crate::serve::placement_controller::FAILURE_BACKOFF;
+use crate::serve::placement_controller::PlacementController;
 
 /// Time between looks at a load that should be done.
 const LOOK_EVERY: Duration = Duration::from_millis(70);
@@ -43,7 +43,7 @@
     report.models.iter().any(|held| held.name == *model)
 }
 
-impl Orders {
+impl PlacementController {
     /// Loads a model, and notes what came of it.
     pub(super) async fn run_load(
         self: Rc<Self>,
@@ -59,18 +59,18 @@
             "ms" => now.saturating_sub(job.since).as_millis());
         let outcome = if result.is_ok() { "done" } else { "failed" };
         entry.metrics.loaded(job.source.name(), outcome, now.saturating_sub(job.since));
-        self.desk.borrow_mut().pace.end(&server, result.is_ok(), now);
+        self.state.borrow_mut().pace.end(&server, result.is_ok(), now);
         self.with_engine(&server, |engine| {
             engine.job = None;
             match result {
                 Ok(()) => engine.add_model(&job.model, now),
                 Err(_failure) => {
                     engine.confirmed = false;
-                    engine.backoff_until = now + REST;
+                    engine.backoff_until = now + FAILURE_BACKOFF;
                 }
             }
         });
-        self.publish(&server, &job.model, fence);
+        self.publish_inventory(&server, &job.model, fence);
     }
 
     /// Unloads the victims, loads the model, and waits until it is there.
@@ -80,14 +80,14 @@
         job: &LoadJob,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
-        let change = self.engines.announce(server, fence);
+        let change = self.engine_orders.begin_orders(server, fence);
         // Peers hear that the victims leave before the engine does.
-        self.publish(server, &job.model, fence);
+        self.publish_inventory(server, &job.model, fence);
         for victim in &job.victims {
-            self.engines.order(server, OrderKind::Unload, victim, None, fence).await?;
+            self.engine_orders.execute(server, OrderKind::Unload, victim, None, fence).await?;
         }
         self.drained(server, &job.victims).await;
-        self.engines.order(server, OrderKind::Load, &job.model, None, fence).await?;
+        self.engine_orders.execute(server, OrderKind::Load, &job.model, None, fence).await?;
         drop(change);
         if self.with_engine(server, |e| e.holds(&job.model)).unwrap_or(false) {
             // The load had no answer, and its end was awaited to tell that it was carried out.
@@ -101,7 +101,7 @@
                 job.eta = eta;
             }
         });
-        self.publish(server, &job.model, fence);
+        self.publish_inventory(server, &job.model, fence);
         self.doze(server, accepted + time.saturating_sub(REPORT_LAG)).await?;
         let known = self.copy_time(server, job).map(|time| accepted + time);
         self.await_end(server, job, known, fence).await
@@ -118,11 +118,11 @@
         let eta = self.with_engine(server, |e| e.job.as_ref().map(|job| job.eta)).flatten();
         let eta = eta.unwrap_or(job.eta);
         loop {
-            if self.entry.standing() != Some(fence) {
+            if self.entry.held_fence() != Some(fence) {
                 return Err(OrderFailure::LeaseLost);
             }
             if let Some(known) = known
-                && self.desk.borrow().trust.is_reliable(self.entry.now())
+                && self.state.borrow().trust.is_reliable(self.entry.now())
             {
                 if self.entry.now() >= known {
                     self.verify(server, &job.model, known, fence);
@@ -134,20 +134,20 @@
                     continue;
                 }
             }
-            if let Some(report) = self.engines.report(server).await
+            if let Some(report) = self.engine_orders.fetch_report(server).await
                 && !report.busy
                 && holds(&report, &job.model)
             {
                 if job.source == Source::Disk {
                     let now = self.entry.now();
-                    self.desk.borrow_mut().trust.record(now.saturating_sub(eta), now);
+                    self.state.borrow_mut().trust.record(now.saturating_sub(eta), now);
                 }
                 return Ok(());
             }
             if self.entry.now() > eta + OVERDUE {
                 return Err(OrderFailure::Silent);
             }
-            self.engines.check_start(server)?;
+            self.engine_orders.check_instance(server)?;
             sleep(LOOK_EVERY).await;
         }
     }
@@ -164,13 +164,13 @@
         spawn_local(async move {
             let until = due + EtaAccuracy::tolerance();
             sleep(REPORT_LAG).await;
-            while orders.entry.standing() == Some(fence) {
-                let report = orders.engines.report(&server).await;
+            while orders.entry.held_fence() == Some(fence) {
+                let report = orders.engine_orders.fetch_report(&server).await;
                 let now = orders.entry.now();
                 let is_there = report.as_ref().is_some_and(|r| holds(r, &model));
                 let is_wanted = orders.with_engine(&server, |e| e.holds(&model)).unwrap_or(false);
                 if is_there {
-                    orders.desk.borrow_mut().trust.record(Duration::ZERO, now);
+                    orders.state.borrow_mut().trust.record(Duration::ZERO, now);
                 }
                 if is_there || !is_wanted {
                     return;
@@ -178,12 +178,12 @@
                 if now > until && report.is_some() {
                     slog::info!(orders.entry.log, "load-late"; "server" => %server,
                         "model" => model.as_str(), "ms" => now.saturating_sub(due).as_millis());
-                    orders.desk.borrow_mut().trust.record(now.saturating_sub(due), now);
+                    orders.state.borrow_mut().trust.record(now.saturating_sub(due), now);
                     orders.with_engine(&server, |engine| {
                         engine.remove_model(&model);
                         engine.confirmed = false;
                     });
-                    orders.publish(&server, &model, fence);
+                    orders.publish_inventory(&server, &model, fence);
                     return;
                 }
                 if now > until + OVERDUE {
@@ -204,7 +204,7 @@
         let until = self.entry.now() + DRAIN_LIMIT;
         let key = server_key(server);
         let is_used = |now: Moment| {
-            victims.iter().any(|v| self.entry.loads.running(key, model_key(Some(v)), now) > 0)
+            victims.iter().any(|v| self.entry.workloads.running(key, model_key(Some(v)), now) > 0)
         };
         while self.entry.now() < until && is_used(self.entry.now()) {
             sleep(DRAIN_LOOK).await;
@@ -214,7 +214,7 @@
     /// Waits until a moment, or until an engine is gone or has started again.
     async fn doze(&self, server: &ServerInstance, until: Moment) -> Result<(), OrderFailure> {
         loop {
-            self.engines.check_start(server)?;
+            self.engine_orders.check_instance(server)?;
             let left = until.saturating_sub(self.entry.now());
             if left.is_zero() {
                 return Ok(());
@@ -260,7 +260,9 @@
         match job.source {
             Source::Memory => spec.memory_load,
             Source::Disk => spec.disk_load,
-            Source::Store => self.desk.borrow().pace.share().time(spec.store_load, self.fetching()),
+            Source::Store => {
+                self.state.borrow().pace.share().time(spec.store_load, self.fetching())
+            }
         }
     }
 }
--- a/lib/src/serve/orders_guard.rs
+++ b/lib/src/serve/orders_guard.rs
@@ -4,27 +4,27 @@
 
 use crate::ids::Fence;
 use crate::placement::recent_orders::EngineKey;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 
 /// Keeps an engine listed beside the lease while orders may be given to it; the orders end when this is dropped.
 #[derive(Debug)]
-pub struct ChangeGuard {
-    entry: Rc<Entry>,
+pub struct OrdersGuard {
+    entry: Rc<DaemonState>,
     engine: EngineKey,
     fence: Fence,
 }
 
-impl ChangeGuard {
+impl OrdersGuard {
     /// Announces orders to an engine.
-    pub fn new(entry: &Rc<Entry>, engine: EngineKey, fence: Fence) -> Self {
+    pub fn new(entry: &Rc<DaemonState>, engine: EngineKey, fence: Fence) -> Self {
         if entry.tenure.borrow_mut().begin_orders(fence, engine, entry.now()) {
-            entry.lease_due.notify_one();
+            entry.renewal_due.notify_one();
         }
         Self { entry: Rc::clone(entry), engine, fence }
     }
 }
 
-impl Drop for ChangeGuard {
+impl Drop for OrdersGuard {
     fn drop(&mut self) {
         let now = self.entry.now();
         self.entry.tenure.borrow_mut().end_orders(self.fence, self.engine, now);
--- a/lib/src/serve/peer_sync.rs
+++ b/lib/src/serve/peer_sync.rs
@@ -13,8 +13,8 @@
 use crate::cluster::digest::SnapshotReply;
 use crate::cluster::directory::Change;
 use crate::serve::apply_updates;
-use crate::serve::daemon_state::Entry;
-use crate::serve::peer_transfer::FETCH_LIMIT;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::peer_transfer::FETCH_TIMEOUT;
 use crate::serve::peer_transfer::fetch;
 
 /// The store is taken as away when it has not answered for this long: more than a read's pace.
@@ -29,7 +29,7 @@
 const WHOLE_EVERY: Duration = Duration::from_secs(30);
 
 /// Fetches from a peer what the store does not give, and notices when this daemon is cut off.
-pub async fn keep_up(entry: Rc<Entry>) {
+pub async fn sync_from_peers(entry: Rc<DaemonState>) {
     let mut behind_since = None;
     // Daemons begin with different peers.
     let mut turn = entry.process as usize;
@@ -50,12 +50,12 @@
 }
 
 /// Fetches from readers what their words tell of: a later configuration, or the picture behind a gap.
-pub async fn follow_words(entry: Rc<Entry>) {
+pub async fn sync_from_readers(entry: Rc<DaemonState>) {
     let mut turn = entry.process as usize;
     let mut whole = entry.now() + first_whole(&entry);
     loop {
-        let _told = timeout(LOOK_EVERY * 5, entry.fetch.notified()).await;
-        if !entry.lives_by_words() {
+        let _told = timeout(LOOK_EVERY * 5, entry.fetch_due.notified()).await;
+        if !entry.relies_on_readers() {
             continue;
         }
         turn = turn.wrapping_add(1);
@@ -75,12 +75,12 @@
     }
 }
 
-fn first_whole(entry: &Entry) -> Duration {
+fn first_whole(entry: &DaemonState) -> Duration {
     WHOLE_EVERY / 2 + Duration::from_millis(entry.process % WHOLE_EVERY.as_millis() as u64)
 }
 
 /// Fetches the whole picture from a reader of the data centre.
-async fn fetch_whole(entry: &Entry, turn: usize) {
+async fn fetch_whole(entry: &DaemonState, turn: usize) {
     let now = entry.now();
     let centre = entry.settings().centre.clone();
     let reader = {
@@ -96,8 +96,8 @@
     }
 }
 
-async fn fetch_from(entry: &Entry, peer: SocketAddr, request: PeerRequest) -> bool {
-    let result = match timeout(FETCH_LIMIT, fetch(peer, request)).await {
+async fn fetch_from(entry: &DaemonState, peer: SocketAddr, request: PeerRequest) -> bool {
+    let result = match timeout(FETCH_TIMEOUT, fetch(peer, request)).await {
         Ok(result) => result.map_err(|error| error.to_string()),
         Err(_elapsed) => Err("timeout".to_owned()),
     };
@@ -113,7 +113,7 @@
     }
 }
 
-fn look_around(entry: &Entry) {
+fn look_around(entry: &DaemonState) {
     let now = entry.now();
     let centre = entry.settings().centre.clone();
     let silence = entry.store_silence(now);
@@ -127,12 +127,12 @@
 
 /// Returns after which silence the store is taken as away. In a large fleet this daemon's own reads come rarely, and
 /// words a moment late.
-fn store_silent(entry: &Entry) -> Duration {
-    if entry.is_large() { STORE_SILENT.max(entry.settings().drain) } else { STORE_SILENT }
+fn store_silent(entry: &DaemonState) -> Duration {
+    if entry.is_large_fleet() { STORE_SILENT.max(entry.settings().drain) } else { STORE_SILENT }
 }
 
 /// Returns a peer that knows more than this daemon, where the store does not help.
-fn peer_ahead(entry: &Entry, turn: usize) -> Option<SocketAddr> {
+fn peer_ahead(entry: &DaemonState, turn: usize) -> Option<SocketAddr> {
     let now = entry.now();
     let config = entry.config_version();
     let servers = entry.directory.borrow().feed_end();
@@ -142,9 +142,13 @@
     entry.peers.borrow().snapshot_source(config, servers, centre, turn, now)
 }
 
-fn adopt(entry: &Entry, picture: SnapshotReply) {
+fn adopt(entry: &DaemonState, picture: SnapshotReply) {
     if !picture.raw_config.is_empty() {
-        apply_updates::adopt_config(entry, &Bytes::from(picture.raw_config), apply_updates::PEER);
+        apply_updates::apply_config(
+            entry,
+            &Bytes::from(picture.raw_config),
+            apply_updates::FROM_PEER,
+        );
     }
     // One of the same age may heal a difference.
     let end = entry.directory.borrow().feed_end();
@@ -155,8 +159,12 @@
     // The peer waits for these as this daemon does: they are neither there nor gone.
     let mut listed = picture.awaited;
     for (id, raw) in picture.raw_servers {
-        let change =
-            apply_updates::take_server(entry, &id, Some(&Bytes::from(raw)), apply_updates::PEER);
+        let change = apply_updates::apply_server(
+            entry,
+            &id,
+            Some(&Bytes::from(raw)),
+            apply_updates::FROM_PEER,
+        );
         changed |= change != Change::None;
         listed.push(id);
     }
@@ -164,10 +172,10 @@
     for id in missing {
         let change = entry.directory.borrow_mut().forget(&id);
         changed = true;
-        slog::info!(entry.log, "server"; "server" => %id, "change" => ?change, "from" => apply_updates::PEER);
+        slog::info!(entry.log, "server"; "server" => %id, "change" => ?change, "from" => apply_updates::FROM_PEER);
     }
     entry.directory.borrow_mut().advance(picture.servers_end);
     if changed {
-        apply_updates::servers_changed(entry);
+        apply_updates::on_servers_changed(entry);
     }
 }
--- a/lib/src/serve/peer_transfer.rs
+++ b/lib/src/serve/peer_transfer.rs
@@ -15,11 +15,11 @@
 
 use crate::cluster::digest::PeerRequest;
 use crate::cluster::digest::SnapshotReply;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::socket;
 
 /// Time for another daemon's picture.
-pub const FETCH_LIMIT: Duration = Duration::from_secs(1);
+pub const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Largest picture of another daemon, in bytes.
 const PICTURE_LIMIT: u32 = 16 * 1024 * 1024;
 /// Largest request of a peer, in bytes.
@@ -33,7 +33,7 @@
 ///
 /// The peer cannot be reached or answers nonsense.
 pub async fn fetch(peer: SocketAddr, request: PeerRequest) -> io::Result<SnapshotReply> {
-    let mut stream = socket::connect(peer, FETCH_LIMIT).await?;
+    let mut stream = socket::connect(peer, FETCH_TIMEOUT).await?;
     let request = postcard::to_stdvec(&request).map_err(io::Error::other)?;
     stream.write_u32(request.len() as u32).await?;
     stream.write_all(&request).await?;
@@ -52,7 +52,7 @@
 }
 
 /// Answers peers that ask for the picture.
-pub async fn serve_peers(entry: Rc<Entry>, listener: TcpListener) {
+pub async fn serve_peers(entry: Rc<DaemonState>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             sleep(ACCEPT_PAUSE).await;
@@ -60,14 +60,14 @@
         };
         let entry = Rc::clone(&entry);
         spawn_local(async move {
-            if let Ok(Err(error)) = timeout(FETCH_LIMIT, serve_peer(&entry, stream)).await {
+            if let Ok(Err(error)) = timeout(FETCH_TIMEOUT, serve_peer(&entry, stream)).await {
                 slog::warn!(entry.log, "peer-call-failed"; "from" => %from, "error" => %error);
             }
         });
     }
 }
 
-async fn serve_peer(entry: &Entry, mut stream: TcpStream) -> io::Result<()> {
+async fn serve_peer(entry: &DaemonState, mut stream: TcpStream) -> io::Result<()> {
     let request = read_frame(&mut stream, REQUEST_LIMIT).await?;
     let mut reply = SnapshotReply {
         config_version: entry.config_version(),
--- a/lib/src/serve/placement_controller.rs
+++ b/lib/src/serve/placement_controller.rs
@@ -27,17 +27,17 @@
 use crate::placement::planner::PlanInput;
 use crate::placement::recent_orders::engine_key;
 use crate::protocol::EngineReport;
-use crate::serve::daemon_state::Entry;
-use crate::serve::engine_client::EngineCalls;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::engine_client::EngineClient;
 use crate::serve::engine_orders::EngineOrders;
 use crate::serve::gossip::Gossip;
 
 /// Time between plans while nothing happens.
 const PLAN_EVERY: Duration = Duration::from_millis(100);
 /// Rest of an engine after a change that failed.
-pub(super) const REST: Duration = Duration::from_millis(400);
+pub(super) const FAILURE_BACKOFF: Duration = Duration::from_millis(400);
 /// Time of an adapter's load, from the order to its first use.
-pub(super) const ADAPTER_TIME: Duration = Duration::from_millis(30);
+pub(super) const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(30);
 /// What is told about an engine is repeated this often, for datagrams that are lost.
 const TELLINGS: u8 = 3;
 /// Daemons up to which every change is told to all at once. In a larger fleet those that wait are
@@ -56,7 +56,7 @@
 
 /// The holder's own state.
 #[derive(Debug)]
-pub(super) struct Desk {
+pub(super) struct ControllerState {
     /// The fence under which the ledger is kept.
     fence: Option<Fence>,
     /// Loads from the weight store.
@@ -73,17 +73,21 @@
 
 /// Plans and carries plans out.
 #[derive(Debug)]
-pub struct Orders {
-    pub(super) entry: Rc<Entry>,
+pub struct PlacementController {
+    pub(super) entry: Rc<DaemonState>,
     gossip: Rc<Gossip>,
-    pub(super) engines: EngineOrders,
-    pub(super) desk: RefCell<Desk>,
+    pub(super) engine_orders: EngineOrders,
+    pub(super) state: RefCell<ControllerState>,
 }
 
-impl Orders {
+impl PlacementController {
     /// Starts without the lease.
-    pub fn new(entry: Rc<Entry>, gossip: Rc<Gossip>, calls: Rc<dyn EngineCalls>) -> Rc<Self> {
-        let desk = Desk {
+    pub fn new(
+        entry: Rc<DaemonState>,
+        gossip: Rc<Gossip>,
+        calls: Rc<dyn EngineClient>,
+    ) -> Rc<Self> {
+        let desk = ControllerState {
             fence: None,
             pace: FetchLimiter::new(Moment::ZERO),
             trust: EtaAccuracy::default(),
@@ -92,13 +96,13 @@
             reading: Vec::new(),
         };
         let engines = EngineOrders::new(Rc::clone(&entry), calls);
-        Rc::new(Self { entry, gossip, engines, desk: RefCell::new(desk) })
+        Rc::new(Self { entry, gossip, engine_orders: engines, state: RefCell::new(desk) })
     }
 
     /// Plans and begins steps while the lease is held.
-    pub async fn place(self: Rc<Self>) {
+    pub async fn run(self: Rc<Self>) {
         loop {
-            let _woken = timeout(PLAN_EVERY, self.entry.plan.notified()).await;
+            let _woken = timeout(PLAN_EVERY, self.entry.plan_due.notified()).await;
             let began = self.entry.now();
             self.turn();
             // On a slow host plans must not crowd out requests.
@@ -110,8 +114,8 @@
         let entry = &self.entry;
         let Some(config) = entry.config() else { return };
         {
-            let mut desk = self.desk.borrow_mut();
-            let standing = entry.standing();
+            let mut desk = self.state.borrow_mut();
+            let standing = entry.held_fence();
             if desk.fence != standing {
                 desk.fence = standing;
                 desk.pace.restart(entry.now(), entry.tenure.borrow().share());
@@ -135,7 +139,7 @@
         let entry = &self.entry;
         let now = entry.now();
         let ended = entry.ledger.borrow_mut().follow(&entry.directory.borrow(), config, now);
-        let mut desk = self.desk.borrow_mut();
+        let mut desk = self.state.borrow_mut();
         for start in &ended {
             desk.pace.end(start, false, now);
         }
@@ -151,7 +155,7 @@
     /// Learns how many loads the weight store serves at full speed, and hands that on.
     fn look_at_store(&self) {
         let entry = &self.entry;
-        let mut desk = self.desk.borrow_mut();
+        let mut desk = self.state.borrow_mut();
         let is_fewer = desk.pace.update_limit(entry.now());
         let share = desk.pace.share();
         if is_fewer {
@@ -174,12 +178,12 @@
         let avoided =
             avoided.filter(|s| health.is_avoided(&s.instance(), now)).map(|s| s.id.clone());
         let window = entry.settings().load_window;
-        let mut desk = self.desk.borrow_mut();
+        let mut desk = self.state.borrow_mut();
         let share = desk.pace.share();
         let store_room =
             if rate.is_finite() { desk.pace.fetches_left(rate, window, now) } else { 0 };
         drop(desk);
-        let work = entry.loads.fleet_table(now);
+        let work = entry.workloads.fleet_table(now);
         let scene = PlanInput {
             now,
             config,
@@ -199,7 +203,7 @@
         let entry = &self.entry;
         let now = entry.now();
         let ledger = entry.ledger.borrow();
-        let mut desk = self.desk.borrow_mut();
+        let mut desk = self.state.borrow_mut();
         for engine in ledger.engines.values() {
             let start = engine.server.instance();
             let is_idle = engine.job.is_none() && engine.adapter_jobs.is_empty();
@@ -210,8 +214,8 @@
             desk.reading.push(start.clone());
             let orders = Rc::clone(self);
             spawn_local(async move {
-                let result = orders.engines.report(&start).await;
-                orders.desk.borrow_mut().reading.retain(|r| *r != start);
+                let result = orders.engine_orders.fetch_report(&start).await;
+                orders.state.borrow_mut().reading.retain(|r| *r != start);
                 orders.take_report(&start, result.as_ref());
             });
         }
@@ -233,12 +237,12 @@
         match report {
             Some(report) if !report.busy && engine.accepts_report(report) => {
                 engine.apply_report(report, now);
-                self.desk.borrow_mut().untold.insert(start.id.clone(), TELLINGS);
+                self.state.borrow_mut().untold.insert(start.id.clone(), TELLINGS);
                 drop(ledger);
-                entry.plan.notify_one();
+                entry.plan_due.notify_one();
             }
             _ => {
-                engine.backoff_until = now + REST;
+                engine.backoff_until = now + FAILURE_BACKOFF;
                 engine.reported_busy = report.is_some_and(|report| report.busy);
             }
         }
@@ -263,21 +267,21 @@
                 let service = engine.server.service.clone();
                 let alone = self.load_time(&service, &job.model);
                 if source == Source::Store {
-                    self.desk.borrow_mut().pace.begin(&start, alone, occupied, now);
+                    self.state.borrow_mut().pace.begin(&start, alone, occupied, now);
                 }
-                self.desk.borrow_mut().untold.insert(server, TELLINGS);
+                self.state.borrow_mut().untold.insert(server, TELLINGS);
                 let orders = Rc::clone(self);
                 spawn_local(async move { orders.run_load(start, job, fence).await });
             }
             Action::LoadAdapter { server, model, adapter, victim } => {
                 let Some(engine) = ledger.engines.get_mut(&server) else { return };
-                let eta = now + ADAPTER_TIME;
+                let eta = now + ADAPTER_LOAD_TIME;
                 let job = AdapterJob { model, adapter, victim, eta };
                 engine.adapter_jobs.push(job.clone());
                 let start = engine.server.instance();
-                self.desk.borrow_mut().untold.insert(server, TELLINGS);
+                self.state.borrow_mut().untold.insert(server, TELLINGS);
                 let orders = Rc::clone(self);
-                spawn_local(async move { orders.run_adapter(start, job, fence).await });
+                spawn_local(async move { orders.run_adapter_load(start, job, fence).await });
             }
         }
     }
@@ -287,24 +291,29 @@
         start: &ServerInstance,
         f: impl FnOnce(&mut Engine) -> T,
     ) -> Option<T> {
-        self.engines.with_engine(start, f)
+        self.engine_orders.with_engine(start, f)
     }
 
     /// Tells this daemon and those that wait for `model` what an engine holds; the others follow.
-    pub(super) fn publish(&self, server: &ServerInstance, model: &ModelName, fence: Fence) {
+    pub(super) fn publish_inventory(
+        &self,
+        server: &ServerInstance,
+        model: &ModelName,
+        fence: Fence,
+    ) {
         let entry = &self.entry;
         let now = entry.now();
-        self.desk.borrow_mut().untold.insert(server.id.clone(), TELLINGS);
+        self.state.borrow_mut().untold.insert(server.id.clone(), TELLINGS);
         let told = self.with_engine(server, |e| (e.server.service.clone(), e.holding(now)));
         if let Some((service, holding)) = told {
             let demand = entry.demand.borrow();
             let waiting = demand.waiting_daemons(&service, &[model.as_str()]);
             let waiting: Vec<_> = waiting.into_iter().cloned().collect();
             drop(demand);
-            self.gossip.tell_holding(fence, &holding, &waiting);
-            entry.put_holdings(fence, vec![holding]);
+            self.gossip.send_inventory(fence, &holding, &waiting);
+            entry.update_inventory(fence, vec![holding]);
         }
-        entry.plan.notify_one();
+        entry.plan_due.notify_one();
     }
 
     /// Tells all daemons what changed, in a large fleet in batches.
@@ -313,7 +322,7 @@
         let now = entry.now();
         let daemons = entry.peers.borrow().daemons();
         let gap = if daemons <= SMALL_FLEET { Duration::ZERO } else { BATCH_GAP * daemons as u32 };
-        let mut desk = self.desk.borrow_mut();
+        let mut desk = self.state.borrow_mut();
         if desk.untold.is_empty() || now < desk.told + gap {
             return;
         }
@@ -327,7 +336,7 @@
         });
         drop(ledger);
         drop(desk);
-        self.gossip.tell_holdings(fence, &list);
-        entry.put_holdings(fence, list);
+        self.gossip.publish_inventories(fence, &list);
+        entry.update_inventory(fence, list);
     }
 }
--- a/lib/src/serve/pooled_client.rs
+++ b/lib/src/serve/pooled_client.rs
@@ -9,25 +9,25 @@
 
 use crate::cluster::server_instance::ServerInstance;
 use crate::serve::call::call;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::engine_client::CallResult;
-use crate::serve::engine_client::EngineCalls;
+use crate::serve::engine_client::EngineClient;
 use crate::store::LocalFuture;
 
 /// Calls engines over the connections of a daemon.
 #[derive(Debug)]
 pub struct PooledCalls {
-    entry: Rc<Entry>,
+    entry: Rc<DaemonState>,
 }
 
 impl PooledCalls {
     /// Uses the connections of a daemon.
-    pub fn new(entry: Rc<Entry>) -> Self {
+    pub fn new(entry: Rc<DaemonState>) -> Self {
         Self { entry }
     }
 }
 
-impl EngineCalls for PooledCalls {
+impl EngineClient for PooledCalls {
     fn call<'a>(
         &'a self,
         engine: &'a ServerInstance,
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -40,7 +40,7 @@
 impl Gossip {
     fn digest_gap(&self) -> Duration {
         let peers = self.entry.peers.borrow();
-        let is_holder = self.entry.standing().is_some() && !peers.is_large_fleet();
+        let is_holder = self.entry.held_fence().is_some() && !peers.is_large_fleet();
         if is_holder { peers.holder_interval() } else { peers.digest_interval() }
     }
 
@@ -65,9 +65,9 @@
             departures,
             ready: entry.is_ready(),
             is_small: settings.host.is_small(),
-            workloads: entry.loads.snapshot_own().into_iter().map(note).collect(),
-            limits: entry.rates.borrow().report(now, entry.reads()),
-            quarantine: entry.quarantine.borrow().report(now, entry.reads()),
+            workloads: entry.workloads.snapshot_own().into_iter().map(note).collect(),
+            limits: entry.rate_limits.borrow().report(now, entry.is_reader()),
+            quarantine: entry.quarantine.borrow().report(now, entry.is_reader()),
             lease: claim.map(LeaseReport::from),
         }
     }
@@ -95,8 +95,8 @@
         let checksum = directory.checksum();
         drop(directory);
         let workloads = match scope {
-            WorkloadScope::Fleet => entry.loads.fleet_table(now).summaries(false),
-            WorkloadScope::Centre => entry.loads.centre_table(now).summaries(true),
+            WorkloadScope::Fleet => entry.workloads.fleet_table(now).summaries(false),
+            WorkloadScope::Centre => entry.workloads.centre_table(now).summaries(true),
         };
         let remote_heard = entry.peers.borrow().remote_heard(&centre, now);
         let told = ReaderReport {
@@ -116,9 +116,9 @@
     fn look_at_duty(&self, now: Moment) {
         let entry = &self.entry;
         let centre = entry.settings().centre.clone();
-        let before = entry.peers.borrow().higher_ranked(entry.rank(), &centre, now);
+        let before = entry.peers.borrow().higher_ranked(entry.reader_rank(), &centre, now);
         let is_needed =
-            entry.is_large() && entry.acquainted.get() && entry.stopping.get().is_none();
+            entry.is_large_fleet() && entry.peers_known.get() && entry.stopping.get().is_none();
         let mut duty = entry.duty.borrow_mut();
         let did = duty.is_reader();
         let does = if is_needed {
@@ -134,11 +134,11 @@
     }
 
     /// Tells peers this daemon's state, now and then, and at once what they should know.
-    pub async fn tell_digests(self: Rc<Self>) {
+    pub async fn publish_digests(self: Rc<Self>) {
         loop {
-            let due = self.told.get() + self.digest_gap();
+            let due = self.last_digest.get() + self.digest_gap();
             let now = self.entry.now();
-            if now >= due || self.told.get().is_zero() {
+            if now >= due || self.last_digest.get().is_zero() {
                 self.tell_turn(false);
                 continue;
             }
@@ -146,8 +146,8 @@
             tokio::select! {
                 () = sleep(left) => {}
                 () = self.entry.config_changed.notified() => self.tell_version(),
-                () = self.entry.news.notified() => self.tell_words(),
-                () = self.entry.crash_news.notified() => self.tell_turn(false),
+                () = self.entry.report_due.notified() => self.tell_words(),
+                () = self.entry.quarantine_changed.notified() => self.tell_turn(false),
                 () = self.entry.trials.changed.notified() => {
                     self.entry.waits.changed.notify_waiters();
                     self.tell_trials();
@@ -159,7 +159,7 @@
     /// Tells the data centre at once that a version has come into force, on the part of those who ask for it
     /// often: the others may not hear of it otherwise for seconds.
     fn tell_version(&self) {
-        if self.entry.is_large() || !self.entry.reads_often() {
+        if self.entry.is_large_fleet() || !self.entry.polls_config() {
             return;
         }
         let bytes = self.digest_message();
@@ -170,14 +170,14 @@
     }
 
     /// Tells this daemon's state at once; the lease holder tells all.
-    pub fn tell_digest(&self) {
+    pub fn publish_digest(&self) {
         self.tell_turn(true);
     }
 
     /// Tells this daemon's state to those whose turn it is, and words where it reads for others.
     fn tell_turn(&self, has_news: bool) {
         let now = self.entry.now();
-        self.told.set(now);
+        self.last_digest.set(now);
         let round = self.round.replace(self.round.get().wrapping_add(1));
         self.entry.peers.borrow_mut().sweep(now);
         self.look_at_duty(now);
@@ -210,9 +210,9 @@
     fn listeners(&self, round: u64, has_news: bool, now: Moment) -> Vec<SocketAddr> {
         let peers = self.entry.peers.borrow();
         let centre = self.entry.settings().centre.clone();
-        let is_due = has_news || now >= self.told_all.get() + peers.holder_interval();
-        if self.entry.standing().is_some() && is_due {
-            self.told_all.set(now);
+        let is_due = has_news || now >= self.last_broadcast.get() + peers.holder_interval();
+        if self.entry.held_fence().is_some() && is_due {
+            self.last_broadcast.set(now);
             return peers.all().map(|(_, p)| p.addr).collect();
         }
         peers.digest_targets(&centre, round, now)
@@ -221,7 +221,7 @@
     /// Tells the data centre, the readers of the others and the lease holder what a reader knows.
     fn tell_words(&self) {
         let entry = &self.entry;
-        if !entry.is_large() || !entry.reads() {
+        if !entry.is_large_fleet() || !entry.is_reader() {
             return;
         }
         let now = entry.now();
@@ -247,7 +247,7 @@
 
     /// Tells the holder of the placement lease what callers ask for: at once when something new is
     /// waited for, then in steps.
-    pub async fn tell_demand(self: Rc<Self>) {
+    pub async fn publish_demand(self: Rc<Self>) {
         loop {
             let begun = self.entry.waits.begun.notified();
             self.tell_demand_now();
@@ -266,7 +266,7 @@
         if entry.fence().is_some() {
             let id = entry.settings().id.clone();
             entry.demand.borrow_mut().update(&id, note, now);
-            entry.plan.notify_one();
+            entry.plan_due.notify_one();
             return;
         }
         let holder = entry.peers.borrow().holder(now).map(|(_, peer, _)| peer.addr);
@@ -277,7 +277,7 @@
     }
 
     /// Tells all peers what engines hold, in a large fleet by way of readers.
-    pub fn tell_holdings(&self, fence: Fence, holdings: &[EngineInventory]) {
+    pub fn publish_inventories(&self, fence: Fence, holdings: &[EngineInventory]) {
         let addrs = self.holdings_listeners();
         for part in holdings.chunks(HOLDINGS_EACH) {
             let bytes = self.encode(Payload::Inventories(fence, part.to_vec()));
@@ -312,7 +312,7 @@
     }
 
     /// Tells some peers what an engine holds.
-    pub fn tell_holding(&self, fence: Fence, holding: &EngineInventory, daemons: &[DaemonId]) {
+    pub fn send_inventory(&self, fence: Fence, holding: &EngineInventory, daemons: &[DaemonId]) {
         let bytes = self.encode(Payload::Inventories(fence, vec![holding.clone()]));
         let peers = self.entry.peers.borrow();
         for (_, peer) in peers.all().filter(|(id, _)| daemons.contains(id)) {
--- a/lib/src/serve/relay.rs
+++ b/lib/src/serve/relay.rs
@@ -14,7 +14,7 @@
 use crate::serve::body::BrokenOff;
 use crate::serve::body::ChunkSender;
 use crate::serve::choose::Chosen;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::event_stream::Flow;
 use crate::serve::event_stream::Progress;
 use crate::serve::exchange_stream::Opened;
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct Relay {
     /// The daemon.
-    pub entry: Rc<Entry>,
+    pub entry: Rc<DaemonState>,
     /// The request.
     pub attempt: Attempt,
     /// Where its events go.
@@ -106,7 +106,7 @@
 
     fn note(&self, stop: &Stop) {
         if let (Stop::Complete, Some(server)) = (stop, &self.attempt.last) {
-            self.entry.note_health(&self.attempt.service, server, Evidence::Sound);
+            self.entry.record_health(&self.attempt.service, server, Evidence::Sound);
         }
     }
 
@@ -142,7 +142,7 @@
             let heard = tokio::select! {
                 biased;
                 () = self.sender.closed() => return Stop::CallerLeft,
-                () = self.entry.ended() => return Stop::DaemonEnds,
+                () = self.entry.aborted() => return Stop::DaemonEnds,
                 heard = hear(&self.entry, &self.attempt, gap * SILENT_GAPS, flow.next()) => heard,
             };
             match heard {
@@ -158,11 +158,12 @@
                 }
                 Heard::Elsewhere(next) => {
                     let last = flow.last();
-                    let again = |e: &Rc<Entry>, a: &mut Attempt, c: &Chosen| begin(e, a, c, last);
+                    let again =
+                        |e: &Rc<DaemonState>, a: &mut Attempt, c: &Chosen| begin(e, a, c, last);
                     let offered = tokio::select! {
                         biased;
                         () = self.sender.closed() => return Stop::CallerLeft,
-                        () = self.entry.ended() => return Stop::DaemonEnds,
+                        () = self.entry.aborted() => return Stop::DaemonEnds,
                         offered = offer(&self.entry, &mut self.attempt, &next, again) => offered,
                     };
                     match offered {
@@ -190,10 +191,10 @@
         let chosen = tokio::select! {
             biased;
             () = self.sender.closed() => return None,
-            () = self.entry.ended() => return None,
+            () = self.entry.aborted() => return None,
             chosen = find_again(&self.entry, &mut self.attempt) => chosen?,
         };
-        if !self.entry.take_repeat(&self.attempt.service) {
+        if !self.entry.take_retry(&self.attempt.service) {
             return None;
         }
         Some(begin(&self.entry, &mut self.attempt, &chosen, last))
@@ -205,7 +206,7 @@
         last: Option<u64>,
         mut taken: Option<Exchange<Opened>>,
     ) -> Option<(Flow, Bytes)> {
-        let again = |e: &Rc<Entry>, a: &mut Attempt, c: &Chosen| begin(e, a, c, last);
+        let again = |e: &Rc<DaemonState>, a: &mut Attempt, c: &Chosen| begin(e, a, c, last);
         loop {
             let sent = match taken.take() {
                 Some(taken) => taken,
@@ -215,7 +216,7 @@
             let opened = tokio::select! {
                 biased;
                 () = self.sender.closed() => return None,
-                () = self.entry.ended() => return None,
+                () = self.entry.aborted() => return None,
                 opened = ask(&self.entry, &mut self.attempt, sent, again) => opened,
             };
             match opened {
--- a/lib/src/serve/send.rs
+++ b/lib/src/serve/send.rs
@@ -14,7 +14,7 @@
 use crate::cluster::server_health::Evidence;
 use crate::protocol::AnswerTerms;
 use crate::protocol::AttemptId;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::pool::Connection;
 use crate::serve::pool::Pool;
 use crate::verdict::Verdict;
@@ -123,7 +123,7 @@
 ///
 /// There is no answer to this request, or the server says that it did not run.
 pub async fn send(
-    entry: &Entry,
+    entry: &DaemonState,
     server: &Server,
     attempt: Option<&AttemptId>,
     request: Request<Bytes>,
@@ -161,7 +161,7 @@
     let is_own = terms.attempt.as_ref() == attempt;
     let is_other = terms.instance.as_ref().is_some_and(|id| *id != server.id);
     if is_own && !is_other {
-        entry.hear_server(&start, &terms, sent);
+        entry.apply_server_feedback(&start, &terms, sent);
     }
     judge(server, Answer { head, terms, body, connection }, attempt)
 }
--- a/lib/src/serve/server_feedback.rs
+++ b/lib/src/serve/server_feedback.rs
@@ -11,28 +11,33 @@
 use crate::cluster::server_instance::ServerInstance;
 use crate::protocol::AnswerTerms;
 use crate::protocol::NamedLimit;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::handle::ELSEWHERE;
 
 /// Why a request is refused that no server may be sent.
-pub const LIMITED: &str = "servers take no more requests for now";
+pub const RATE_LIMITED: &str = "servers take no more requests for now";
 
 /// Returns when a caller that leaves after `left` should come back, where the turn does not come until then.
 ///
 /// Where other daemons send, it may go to one of these at once.
-pub fn missed(turn: SendPermit, left: Duration) -> Option<Duration> {
+pub fn retry_after(turn: SendPermit, left: Duration) -> Option<Duration> {
     match turn.wait {
         Some(wait) => (wait > left).then_some(wait),
         None => Some(ELSEWHERE),
     }
 }
 
-impl Entry {
+impl DaemonState {
     /// Takes in what a server's answer says of its load and its limit; the request was `sent` then.
-    pub fn hear_server(&self, server: &ServerInstance, terms: &AnswerTerms, sent: Moment) {
+    pub fn apply_server_feedback(
+        &self,
+        server: &ServerInstance,
+        terms: &AnswerTerms,
+        sent: Moment,
+    ) {
         let now = self.now();
         if let Some(word) = terms.load {
-            self.loads.set_reported(server, now, word);
+            self.workloads.set_reported(server, now, word);
         }
         // Only an answer with the server's signature tells that it names no limit any more.
         let limit = match &terms.limit {
@@ -40,7 +45,7 @@
             NamedLimit::None if !terms.signed => return,
             NamedLimit::None => None,
             NamedLimit::Unreadable(text) => {
-                let is_news = self.rates.borrow_mut().record_unreadable(server);
+                let is_news = self.rate_limits.borrow_mut().record_unreadable(server);
                 if is_news {
                     slog::warn!(self.log, "server-limit-unreadable"; "server" => %server,
                         "limit" => text.as_str());
@@ -48,21 +53,21 @@
                 None
             }
         };
-        if self.rates.borrow_mut().record_answer(server, limit, sent, now) {
+        if self.rate_limits.borrow_mut().record_answer(server, limit, sent, now) {
             self.note_limit(server, "own");
         }
     }
 
     /// Takes in what a peer heard of servers' limits.
-    pub fn hear_limits(&self, notes: &[LimitReport], from: &str) {
-        let changed = self.rates.borrow_mut().merge(notes, self.now());
+    pub fn apply_peer_limits(&self, notes: &[LimitReport], from: &str) {
+        let changed = self.rate_limits.borrow_mut().merge(notes, self.now());
         for server in changed {
             self.note_limit(&server, from);
         }
     }
 
     fn note_limit(&self, server: &ServerInstance, from: &str) {
-        let limit = self.rates.borrow().limit(server);
+        let limit = self.rate_limits.borrow().limit(server);
         let share = limit.and_then(|limit| self.share(server, limit));
         slog::info!(self.log, "server-limit"; "server" => %server, "from" => from,
             "limit" => limit.map_or(-1.0, RateLimit::per_second),
@@ -78,8 +83,8 @@
     }
 
     /// Returns when this daemon may send to the servers that name limits.
-    pub fn turns(&self) -> SendPermits {
-        let mut rates = self.rates.borrow_mut();
+    pub fn send_permits(&self) -> SendPermits {
+        let mut rates = self.rate_limits.borrow_mut();
         if rates.is_empty() {
             return SendPermits::new();
         }
@@ -87,10 +92,10 @@
     }
 
     /// Takes in that a request is sent to a server.
-    pub fn note_send(&self, server: &ServerInstance) {
-        let limit = self.rates.borrow().limit(server);
+    pub fn record_send(&self, server: &ServerInstance) {
+        let limit = self.rate_limits.borrow().limit(server);
         if let Some(share) = limit.and_then(|limit| self.share(server, limit)) {
-            self.rates.borrow_mut().record_send(server, share, self.now());
+            self.rate_limits.borrow_mut().record_send(server, share, self.now());
         }
     }
 }
--- a/lib/src/serve/store_calls.rs
+++ b/lib/src/serve/store_calls.rs
@@ -5,7 +5,7 @@
 use tokio::time::timeout;
 
 use crate::boot_clock::Moment;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::store::Feed;
 use crate::store::LocalFuture;
 use crate::store::StoreError;
@@ -15,8 +15,8 @@
 /// # Errors
 ///
 /// As the call.
-pub async fn noted<T>(
-    entry: &Entry,
+pub async fn track_call<T>(
+    entry: &DaemonState,
     feed: Feed,
     call: LocalFuture<'_, Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
@@ -41,33 +41,33 @@
 /// # Errors
 ///
 /// As the call, and where it was given up.
-pub async fn noted_read<T>(
-    entry: &Entry,
+pub async fn track_read<T>(
+    entry: &DaemonState,
     feed: Feed,
     call: LocalFuture<'_, Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     let sent = entry.now();
     tokio::select! {
         biased;
-        result = noted(entry, feed, call) => result,
+        result = track_call(entry, feed, call) => result,
         () = silence_ended(entry, sent) => {
-            Err(give_up(entry, feed, sent, "a later call was answered"))
+            Err(abandon_call(entry, feed, sent, "a later call was answered"))
         }
     }
 }
 
 /// Waits before a call that failed is made again, until the time is over or a silence of the store ends; returns whether
 /// it was the latter.
-pub async fn pause_after(entry: &Entry, sent: Moment, pause: Duration) -> bool {
+pub async fn backoff_after(entry: &DaemonState, sent: Moment, pause: Duration) -> bool {
     let left = (sent + pause).saturating_sub(entry.now());
     timeout(left, silence_ended(entry, sent)).await.is_ok()
 }
 
 /// Waits until the answer to a call that was sent later ends a silence of the store.
-async fn silence_ended(entry: &Entry, sent: Moment) {
+async fn silence_ended(entry: &DaemonState, sent: Moment) {
     loop {
-        let back = entry.store_back.notified();
-        if sent < entry.contact.borrow().recovered_at() {
+        let back = entry.store_recovered.notified();
+        if sent < entry.store_health.borrow().recovered_at() {
             return;
         }
         back.await;
@@ -75,7 +75,12 @@
 }
 
 /// Notes that a call is given up.
-pub fn give_up(entry: &Entry, feed: Feed, sent: Moment, reason: &'static str) -> StoreError {
+pub fn abandon_call(
+    entry: &DaemonState,
+    feed: Feed,
+    sent: Moment,
+    reason: &'static str,
+) -> StoreError {
     entry.metrics.called_store(feed.name(), "given up");
     slog::info!(entry.log, "store-call-given-up"; "feed" => %feed, "reason" => reason,
         "config" => entry.config_version(),
@@ -83,23 +88,23 @@
     StoreError::Doubtful(reason.to_owned())
 }
 
-fn answered(entry: &Entry, feed: Feed, sent: Moment) {
+fn answered(entry: &DaemonState, feed: Feed, sent: Moment) {
     let now = entry.now();
-    entry.store_seen.set(now);
-    if let Some(away) = entry.contact.borrow_mut().record_answer(feed, sent, now) {
-        entry.store_back.notify_waiters();
+    entry.store_answered.set(now);
+    if let Some(away) = entry.store_health.borrow_mut().record_answer(feed, sent, now) {
+        entry.store_recovered.notify_waiters();
         slog::info!(entry.log, "dependency-regained"; "dependency" => "store", "feed" => %feed,
             "away_ms" => away.as_millis(), "call_ms" => now.saturating_sub(sent).as_millis());
     }
 }
 
-fn failed(entry: &Entry, feed: Feed, sent: Moment, error: &StoreError) {
+fn failed(entry: &DaemonState, feed: Feed, sent: Moment, error: &StoreError) {
     let now = entry.now();
-    let mut contact = entry.contact.borrow_mut();
+    let mut contact = entry.store_health.borrow_mut();
     if contact.record_failure(feed, matches!(error, StoreError::Doubtful(_))) {
         slog::warn!(entry.log, "dependency-lost"; "dependency" => "store", "feed" => %feed,
             "error" => %error, "call_ms" => now.saturating_sub(sent).as_millis(),
             "feed_seen_ms_ago" => contact.silence(feed, now).as_millis(),
-            "seen_ms_ago" => now.saturating_sub(entry.store_seen.get()).as_millis());
+            "seen_ms_ago" => now.saturating_sub(entry.store_answered.get()).as_millis());
     }
 }
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -20,11 +20,11 @@
 use crate::cluster::server_instance::ServerInstance;
 use crate::placement::entries;
 use crate::serve::attempt::Attempt;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::reply::Refusal;
 use crate::serve::send::Break;
 use crate::serve::send::SendFailure;
-use crate::serve::store_calls::noted;
+use crate::serve::store_calls::track_call;
 use crate::store::Feed;
 use crate::store::FeedRecord;
 
@@ -44,7 +44,7 @@
     crashes: Vec<CrashId>,
 }
 
-impl Entry {
+impl DaemonState {
     /// Returns whether a request may go to no server; asking keeps it held.
     pub fn is_held(&self, print: &Fingerprint) -> bool {
         self.quarantine.borrow_mut().is_held(print, self.now())
@@ -53,7 +53,7 @@
     /// Takes in how far a server came with a request.
     pub fn note_passed(&self, attempt: &Attempt, passed: RequestProgress) {
         if self.quarantine.borrow_mut().record_progress(attempt.print, passed, self.now()) {
-            self.crash_news.notify_one();
+            self.quarantine_changed.notify_one();
         }
     }
 
@@ -82,7 +82,7 @@
 ///
 /// A server that crashed refuses connections; one that only lost this connection, gives wrong answers or is cut off
 /// does not, and one that is leaving ends as planned.
-pub async fn note_failure(entry: &Rc<Entry>, attempt: &Attempt, failure: &SendFailure) {
+pub async fn note_failure(entry: &Rc<DaemonState>, attempt: &Attempt, failure: &SendFailure) {
     let (Some(broke), Some(server)) = (failure.broke, attempt.last.clone()) else { return };
     let Some(addr) = address(entry, &server) else { return };
     let stage = stage(entry, attempt, broke);
@@ -93,13 +93,13 @@
 }
 
 /// Where a server listens, unless it is known to be leaving or gone.
-fn address(entry: &Entry, server: &ServerInstance) -> Option<SocketAddr> {
+fn address(entry: &DaemonState, server: &ServerInstance) -> Option<SocketAddr> {
     let directory = entry.directory.borrow();
     let known = directory.get(&server.id).filter(|s| s.born == server.born && !s.leaving);
     known.map(|s| s.addr)
 }
 
-fn stage(entry: &Entry, attempt: &Attempt, broke: Break) -> CrashStage {
+fn stage(entry: &DaemonState, attempt: &Attempt, broke: Break) -> CrashStage {
     match (broke, attempt.first) {
         (Break::Answering, None) => CrashStage::BeforeEvents,
         (Break::Answering, Some(first)) if entry.now() < first + YOUNG => CrashStage::FirstEvent,
@@ -108,14 +108,19 @@
 }
 
 /// Returns whether a server refuses connections. One that takes this connection gets the next request on it.
-async fn refuses(entry: &Entry, server: &ServerInstance, addr: SocketAddr) -> bool {
+async fn refuses(entry: &DaemonState, server: &ServerInstance, addr: SocketAddr) -> bool {
     match timeout(REFUSAL_TIME, entry.pool.open_idle(server, addr)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(())) | Err(_) => false,
     }
 }
 
-fn note_crash(entry: &Rc<Entry>, attempt: &Attempt, server: &ServerInstance, stage: CrashStage) {
+fn note_crash(
+    entry: &Rc<DaemonState>,
+    attempt: &Attempt,
+    server: &ServerInstance,
+    stage: CrashStage,
+) {
     let print = attempt.print;
     let mut quarantine = entry.quarantine.borrow_mut();
     let is_held = quarantine.record_crash(server, attempt.sent, print, stage, entry.now());
@@ -126,7 +131,7 @@
             "stage" => stage.name(), "crashes" => crashes);
     }
     if stage == CrashStage::BeforeEvents {
-        entry.crash_news.notify_one();
+        entry.quarantine_changed.notify_one();
     }
     if is_held {
         hold(entry, print);
@@ -134,7 +139,7 @@
 }
 
 /// Holds a request if what peers have told since is enough.
-fn judge(entry: &Rc<Entry>, print: Fingerprint) {
+fn judge(entry: &Rc<DaemonState>, print: Fingerprint) {
     let is_held = entry.quarantine.borrow_mut().evaluate(print, entry.now());
     if is_held {
         hold(entry, print);
@@ -142,13 +147,13 @@
 }
 
 /// Tells everybody of a request that this daemon holds from now on.
-fn hold(entry: &Rc<Entry>, print: Fingerprint) {
-    entry.crash_news.notify_one();
+fn hold(entry: &Rc<DaemonState>, print: Fingerprint) {
+    entry.quarantine_changed.notify_one();
     note_held(entry, print, "own");
     spawn_local(store_held(Rc::clone(entry), print));
 }
 
-fn note_held(entry: &Entry, print: Fingerprint, from: &str) {
+fn note_held(entry: &DaemonState, print: Fingerprint, from: &str) {
     let quarantine = entry.quarantine.borrow();
     let servers: Vec<_> =
         quarantine.suspected_crashes(&print).iter().map(|c| c.server.id.as_str()).collect();
@@ -158,7 +163,7 @@
 }
 
 /// Takes in what a peer knows of such requests.
-pub fn hear(entry: &Rc<Entry>, note: &QuarantineReport, from: &str) {
+pub fn hear(entry: &Rc<DaemonState>, note: &QuarantineReport, from: &str) {
     let held = entry.quarantine.borrow_mut().merge(note, entry.now());
     for print in held {
         note_held(entry, print, from);
@@ -170,7 +175,7 @@
 }
 
 /// Lets go of requests that nobody has asked for in a long time.
-pub fn sweep(entry: &Rc<Entry>) {
+pub fn sweep(entry: &Rc<DaemonState>) {
     let released = entry.quarantine.borrow_mut().sweep(entry.now());
     for print in released {
         slog::info!(entry.log, "request-released"; "print" => %print);
@@ -183,17 +188,17 @@
 }
 
 /// Writes a held request to the store, since all daemons may be replaced at once.
-async fn store_held(entry: Rc<Entry>, print: Fingerprint) {
+async fn store_held(entry: Rc<DaemonState>, print: Fingerprint) {
     let crashes =
         entry.quarantine.borrow().suspected_crashes(&print).into_iter().cloned().collect();
     let held = HeldEntry { crashes };
     append(entry, FeedRecord { key: print.key(), value: Some(entries::encode(&held)) }).await;
 }
 
-async fn append(entry: Rc<Entry>, record: FeedRecord) {
+async fn append(entry: Rc<DaemonState>, record: FeedRecord) {
     loop {
         let call = entry.store.append(Feed::Quarantine, record.clone(), None);
-        if noted(&entry, Feed::Quarantine, call).await.is_ok() {
+        if track_call(&entry, Feed::Quarantine, call).await.is_ok() {
             return;
         }
         sleep(STORE_PAUSE).await;
@@ -201,14 +206,14 @@
 }
 
 /// Reads which requests were held before this daemon started.
-pub async fn recall(entry: Rc<Entry>) {
+pub async fn recall(entry: Rc<DaemonState>) {
     loop {
         let call = entry.store.newest(Feed::Quarantine);
-        let Ok(batch) = noted(&entry, Feed::Quarantine, call).await else {
+        let Ok(batch) = track_call(&entry, Feed::Quarantine, call).await else {
             sleep(STORE_PAUSE).await;
             continue;
         };
-        entry.note_batch(Feed::Quarantine, &batch);
+        entry.log_unreadable_records(Feed::Quarantine, &batch);
         for record in &batch.records {
             if record.value.is_none() {
                 continue;
@@ -218,7 +223,7 @@
                     entry.quarantine.borrow_mut().hold(print, entry.now());
                     note_held(&entry, print, "store");
                 }
-                Err(error) => entry.note_unread(Feed::Quarantine, &record.key, &error.0),
+                Err(error) => entry.log_unreadable(Feed::Quarantine, &record.key, &error.0),
             }
         }
         return;
