--- a/lib/src/serve/peer_sync.rs
+++ b/lib/src/serve/peer_sync.rs
@@ -15,7 +15,7 @@
 use crate::serve::apply_updates;
 use crate::serve::daemon_state::DaemonState;
 use crate::serve::peer_transfer::FETCH_TIMEOUT;
-use crate::serve::peer_transfer::fetch;
+use crate::serve::peer_transfer::fetch_from_peer;
 
 /// The store is taken as away when it has not answered for this long: more than a read's pace.
 const STORE_SILENT: Duration = Duration::from_millis(1700);
@@ -97,7 +97,7 @@
 }
 
 async fn fetch_from(entry: &DaemonState, peer: SocketAddr, request: PeerRequest) -> bool {
-    let result = match timeout(FETCH_TIMEOUT, fetch(peer, request)).await {
+    let result = match timeout(FETCH_TIMEOUT, fetch_from_peer(peer, request)).await {
         Ok(result) => result.map_err(|error| error.to_string()),
         Err(_elapsed) => Err("timeout".to_owned()),
     };
--- a/lib/src/serve/peer_transfer.rs
+++ b/lib/src/serve/peer_transfer.rs
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// The peer cannot be reached or answers nonsense.
-pub async fn fetch(peer: SocketAddr, request: PeerRequest) -> io::Result<SnapshotReply> {
+pub async fn fetch_from_peer(peer: SocketAddr, request: PeerRequest) -> io::Result<SnapshotReply> {
     let mut stream = socket::connect(peer, FETCH_TIMEOUT).await?;
     let request = postcard::to_stdvec(&request).map_err(io::Error::other)?;
     stream.write_u32(request.len() as u32).await?;
