--- a/cli/src/entry.rs
+++ b/cli/src/entry.rs
@@ -8,7 +8,7 @@
 use comfreymux_lib::serve::daemon_state::DaemonState;
 use comfreymux_lib::serve::daemon_state::EntrySettings;
 use comfreymux_lib::serve::lifecycle;
-use comfreymux_lib::serve::pool::Pool;
+use comfreymux_lib::serve::pool::ConnectionPool;
 use comfreymux_platform::PlatformProtocol;
 use comfreymux_platform::PlatformStore;
 use comfreymux_platform::SettingsFile;
@@ -42,8 +42,15 @@
     let protocol = Rc::new(PlatformProtocol);
     let process = rand::random();
     let clock = Rc::new(BootClock);
-    let entry =
-        DaemonState::new(settings, process, protocol, store, Pool::default(), log.logger(), clock);
+    let entry = DaemonState::new(
+        settings,
+        process,
+        protocol,
+        store,
+        ConnectionPool::default(),
+        log.logger(),
+        clock,
+    );
     let result = LocalSet::new().block_on(&runtime, lifecycle::run(entry, Rc::new(file)));
     log.flush();
     result
--- a/lib/src/serve/accept.rs
+++ b/lib/src/serve/accept.rs
@@ -23,7 +23,7 @@
 use crate::serve::body::ReplyBody;
 use crate::serve::caller_socket::CallerSocket;
 use crate::serve::daemon_state::DaemonState;
-use crate::serve::handle::handle;
+use crate::serve::handle::handle_request;
 use crate::serve::socket;
 
 /// Limits before the first configuration.
@@ -57,7 +57,7 @@
 }
 
 async fn serve_caller(entry: Rc<DaemonState>, stream: TcpStream) {
-    if socket::accepted(&stream).is_err() {
+    if socket::configure_accepted(&stream).is_err() {
         return;
     }
     let limits = entry.config().map_or(FIRST_LIMITS, |c| c.limits);
@@ -67,7 +67,7 @@
     let service = service_fn(move |request: Request<Incoming>| {
         let entry = Rc::clone(&for_requests);
         let active = requests.begin();
-        async move { Ok::<_, Infallible>(handle(entry, active, request).await) }
+        async move { Ok::<_, Infallible>(handle_request(entry, active, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/lib/src/serve/active_request.rs
+++ b/lib/src/serve/active_request.rs
@@ -17,6 +17,6 @@
 
 impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.0.answered();
+        self.0.mark_buffered();
     }
 }
--- a/lib/src/serve/active_requests.rs
+++ b/lib/src/serve/active_requests.rs
@@ -31,12 +31,12 @@
     }
 
     /// Takes in that a request's answer lies whole with the HTTP library.
-    pub fn answered(&self) {
+    pub fn mark_buffered(&self) {
         self.unwritten.set(self.unwritten.get() + 1);
     }
 
     /// Takes in that nothing is left to write.
-    pub fn written(&self) {
+    pub fn mark_flushed(&self) {
         let active = self.entry.active.get();
         self.entry.active.set(active.saturating_sub(self.unwritten.take()));
     }
@@ -45,6 +45,6 @@
 impl Drop for ActiveRequests {
     /// The connection has ended.
     fn drop(&mut self) {
-        self.written();
+        self.mark_flushed();
     }
 }
--- a/lib/src/serve/admission.rs
+++ b/lib/src/serve/admission.rs
@@ -17,9 +17,9 @@
 
 /// What a request has before it.
 #[derive(Clone, Copy, Debug)]
-pub struct Outlook {
+pub struct AdmissionInput {
     /// Expected time in the queue of the best engine.
-    pub wait: Duration,
+    pub queue_wait: Duration,
     /// Time left for a punctual first event.
     pub due: Duration,
     /// Time left until the caller leaves.
@@ -37,16 +37,16 @@
     Refused(Duration),
 }
 
-impl Outlook {
+impl AdmissionInput {
     /// Decides.
     pub fn admit(self) -> Admission {
-        if self.wait.is_zero() || self.wait + FIRST_EVENT <= self.due {
+        if self.queue_wait.is_zero() || self.queue_wait + FIRST_EVENT <= self.due {
             return Admission::Now;
         }
         let is_late = self.due < FIRST_EVENT;
-        if is_late && self.wait <= self.patience.mul_f64(PATIENCE_PART) {
+        if is_late && self.queue_wait <= self.patience.mul_f64(PATIENCE_PART) {
             return Admission::Late;
         }
-        Admission::Refused(self.wait.saturating_sub(self.due).max(LEAST_RETRY))
+        Admission::Refused(self.queue_wait.saturating_sub(self.due).max(LEAST_RETRY))
     }
 }
--- a/lib/src/serve/apply_updates.rs
+++ b/lib/src/serve/apply_updates.rs
@@ -188,8 +188,8 @@
     entry.holdings.borrow_mut().retain(is_known);
     entry.workloads.retain(entry.now(), is_known);
     entry.rate_limits.borrow_mut().retain(is_known);
-    entry.pool.sweep(is_known);
-    entry.waits.changed.notify_waiters();
+    entry.pool.evict_idle(is_known);
+    entry.waits.inventories_changed.notify_waiters();
     entry.plan_due.notify_one();
 }
 
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -20,12 +20,12 @@
 use crate::placement::demand::ModelTarget;
 use crate::protocol::CallerTerms;
 use crate::protocol::SendTerms;
-use crate::serve::choose::Chosen;
+use crate::serve::choose::ChosenServer;
 use crate::serve::daemon_state::DaemonState;
 use crate::serve::failover_origin::FailoverOrigin;
-use crate::serve::headers::strip_connection;
+use crate::serve::headers::strip_hop_by_hop;
 use crate::serve::reply::Refusal;
-use crate::serve::send::Break;
+use crate::serve::send::Disconnect;
 use crate::serve::send::SendFailure;
 use crate::serve::trials::Trial;
 use crate::verdict::Verdict;
@@ -49,7 +49,7 @@
     /// The whole body.
     pub body: Bytes,
     /// What is the same in every attempt at this request.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// What the caller said beside them.
     pub terms: CallerTerms,
     /// The configuration that was in force when it came.
@@ -69,37 +69,37 @@
     /// Servers that it was sent to in vain.
     pub tried: Vec<ServerInstance>,
     /// Whether it has left a silent server, which would have gone on.
-    pub has_left: bool,
+    pub failed_over: bool,
     /// Servers that may have run it.
-    pub runs: u32,
+    pub possible_runs: u32,
     /// Sends so far.
     pub sends: u32,
     /// Sends that reached a server; only further ones draw on the retry budget.
-    pub arrivals: u32,
+    pub deliveries: u32,
     /// The server of the last send.
-    pub last: Option<ServerInstance>,
+    pub last_server: Option<ServerInstance>,
     /// Whether it comes after requests that can still be punctual.
     pub is_late: bool,
     /// How long the last server was expected to let it wait for a place.
-    pub queued: Duration,
+    pub queue_wait: Duration,
     /// What the last server's choice cost, in estimated milliseconds.
     pub cost: f64,
     /// Servers that it was chosen among.
-    pub among: usize,
+    pub candidate_count: usize,
     /// Why the last send failed.
     pub reason: &'static str,
     /// How long it waited for a model.
-    pub waited: Duration,
+    pub model_wait: Duration,
     /// Set while it is at an engine as a suspect.
     pub trial: Option<Trial>,
     /// When it was last sent.
-    pub sent: Moment,
+    pub sent_at: Moment,
     /// When the server of the last send gave its first event.
-    pub first: Option<Moment>,
+    pub first_event: Option<Moment>,
     /// The same, until its events have gone on for a while.
     pub young_since: Option<Moment>,
     /// The longest pause between its events so far.
-    pub pause: Duration,
+    pub max_pause: Duration,
 }
 
 impl Attempt {
@@ -115,18 +115,20 @@
     }
 
     /// Returns where its work counts at a server.
-    pub fn place(&self, server: &Server) -> WorkloadKey {
+    pub fn workload_key(&self, server: &Server) -> WorkloadKey {
         WorkloadKey { server: server.instance(), model: self.item().map(|i| i.model) }
     }
 
     /// Returns whether it must not run a second time.
-    pub fn is_spent(&self) -> bool {
+    pub fn must_not_retry(&self) -> bool {
         self.verdict != Verdict::DidNotRun && !self.route.is_retryable()
     }
 
     /// Returns whether another server may still be tried, the budget aside.
-    pub fn may_repeat(&self, now: Moment) -> bool {
-        now < self.deadline && !self.is_spent() && self.runs < self.route.max_attempts
+    pub fn may_retry(&self, now: Moment) -> bool {
+        now < self.deadline
+            && !self.must_not_retry()
+            && self.possible_runs < self.route.max_attempts
     }
 
     /// Makes the request of a send to `server`.
@@ -145,73 +147,81 @@
         *request.method_mut() = self.parts.method.clone();
         *request.uri_mut() = self.parts.uri.clone();
         let mut headers = self.parts.headers.clone();
-        strip_connection(&mut headers);
+        strip_hop_by_hop(&mut headers);
         entry.protocol.dress(&mut headers, &terms);
         *request.headers_mut() = headers;
         request
     }
 
     /// Returns whether it may run at another server though the one that has it now may run it too.
-    pub fn may_leave(&self) -> bool {
-        self.route.is_retryable() && self.runs + 1 < self.route.max_attempts
+    pub fn may_fail_over(&self) -> bool {
+        self.route.is_retryable() && self.possible_runs + 1 < self.route.max_attempts
     }
 
     /// Returns how long the answer to a send is waited for before the server counts as silent.
     ///
     /// A request in an engine's queue hears nothing until it has a place. With a fixed time a full engine was taken
     /// for a dead one: its requests left it, and had their prompts read once more elsewhere.
-    pub fn patience(&self) -> Duration {
+    pub fn silence_timeout(&self) -> Duration {
         match self.route.kind {
-            RouteKind::Streaming => self.route.stall_timeout().mul_f64(FIRST_PART) + self.queued,
+            RouteKind::Streaming => {
+                self.route.stall_timeout().mul_f64(FIRST_PART) + self.queue_wait
+            }
             _ => self.route.latency_goal * SEND_GOALS,
         }
     }
 
     /// Notes the first event of its answer.
-    pub fn began(&mut self, entry: &DaemonState, first: Moment) {
-        self.first = Some(first);
+    pub fn record_first_event(&mut self, entry: &DaemonState, first: Moment) {
+        self.first_event = Some(first);
         self.young_since = Some(first);
         self.trial = None;
-        entry.note_passed(self, RequestProgress::FirstEvent);
+        entry.record_passed(self, RequestProgress::FirstEvent);
     }
 
     /// Returns the servers that it was sent to, the last one too.
     pub fn all_tried(&self) -> Vec<ServerInstance> {
-        self.tried.iter().chain(&self.last).cloned().collect()
+        self.tried.iter().chain(&self.last_server).cloned().collect()
     }
 
     /// Notes that it leaves a silent server, and returns how it stood there.
-    pub fn leave(&mut self, entry: &DaemonState) -> FailoverOrigin {
-        let (server, verdict, has_left) = (self.last.clone(), self.verdict, self.has_left);
-        let standing = FailoverOrigin { server, verdict, failed_over: has_left };
-        self.failed(entry, &SendFailure::doubtful("the server fell silent"));
-        self.has_left = true;
+    pub fn begin_failover(&mut self, entry: &DaemonState) -> FailoverOrigin {
+        let (server, verdict, failed_over) =
+            (self.last_server.clone(), self.verdict, self.failed_over);
+        let standing = FailoverOrigin { server, verdict, failed_over };
+        self.record_failure(entry, &SendFailure::may_have_run("the server fell silent"));
+        self.failed_over = true;
         standing
     }
 
     /// Takes in that the next server refused it, so that it stays with the silent one.
-    pub fn stay(&mut self, entry: &DaemonState, failure: &SendFailure, standing: FailoverOrigin) {
-        self.failed(entry, failure);
-        self.has_left = standing.failed_over;
-        self.runs -= 1;
-        self.arrivals -= 1;
+    pub fn cancel_failover(
+        &mut self,
+        entry: &DaemonState,
+        failure: &SendFailure,
+        standing: FailoverOrigin,
+    ) {
+        self.record_failure(entry, failure);
+        self.failed_over = standing.failed_over;
+        self.possible_runs -= 1;
+        self.deliveries -= 1;
         self.verdict = standing.verdict;
         self.tried.retain(|s| Some(s) != standing.server.as_ref());
-        self.last = standing.server;
+        self.last_server = standing.server;
         self.sending = true;
     }
 
     /// Notes a send to a chosen server.
-    pub fn sent(&mut self, chosen: &Chosen, now: Moment) {
+    pub fn sent(&mut self, chosen: &ChosenServer, now: Moment) {
         self.sends += 1;
-        self.sent = now;
+        self.sent_at = now;
         self.sending = true;
-        self.first = None;
+        self.first_event = None;
         self.young_since = None;
-        self.last = Some(chosen.server.instance());
-        self.queued = chosen.wait;
+        self.last_server = Some(chosen.server.instance());
+        self.queue_wait = chosen.queue_wait;
         self.cost = chosen.cost;
-        self.among = chosen.among;
+        self.candidate_count = chosen.candidate_count;
     }
 
     /// Gives the request up wherever it is; the caller is told whether it may have run.
@@ -223,23 +233,23 @@
     }
 
     /// Takes in that a send failed.
-    pub fn failed(&mut self, entry: &DaemonState, failure: &SendFailure) {
+    pub fn record_failure(&mut self, entry: &DaemonState, failure: &SendFailure) {
         self.sending = false;
         self.trial = None;
         self.reason = failure.reason;
-        self.arrivals += u32::from(failure.arrived);
+        self.deliveries += u32::from(failure.delivered);
         self.verdict = self.verdict.and(failure.verdict);
         if failure.verdict != Verdict::DidNotRun {
-            self.runs += 1;
+            self.possible_runs += 1;
         }
-        let Some(server) = self.last.clone() else { return };
-        if failure.lacks {
+        let Some(server) = self.last_server.clone() else { return };
+        if failure.lacks_model {
             self.note_lack(entry, &server);
         }
         entry.record_health(&self.service, &server, failure.evidence);
-        slog::info!(entry.log, "send-failed"; "attempt" => self.id(), "print" => %self.print,
+        slog::info!(entry.log, "send-failed"; "attempt" => self.id(), "print" => %self.fingerprint,
             "server" => %server, "reason" => failure.reason, "verdict" => %failure.verdict,
-            "broke" => failure.broke.map_or("-", Break::name),
+            "broke" => failure.disconnect.map_or("-", Disconnect::name),
             "ms" => entry.now().saturating_sub(self.arrived).as_millis());
         self.tried.push(server);
     }
--- a/lib/src/serve/body.rs
+++ b/lib/src/serve/body.rs
@@ -22,16 +22,16 @@
 /// look complete.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the answer broke off")]
-pub struct BrokenOff;
+pub struct BodyAborted;
 
 /// Where a stream's chunks go.
-pub type ChunkSender = mpsc::Sender<Result<Bytes, BrokenOff>>;
+pub type ChunkSender = mpsc::Sender<Result<Bytes, BodyAborted>>;
 
 #[derive(Debug)]
 enum Content {
     Whole(Full<Bytes>),
     /// Ends when its sender is dropped.
-    Stream(mpsc::Receiver<Result<Bytes, BrokenOff>>),
+    Stream(mpsc::Receiver<Result<Bytes, BodyAborted>>),
 }
 
 /// A body that is known whole, or whose chunks come one by one.
@@ -55,19 +55,19 @@
     }
 
     /// Counts the request as in progress for as long as this body lives.
-    pub fn hold(&mut self, active: ActiveRequest) {
+    pub fn attach_request(&mut self, active: ActiveRequest) {
         self.active = Some(active);
     }
 }
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         match &mut self.get_mut().content {
             Content::Whole(full) => Pin::new(full)
                 .poll_frame(cx)
--- a/lib/src/serve/call.rs
+++ b/lib/src/serve/call.rs
@@ -12,8 +12,8 @@
 use tokio::time::timeout;
 
 use crate::cluster::server_instance::ServerInstance;
-use crate::serve::call_guard::Outstanding;
-use crate::serve::pool::Pool;
+use crate::serve::call_guard::CallGuard;
+use crate::serve::pool::ConnectionPool;
 
 /// How long connections for calls stay open between them.
 const KEEP: Duration = Duration::from_secs(8);
@@ -38,14 +38,14 @@
 ///
 /// There is no whole answer.
 pub async fn call(
-    pool: &Pool,
+    pool: &ConnectionPool,
     peer: impl Into<ServerInstance>,
     addr: SocketAddr,
     request: Request<Bytes>,
     limit: Duration,
 ) -> Result<(StatusCode, Bytes), CallError> {
     let peer = peer.into();
-    let connection = timeout(limit, pool.connection(&peer, addr)).await;
+    let connection = timeout(limit, pool.acquire(&peer, addr)).await;
     let connection = connection.map_err(|_elapsed| CallError::Unsent)?;
     let mut connection = connection.map_err(|_io| CallError::Unsent)?;
     let exchange = async {
@@ -54,7 +54,7 @@
             Ok(response) => response,
             Err(mut error) => {
                 let unsent = error.take_message().ok_or(CallError::Unanswered)?;
-                connection = pool.fresh(&peer, addr).await.map_err(|_io| CallError::Unsent)?;
+                connection = pool.connect(&peer, addr).await.map_err(|_io| CallError::Unsent)?;
                 let sent = connection.sender().try_send_request(unsent).await;
                 sent.map_err(|_error| CallError::Unanswered)?
             }
@@ -64,10 +64,10 @@
         let body = body.map_err(|_broken| CallError::Unanswered)?.to_bytes();
         Ok((status, body))
     };
-    let mut outstanding = Outstanding::new(pool, &peer);
+    let mut outstanding = CallGuard::new(pool, &peer);
     let answer = timeout(limit, exchange).await.map_err(|_elapsed| CallError::Unanswered)?;
     outstanding.answered();
     let answer = answer?;
-    pool.give_back(connection, Some(KEEP));
+    pool.release(connection, Some(KEEP));
     Ok(answer)
 }
--- a/lib/src/serve/call_guard.rs
+++ b/lib/src/serve/call_guard.rs
@@ -1,22 +1,22 @@
 //! A call that is out.
 
 use crate::cluster::server_instance::ServerInstance;
-use crate::serve::pool::Pool;
+use crate::serve::pool::ConnectionPool;
 
 /// A call that is out. It closes the idle connections to the same address when it ends without an answer,
 /// be it that its time is over or that its caller drops it.
 ///
 /// What lost track of one connection has often lost them all, and each would cost another time limit.
 #[derive(Debug)]
-pub struct Outstanding<'a> {
-    pool: &'a Pool,
+pub struct CallGuard<'a> {
+    pool: &'a ConnectionPool,
     peer: &'a ServerInstance,
     answered: bool,
 }
 
-impl<'a> Outstanding<'a> {
+impl<'a> CallGuard<'a> {
     /// Begins a call.
-    pub fn new(pool: &'a Pool, peer: &'a ServerInstance) -> Self {
+    pub fn new(pool: &'a ConnectionPool, peer: &'a ServerInstance) -> Self {
         Self { pool, peer, answered: false }
     }
 
@@ -26,10 +26,10 @@
     }
 }
 
-impl Drop for Outstanding<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.pool.forget(self.peer);
+            self.pool.close_idle(self.peer);
         }
     }
 }
--- a/lib/src/serve/caller_socket.rs
+++ b/lib/src/serve/caller_socket.rs
@@ -54,7 +54,7 @@
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         ready!(Pin::new(&mut this.stream).poll_flush(cx))?;
-        this.requests.written();
+        this.requests.mark_flushed();
         Poll::Ready(Ok(()))
     }
 
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -65,38 +65,38 @@
     /// Now.
     pub now: Moment,
     /// Requests at an engine that peers may have begun or ended without this daemon's knowledge.
-    pub unseen: f64,
+    pub load_uncertainty: f64,
     /// A random number from 0 to 1, which decides among servers that are nearly as good as the best.
-    pub draw: f64,
+    pub random: f64,
 }
 
 /// A chosen server and what decided.
 #[derive(Clone, Debug)]
-pub struct Chosen {
+pub struct ChosenServer {
     /// The server.
     pub server: Rc<Server>,
     /// Its estimated cost in milliseconds.
     pub cost: f64,
     /// Servers that it was chosen among.
-    pub among: usize,
+    pub candidate_count: usize,
     /// How long a request is expected to wait there for a place.
-    pub wait: Duration,
+    pub queue_wait: Duration,
 }
 
 /// What there is for a request to an engine.
 #[derive(Clone, Debug)]
-pub enum Choice {
+pub enum EngineChoice {
     /// A server.
-    Server(Chosen),
+    Server(ChosenServer),
     /// No engine holds the model or adapter, or only such as cannot be used.
-    Missing,
+    NotLoaded,
     /// The service has no server at all.
     NoServer,
 }
 
 impl Chooser<'_> {
     /// Chooses a server of a plain service, other than those in `tried`.
-    pub fn plain(&self, service: &str, tried: &[ServerInstance]) -> Option<Chosen> {
+    pub fn choose_plain(&self, service: &str, tried: &[ServerInstance]) -> Option<ChosenServer> {
         let cost = |s: &Server, w| self.plain_cost(s, w);
         self.choose(service, tried, |_| true, cost, PLAIN_SCATTER)
     }
@@ -126,7 +126,7 @@
     }
 
     /// Chooses an engine that holds what `item` names.
-    pub fn engine(&self, item: &ModelTarget, tried: &[ServerInstance]) -> Choice {
+    pub fn choose_engine(&self, item: &ModelTarget, tried: &[ServerInstance]) -> EngineChoice {
         // An engine that cannot be reached serves nobody, though its entry may stand for seconds: the
         // request waits, and the model is loaded elsewhere.
         let holds = |s: &Server| {
@@ -134,27 +134,27 @@
                 && self.holdings.holds(s, &item.model, item.adapter.as_deref())
         };
         let cost = |s: &Server, w| self.engine_cost(s, w);
-        match self.choose(&item.service, tried, holds, cost, self.unseen * PER_RUNNING) {
+        match self.choose(&item.service, tried, holds, cost, self.load_uncertainty * PER_RUNNING) {
             Some(chosen) => {
                 let work = self.loads.at(&chosen.server.instance(), self.now);
                 let wait = self.queue_wait(&chosen.server, work);
-                Choice::Server(Chosen { wait, ..chosen })
+                EngineChoice::Server(ChosenServer { queue_wait: wait, ..chosen })
             }
             None if self.directory.all_servers().any(|s| s.service == item.service) => {
-                Choice::Missing
+                EngineChoice::NotLoaded
             }
-            None => Choice::NoServer,
+            None => EngineChoice::NoServer,
         }
     }
 
     /// Chooses a server that can take a request at once: sound, with a place free, and holding what
     /// `item` names where its service has engines.
-    pub fn spare(
+    pub fn choose_available(
         &self,
         service: &str,
         item: Option<&ModelTarget>,
         tried: &[ServerInstance],
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenServer> {
         let fits = |s: &Server| {
             let holds = |i: &ModelTarget| self.holdings.holds(s, &i.model, i.adapter.as_deref());
             !self.health.is_avoided(&s.instance(), self.now)
@@ -163,7 +163,7 @@
         };
         if item.is_some() {
             let cost = |s: &Server, w| self.engine_cost(s, w);
-            return self.choose(service, tried, fits, cost, self.unseen * PER_RUNNING);
+            return self.choose(service, tried, fits, cost, self.load_uncertainty * PER_RUNNING);
         }
         let cost = |s: &Server, w| self.plain_cost(s, w);
         self.choose(service, tried, fits, cost, PLAIN_SCATTER)
@@ -191,7 +191,7 @@
     }
 
     /// Returns the engines of a service that cannot be reached from here.
-    pub fn dark(&self, service: &str) -> Vec<ServerInstance> {
+    pub fn unreachable_servers(&self, service: &str) -> Vec<ServerInstance> {
         let is_dark = |s: &&Rc<Server>| {
             s.service == service && self.health.is_unreachable(&s.instance(), self.now)
         };
@@ -219,7 +219,7 @@
     }
 
     /// Returns the limited servers of a service whose turn does not come soon.
-    pub fn held_back(&self, service: &str) -> Vec<ServerInstance> {
+    pub fn rate_limited(&self, service: &str) -> Vec<ServerInstance> {
         let is_late = |turn: &SendPermit| turn.wait.is_none_or(|wait| wait > SOON);
         let servers = self.directory.servers().filter(|s| s.service == service);
         servers.filter(|s| self.turn(s).is_some_and(is_late)).map(|s| s.instance()).collect()
@@ -250,7 +250,7 @@
         fits: impl Fn(&Server) -> bool,
         cost: impl Fn(&Server, Workload) -> f64,
         scatter: f64,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenServer> {
         let open: Vec<&Rc<Server>> = self
             .directory
             .servers()
@@ -270,9 +270,9 @@
             Candidate { cost: cost(s, work), spare: s.slots.saturating_sub(work.running) }
         };
         let candidates: Vec<Candidate> = list.iter().map(candidate).collect();
-        let place = near_best::pick(&candidates, scatter, self.draw)?;
+        let place = near_best::pick(&candidates, scatter, self.random)?;
         let server = Rc::clone(list[place]);
-        let (cost, among) = (candidates[place].cost, list.len());
-        Some(Chosen { server, cost, among, wait: Duration::ZERO })
+        let (cost, candidate_count) = (candidates[place].cost, list.len());
+        Some(ChosenServer { server, cost, candidate_count, queue_wait: Duration::ZERO })
     }
 }
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -43,11 +43,11 @@
 use crate::placement::lease_state::LeaseState;
 use crate::protocol::Protocol;
 use crate::serve::choose::Chooser;
-use crate::serve::freshness::Coverage;
+use crate::serve::freshness::Freshness;
 use crate::serve::graceful_stop::GracefulStop;
-use crate::serve::model_waits::Waits;
-use crate::serve::pool::Pool;
-use crate::serve::random_source::Draws;
+use crate::serve::model_waits::ModelWaits;
+use crate::serve::pool::ConnectionPool;
+use crate::serve::random_source::RandomSource;
 use crate::serve::trials::Trials;
 use crate::store::Batch;
 use crate::store::Feed;
@@ -132,7 +132,7 @@
     /// The platform's store.
     pub store: Rc<dyn Store>,
     /// Connections.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// The configuration, swapped whole; none before the first.
     pub config: RefCell<Option<Rc<Configuration>>>,
     /// The configuration as the platform wrote it.
@@ -158,13 +158,13 @@
     /// The other daemons.
     pub peers: RefCell<PeerTable>,
     /// Waiting requests.
-    pub waits: Waits,
+    pub waits: ModelWaits,
     /// Whether the store's list of daemons was read.
     pub peers_known: Cell<bool>,
     /// Whether this daemon reads the store for its data centre, and since when it should.
     pub duty: RefCell<ReaderRole>,
     /// What the list of servers stands on.
-    pub coverage: Coverage,
+    pub coverage: Freshness,
     /// Signalled when readers should tell their words at once.
     pub report_due: Notify,
     /// Signalled when peers should hear at once of a request that crashes servers.
@@ -204,7 +204,7 @@
     /// Whether this daemon is cut off from other data centres and the store.
     pub isolated: Cell<bool>,
     /// Chance.
-    pub random: RefCell<Draws>,
+    pub random: RefCell<RandomSource>,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// The log.
@@ -218,7 +218,7 @@
         process: ProcessId,
         protocol: Rc<dyn Protocol>,
         store: Rc<dyn Store>,
-        pool: Pool,
+        pool: ConnectionPool,
         log: Logger,
         clock: Rc<dyn HostClock>,
     ) -> Rc<Self> {
@@ -251,10 +251,10 @@
             quarantine: RefCell::default(),
             trials: Trials::default(),
             peers: RefCell::new(peers),
-            waits: Waits::default(),
+            waits: ModelWaits::default(),
             peers_known: Cell::default(),
             duty: RefCell::default(),
-            coverage: Coverage::default(),
+            coverage: Freshness::default(),
             report_due: Notify::new(),
             quarantine_changed: Notify::new(),
             fetch_due: Notify::new(),
@@ -368,13 +368,13 @@
     /// Returns for how long the store has not said whether the configuration changed, to this daemon or to a
     /// reader that told so.
     pub fn config_age(&self, now: Moment) -> Duration {
-        let told = now.saturating_sub(self.coverage.config.get());
+        let told = now.saturating_sub(self.coverage.config_at.get());
         self.store_health.borrow().silence(Feed::Configuration, now).min(told)
     }
 
     /// Returns for how long the store has answered neither this daemon nor a reader that told so.
     pub fn store_silence(&self, now: Moment) -> Duration {
-        now.saturating_sub(self.store_answered.get().max(self.coverage.servers.get()))
+        now.saturating_sub(self.store_answered.get().max(self.coverage.servers_at.get()))
     }
 
     /// Returns whether operators may have written a version that this daemon does not follow: it has heard of one, or
@@ -458,7 +458,7 @@
         for holding in list {
             self.holdings.borrow_mut().put(fence, holding, now);
         }
-        self.waits.changed.notify_waiters();
+        self.waits.inventories_changed.notify_waiters();
     }
 
     /// Calls `f` with what a choice of servers looks at.
@@ -477,8 +477,8 @@
             turns: &turns,
             centre: &settings.centre,
             now: self.now(),
-            unseen: self.peers.borrow().unseen_requests(),
-            draw: self.random.borrow().next(),
+            load_uncertainty: self.peers.borrow().unseen_requests(),
+            random: self.random.borrow().sample(),
         })
     }
 }
--- a/lib/src/serve/event_stream.rs
+++ b/lib/src/serve/event_stream.rs
@@ -7,15 +7,15 @@
 use crate::cluster::workloads::WorkloadGuard;
 use crate::serve::events::EventOrder;
 use crate::serve::events::EventSplitter;
-use crate::serve::send::Answer;
-use crate::serve::send::Break;
+use crate::serve::send::Disconnect;
 use crate::serve::send::SendFailure;
+use crate::serve::send::ServerResponse;
 
 /// Events of one server's answer.
 #[derive(Debug)]
-pub struct Flow {
+pub struct EventStream {
     /// The answer that they come in.
-    pub answer: Answer,
+    pub answer: ServerResponse,
     splitter: EventSplitter,
     order: EventOrder,
     /// The request's work at the server.
@@ -24,16 +24,16 @@
 
 /// What came next in a stream.
 #[derive(Clone, Debug)]
-pub enum Progress {
+pub enum StreamItem {
     /// Whole events.
     Events(Bytes),
     /// The end of a whole stream.
     End,
 }
 
-impl Flow {
+impl EventStream {
     /// Reads events after the last one that the caller has.
-    pub fn new(answer: Answer, last: Option<u64>, work: WorkloadGuard) -> Self {
+    pub fn new(answer: ServerResponse, last: Option<u64>, work: WorkloadGuard) -> Self {
         let splitter = EventSplitter::default();
         Self { answer, splitter, order: EventOrder::after(last), work }
     }
@@ -48,18 +48,18 @@
     /// # Errors
     ///
     /// The stream broke off, or its events are not those that are due.
-    pub async fn next(&mut self) -> Result<Progress, SendFailure> {
+    pub async fn next(&mut self) -> Result<StreamItem, SendFailure> {
         loop {
             let mut out = BytesMut::new();
             loop {
                 let event = self.splitter.next_event();
-                match event.map_err(|_error| SendFailure::doubtful("an event is too large"))? {
+                match event.map_err(|_error| SendFailure::may_have_run("an event is too large"))? {
                     None => break,
                     Some(event) => {
-                        let in_order = self.order.take(&event);
+                        let in_order = self.order.check(&event);
                         if in_order.is_err() {
                             if out.is_empty() {
-                                return Err(SendFailure::doubtful("an event is out of order"));
+                                return Err(SendFailure::may_have_run("an event is out of order"));
                             }
                             break;
                         }
@@ -68,16 +68,19 @@
                 }
             }
             if !out.is_empty() {
-                return Ok(Progress::Events(out.freeze()));
+                return Ok(StreamItem::Events(out.freeze()));
             }
             match self.answer.body.frame().await {
-                None if self.splitter.has_rest() => {
+                None if self.splitter.has_partial() => {
                     let reason = "the stream ended within an event";
-                    return Err(SendFailure::broken(reason, Break::Answering));
+                    return Err(SendFailure::disconnected(reason, Disconnect::AfterHead));
                 }
-                None => return Ok(Progress::End),
+                None => return Ok(StreamItem::End),
                 Some(Err(_broken)) => {
-                    return Err(SendFailure::broken("the stream broke off", Break::Answering));
+                    return Err(SendFailure::disconnected(
+                        "the stream broke off",
+                        Disconnect::AfterHead,
+                    ));
                 }
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
--- a/lib/src/serve/events.rs
+++ b/lib/src/serve/events.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether bytes are left that are no whole event.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         self.buffer.iter().any(|b| !b.is_ascii_whitespace())
     }
 }
@@ -112,7 +112,7 @@
     /// # Errors
     ///
     /// The event is not the one that is due.
-    pub fn take(&mut self, event: &Event) -> Result<(), EventError> {
+    pub fn check(&mut self, event: &Event) -> Result<(), EventError> {
         let id = event.id.ok_or(EventError::NoId)?;
         if let Some(last) = self.last
             && id != last + 1
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -9,11 +9,11 @@
 use crate::cluster::configuration::RouteKind;
 use crate::cluster::server_health::Evidence;
 use crate::serve::attempt::Attempt;
-use crate::serve::choose::Choice;
-use crate::serve::choose::Chosen;
+use crate::serve::choose::ChosenServer;
+use crate::serve::choose::EngineChoice;
 use crate::serve::daemon_state::DaemonState;
-use crate::serve::failover::Exchange;
-use crate::serve::failover::ask;
+use crate::serve::failover::SendFuture;
+use crate::serve::failover::await_with_failover;
 use crate::serve::reply::Refusal;
 use crate::serve::send;
 use crate::serve::server_feedback::RATE_LIMITED;
@@ -42,13 +42,13 @@
         if now >= attempt.deadline {
             return Err(Refusal::timeout(attempt.verdict, "out of time", FULL));
         }
-        if let Some(refusal) = entry.held_refusal(attempt) {
+        if let Some(refusal) = entry.quarantine_refusal(attempt) {
             return Err(refusal);
         }
         let Some(chosen) = choose(entry, attempt) else {
             let turn =
                 entry.with_chooser(|c| c.next_turn(&attempt.service, attempt.item().as_ref()));
-            if let Some(turn) = turn.filter(|_| !attempt.is_spent()) {
+            if let Some(turn) = turn.filter(|_| !attempt.must_not_retry()) {
                 let left = (attempt.arrived + attempt.route.latency_goal).saturating_sub(now);
                 if let Some(retry) = retry_after(turn, left) {
                     return Err(Refusal::failed(attempt.verdict, RATE_LIMITED, retry));
@@ -59,22 +59,22 @@
             if attempt.tried.is_empty() {
                 return Err(Refusal::failed(attempt.verdict, "no server", FULL));
             }
-            if attempt.is_spent() || attempt.verdict != Verdict::DidNotRun {
+            if attempt.must_not_retry() || attempt.verdict != Verdict::DidNotRun {
                 return Err(Refusal::failed(attempt.verdict, attempt.reason, FULL));
             }
             // Each server refused it: they are asked once more after a pause, within the goal.
             if now > attempt.arrived + attempt.route.latency_goal {
-                return Err(Refusal::unrun("all servers are full", FULL));
+                return Err(Refusal::not_run("all servers are full", FULL));
             }
             tokio::time::sleep(FULL_PAUSE).await;
             attempt.tried.clear();
             continue;
         };
-        if attempt.arrivals > 0 && !entry.take_retry(&attempt.service) {
+        if attempt.deliveries > 0 && !entry.take_retry(&attempt.service) {
             return Err(Refusal::failed(attempt.verdict, "the retry budget is spent", FULL));
         }
         let sent = send_once(entry, attempt, &chosen);
-        match ask(entry, attempt, sent, send_once).await {
+        match await_with_failover(entry, attempt, sent, send_once).await {
             Ok((head, body)) => {
                 if is_retried(entry, attempt, &head) {
                     continue;
@@ -83,9 +83,9 @@
                 return Ok((head, body));
             }
             Err(failure) => {
-                attempt.failed(entry, &failure);
-                suspects::note_failure(entry, attempt, &failure).await;
-                if !attempt.may_repeat(entry.now()) {
+                attempt.record_failure(entry, &failure);
+                suspects::check_for_crash(entry, attempt, &failure).await;
+                if !attempt.may_retry(entry.now()) {
                     let refusal = if entry.now() >= attempt.deadline {
                         Refusal::timeout(attempt.verdict, attempt.reason, FULL)
                     } else {
@@ -98,12 +98,12 @@
     }
 }
 
-fn choose(entry: &DaemonState, attempt: &Attempt) -> Option<Chosen> {
+fn choose(entry: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
     match attempt.item() {
-        None => entry.with_chooser(|c| c.plain(&attempt.service, &attempt.tried)),
-        Some(item) => match entry.with_chooser(|c| c.engine(&item, &attempt.tried)) {
-            Choice::Server(chosen) => Some(chosen),
-            Choice::Missing | Choice::NoServer => None,
+        None => entry.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried)),
+        Some(item) => match entry.with_chooser(|c| c.choose_engine(&item, &attempt.tried)) {
+            EngineChoice::Server(chosen) => Some(chosen),
+            EngineChoice::NotLoaded | EngineChoice::NoServer => None,
         },
     }
 }
@@ -112,18 +112,18 @@
 /// again and both limits allow it.
 fn is_retried(entry: &DaemonState, attempt: &mut Attempt, head: &response::Parts) -> bool {
     let failed = head.status.is_server_error();
-    let Some(server) = attempt.last.clone() else { return false };
+    let Some(server) = attempt.last_server.clone() else { return false };
     let evidence = if failed { Evidence::Failed } else { Evidence::Sound };
     entry.record_health(&attempt.service, &server, evidence);
     if !failed || attempt.route.kind != RouteKind::Idempotent {
         return false;
     }
-    attempt.runs += 1;
-    attempt.arrivals += 1;
+    attempt.possible_runs += 1;
+    attempt.deliveries += 1;
     attempt.verdict = Verdict::Ran;
     attempt.sending = false;
     attempt.tried.push(server);
-    let is_open = attempt.may_repeat(entry.now()) && choose(entry, attempt).is_some();
+    let is_open = attempt.may_retry(entry.now()) && choose(entry, attempt).is_some();
     // The next round takes the repeat out of the budget; a server's own answer is better than ours.
     is_open && entry.has_retry(&attempt.service)
 }
@@ -132,13 +132,13 @@
 fn send_once(
     entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
-    chosen: &Chosen,
-) -> Exchange<(response::Parts, Bytes)> {
+    chosen: &ChosenServer,
+) -> SendFuture<(response::Parts, Bytes)> {
     let server = Rc::clone(&chosen.server);
     attempt.sent(chosen, entry.now());
     entry.record_send(&server.instance());
     let request = attempt.request(entry, &server, None);
-    let work = entry.workloads.begin(attempt.place(&server), attempt.terms.prompt);
+    let work = entry.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt);
     let id = attempt.terms.attempt.clone();
     let entry = Rc::clone(entry);
     Box::pin(async move {
--- a/lib/src/serve/exchange_stream.rs
+++ b/lib/src/serve/exchange_stream.rs
@@ -11,19 +11,19 @@
 use crate::boot_clock::Moment;
 use crate::serve::attempt::Attempt;
 use crate::serve::body::ReplyBody;
-use crate::serve::choose::Chosen;
+use crate::serve::choose::ChosenServer;
 use crate::serve::daemon_state::DaemonState;
-use crate::serve::event_stream::Flow;
-use crate::serve::event_stream::Progress;
-use crate::serve::failover::Exchange;
-use crate::serve::failover::ask;
-use crate::serve::find_server::COME_BACK;
+use crate::serve::event_stream::EventStream;
+use crate::serve::event_stream::StreamItem;
+use crate::serve::failover::SendFuture;
+use crate::serve::failover::await_with_failover;
+use crate::serve::find_server::DEFAULT_RETRY_AFTER;
 use crate::serve::find_server::find_server;
-use crate::serve::headers::strip_connection;
+use crate::serve::headers::strip_hop_by_hop;
 use crate::serve::relay::Relay;
 use crate::serve::reply::Refusal;
 use crate::serve::send;
-use crate::serve::send::Break;
+use crate::serve::send::Disconnect;
 use crate::serve::send::SendFailure;
 use crate::serve::suspects;
 
@@ -32,24 +32,24 @@
 
 /// A stream whose first events have come.
 #[derive(Debug)]
-pub struct Started {
+pub struct StartedStream {
     /// Status and headers.
     pub head: response::Parts,
     /// The events to come.
-    pub flow: Flow,
+    pub stream: EventStream,
     /// The events that have come.
-    pub events: Bytes,
+    pub first_events: Bytes,
     /// When they came.
-    pub first: Moment,
+    pub first_event: Moment,
 }
 
 /// What a send to an engine came to.
 #[derive(Debug)]
-pub enum Opened {
+pub enum OpenOutcome {
     /// A stream.
-    Stream(Box<Started>),
+    Stream(Box<StartedStream>),
     /// Another answer, whole.
-    Other(response::Parts, Bytes),
+    Whole(response::Parts, Bytes),
 }
 
 /// Finds a server that begins to answer.
@@ -57,37 +57,54 @@
 /// # Errors
 ///
 /// Returns the answer of our own that the caller gets.
-pub async fn open(entry: &Rc<DaemonState>, attempt: &mut Attempt) -> Result<Opened, Refusal> {
+pub async fn open_stream(
+    entry: &Rc<DaemonState>,
+    attempt: &mut Attempt,
+) -> Result<OpenOutcome, Refusal> {
     let resume = attempt.terms.last_event;
     loop {
         let chosen = find_server(entry, attempt).await?;
-        if attempt.arrivals > 0 && !entry.take_retry(&attempt.service) {
-            return Err(Refusal::failed(attempt.verdict, "the retry budget is spent", COME_BACK));
+        if attempt.deliveries > 0 && !entry.take_retry(&attempt.service) {
+            return Err(Refusal::failed(
+                attempt.verdict,
+                "the retry budget is spent",
+                DEFAULT_RETRY_AFTER,
+            ));
         }
-        let sent = begin(entry, attempt, &chosen, resume);
-        match ask(entry, attempt, sent, |e, a, c| begin(e, a, c, resume)).await {
-            Ok(Opened::Other(head, body)) => {
+        let sent = start_stream(entry, attempt, &chosen, resume);
+        match await_with_failover(entry, attempt, sent, |e, a, c| start_stream(e, a, c, resume))
+            .await
+        {
+            Ok(OpenOutcome::Whole(head, body)) => {
                 if !head.status.is_server_error() || !attempt.route.resumable {
-                    return Ok(Opened::Other(head, body));
+                    return Ok(OpenOutcome::Whole(head, body));
                 }
-                attempt.failed(entry, &SendFailure::doubtful("the server failed"));
-                if !attempt.may_repeat(entry.now()) {
-                    return Ok(Opened::Other(head, body));
+                attempt.record_failure(entry, &SendFailure::may_have_run("the server failed"));
+                if !attempt.may_retry(entry.now()) {
+                    return Ok(OpenOutcome::Whole(head, body));
                 }
             }
-            Ok(Opened::Stream(started)) => {
-                attempt.began(entry, started.first);
-                return Ok(Opened::Stream(started));
+            Ok(OpenOutcome::Stream(started)) => {
+                attempt.record_first_event(entry, started.first_event);
+                return Ok(OpenOutcome::Stream(started));
             }
             Err(failure) => {
-                attempt.failed(entry, &failure);
-                suspects::note_failure(entry, attempt, &failure).await;
+                attempt.record_failure(entry, &failure);
+                suspects::check_for_crash(entry, attempt, &failure).await;
                 let now = entry.now();
                 if now >= attempt.deadline {
-                    return Err(Refusal::timeout(attempt.verdict, attempt.reason, COME_BACK));
+                    return Err(Refusal::timeout(
+                        attempt.verdict,
+                        attempt.reason,
+                        DEFAULT_RETRY_AFTER,
+                    ));
                 }
-                if !attempt.may_repeat(now) {
-                    return Err(Refusal::failed(attempt.verdict, attempt.reason, COME_BACK));
+                if !attempt.may_retry(now) {
+                    return Err(Refusal::failed(
+                        attempt.verdict,
+                        attempt.reason,
+                        DEFAULT_RETRY_AFTER,
+                    ));
                 }
             }
         }
@@ -95,52 +112,64 @@
 }
 
 /// Sends the request; the answer is read until the first event.
-pub fn begin(
+pub fn start_stream(
     entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
-    chosen: &Chosen,
+    chosen: &ChosenServer,
     resume: Option<u64>,
-) -> Exchange<Opened> {
+) -> SendFuture<OpenOutcome> {
     let server = Rc::clone(&chosen.server);
     attempt.sent(chosen, entry.now());
     entry.record_send(&server.instance());
     let request = attempt.request(entry, &server, resume);
-    let work = entry.workloads.begin(attempt.place(&server), attempt.terms.prompt);
+    let work = entry.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt);
     let id = attempt.terms.attempt.clone();
     let entry = Rc::clone(entry);
     Box::pin(async move {
         let answer = send::send(&entry, &server, id.as_ref(), request).await?;
         if answer.head.status != StatusCode::OK {
             let (head, body) = send::read_whole(&entry.pool, answer, ANSWER_LIMIT).await?;
-            return Ok(Opened::Other(head, body));
+            return Ok(OpenOutcome::Whole(head, body));
         }
         let head = answer.head.clone();
-        let mut flow = Flow::new(answer, resume, work);
-        let events = match flow.next().await? {
-            Progress::Events(events) => events,
+        let mut stream = EventStream::new(answer, resume, work);
+        let first_events = match stream.next().await? {
+            StreamItem::Events(events) => events,
             // Nothing may be left of a stream that its caller takes up again.
-            Progress::End if resume.is_some() => Bytes::new(),
-            Progress::End => {
-                return Err(SendFailure::broken("the stream has no event", Break::Answering));
+            StreamItem::End if resume.is_some() => Bytes::new(),
+            StreamItem::End => {
+                return Err(SendFailure::disconnected(
+                    "the stream has no event",
+                    Disconnect::AfterHead,
+                ));
             }
         };
-        flow.work.first_event();
-        Ok(Opened::Stream(Box::new(Started { head, flow, events, first: entry.now() })))
+        stream.work.first_event();
+        Ok(OpenOutcome::Stream(Box::new(StartedStream {
+            head,
+            stream,
+            first_events,
+            first_event: entry.now(),
+        })))
     })
 }
 
 /// Begins the answer to the caller and leaves the rest to a task.
-pub fn relay(entry: &Rc<DaemonState>, attempt: Attempt, started: Started) -> Response<ReplyBody> {
+pub fn spawn_relay(
+    entry: &Rc<DaemonState>,
+    attempt: Attempt,
+    started: StartedStream,
+) -> Response<ReplyBody> {
     let (sender, body) = ReplyBody::stream();
     let mut response = Response::new(body);
     *response.status_mut() = started.head.status;
     *response.headers_mut() = started.head.headers.clone();
-    strip_connection(response.headers_mut());
-    entry.metrics.first_byte(started.first.saturating_sub(attempt.arrived));
-    entry.metrics.waited(&attempt.route.name, attempt.waited);
+    strip_hop_by_hop(response.headers_mut());
+    entry.metrics.first_byte(started.first_event.saturating_sub(attempt.arrived));
+    entry.metrics.waited(&attempt.route.name, attempt.model_wait);
     let entry = Rc::clone(entry);
     spawn_local(async move {
-        let mut relay = Relay { entry, attempt, sender, heard: started.first };
+        let mut relay = Relay { entry, attempt, sender, last_received: started.first_event };
         relay.run(started).await;
     });
     response
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -12,11 +12,11 @@
 use crate::boot_clock::Moment;
 use crate::cluster::server_health::Evidence;
 use crate::serve::attempt::Attempt;
-use crate::serve::choose::Choice;
-use crate::serve::choose::Chosen;
+use crate::serve::choose::ChosenServer;
+use crate::serve::choose::EngineChoice;
 use crate::serve::daemon_state::DaemonState;
-use crate::serve::find_server::AGAIN;
-use crate::serve::find_server::unusable;
+use crate::serve::find_server::RESUME_TIMEOUT;
+use crate::serve::find_server::unusable_engines;
 use crate::serve::model_waits::WaitGuard;
 use crate::serve::send::SendFailure;
 use crate::verdict::Verdict;
@@ -30,16 +30,16 @@
 const OFFER_TIME: Duration = Duration::from_millis(150);
 
 /// A send that is under way, with its connection.
-pub type Exchange<T> = Pin<Box<dyn Future<Output = Result<T, SendFailure>>>>;
+pub type SendFuture<T> = Pin<Box<dyn Future<Output = Result<T, SendFailure>>>>;
 
 /// What a wait for a server's answer came to.
 #[derive(Debug)]
-pub enum Heard<T> {
+pub enum WaitOutcome<T> {
     /// The server answered, or broke off.
     Answer(T),
     /// The server is silent, and this one can take the request: its repeat is taken out of the budget,
     /// and a connection to it is open.
-    Elsewhere(Chosen),
+    FailOver(ChosenServer),
     /// The deadline has passed.
     OutOfTime,
 }
@@ -49,19 +49,19 @@
 /// # Errors
 ///
 /// There is no usable answer.
-pub async fn ask<T: 'static>(
+pub async fn await_with_failover<T: 'static>(
     entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
-    sent: Exchange<T>,
-    begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &Chosen) -> Exchange<T>,
+    sent: SendFuture<T>,
+    begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &ChosenServer) -> SendFuture<T>,
 ) -> Result<T, SendFailure> {
     let mut current = sent;
     loop {
-        match hear(entry, attempt, attempt.patience(), &mut current).await {
-            Heard::Answer(answer) => return answer,
-            Heard::OutOfTime => return Err(SendFailure::doubtful("no answer in time")),
-            Heard::Elsewhere(next) => {
-                if let Some(taken) = offer(entry, attempt, &next, &begin).await {
+        match wait_answer(entry, attempt, attempt.silence_timeout(), &mut current).await {
+            WaitOutcome::Answer(answer) => return answer,
+            WaitOutcome::OutOfTime => return Err(SendFailure::may_have_run("no answer in time")),
+            WaitOutcome::FailOver(next) => {
+                if let Some(taken) = try_failover(entry, attempt, &next, &begin).await {
                     current = taken;
                 }
             }
@@ -75,17 +75,17 @@
 /// What is known of another server's free places is up to seconds old in a large fleet. When the silent one
 /// was let go first, a refusal left the request nowhere, and its answer was cut or replaced by a failure. A
 /// refusal comes at once, so the silent one is kept until then.
-pub async fn offer<T: 'static>(
+pub async fn try_failover<T: 'static>(
     entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
-    next: &Chosen,
-    begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &Chosen) -> Exchange<T>,
-) -> Option<Exchange<T>> {
-    let standing = attempt.leave(entry);
+    next: &ChosenServer,
+    begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &ChosenServer) -> SendFuture<T>,
+) -> Option<SendFuture<T>> {
+    let standing = attempt.begin_failover(entry);
     let mut offered = begin(entry, attempt, next);
     match timeout(OFFER_TIME, &mut offered).await {
         Ok(Err(failure)) if failure.verdict == Verdict::DidNotRun => {
-            attempt.stay(entry, &failure, standing);
+            attempt.cancel_failover(entry, &failure, standing);
             None
         }
         Ok(ended) => Some(Box::pin(ready(ended))),
@@ -98,36 +98,36 @@
 /// A server that is silent for `patience` is left when, and only when, the request can go on elsewhere.
 /// Given up for nothing, it cut answers that were coming: the caller saw a broken stream or a failure, and
 /// the server's log a run that would have ended well. So attempts, budget, place and connection come first.
-pub async fn hear<T>(
+pub async fn wait_answer<T>(
     entry: &Rc<DaemonState>,
     attempt: &Attempt,
     patience: Duration,
     answer: impl Future<Output = T>,
-) -> Heard<T> {
+) -> WaitOutcome<T> {
     let left = attempt.deadline.saturating_sub(entry.now());
     tokio::select! {
         biased;
-        answer = answer => Heard::Answer(answer),
-        () = sleep(left) => Heard::OutOfTime,
-        chosen = elsewhere(entry, attempt, patience) => Heard::Elsewhere(chosen),
+        answer = answer => WaitOutcome::Answer(answer),
+        () = sleep(left) => WaitOutcome::OutOfTime,
+        chosen = elsewhere(entry, attempt, patience) => WaitOutcome::FailOver(chosen),
     }
 }
 
 /// Returns once the request can go on at another server; never, where it may not.
-async fn elsewhere(entry: &Rc<DaemonState>, attempt: &Attempt, patience: Duration) -> Chosen {
+async fn elsewhere(entry: &Rc<DaemonState>, attempt: &Attempt, patience: Duration) -> ChosenServer {
     if !attempt.route.is_retryable() {
         return pending().await;
     }
     sleep(patience).await;
-    if !attempt.may_leave() {
+    if !attempt.may_fail_over() {
         note(entry, attempt);
         return pending().await;
     }
     let mut guard = None;
-    let until = entry.now() + AGAIN;
+    let until = entry.now() + RESUME_TIMEOUT;
     let mut is_noted = false;
     loop {
-        let changed = entry.waits.changed.notified();
+        let changed = entry.waits.inventories_changed.notified();
         if let Some(chosen) = able(entry, attempt).await {
             return chosen;
         }
@@ -145,15 +145,16 @@
 }
 
 /// Returns another server that can take the request now, its repeat taken out of the budget.
-async fn able(entry: &DaemonState, attempt: &Attempt) -> Option<Chosen> {
-    if entry.is_held(&attempt.print) || !entry.has_retry(&attempt.service) {
+async fn able(entry: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
+    if entry.is_quarantined(&attempt.fingerprint) || !entry.has_retry(&attempt.service) {
         return None;
     }
     let item = attempt.item();
     let tried = attempt.all_tried();
-    let chosen = entry.with_chooser(|c| c.spare(&attempt.service, item.as_ref(), &tried))?;
+    let chosen =
+        entry.with_chooser(|c| c.choose_available(&attempt.service, item.as_ref(), &tried))?;
     let server = &chosen.server;
-    if entry.pool.prepare(&server.instance(), server.addr).await.is_err() {
+    if entry.pool.ensure_idle(&server.instance(), server.addr).await.is_err() {
         entry.record_health(&attempt.service, &server.instance(), Evidence::Unreachable);
         return None;
     }
@@ -163,7 +164,7 @@
 
 /// Tells of a silent server that cannot be left yet, and lets other requests avoid it.
 fn note(entry: &DaemonState, attempt: &Attempt) {
-    let Some(server) = &attempt.last else { return };
+    let Some(server) = &attempt.last_server else { return };
     slog::info!(entry.log, "server-silent"; "attempt" => attempt.id(), "server" => %server,
         "ms" => entry.now().saturating_sub(attempt.arrived).as_millis());
     entry.record_health(&attempt.service, server, Evidence::Failed);
@@ -173,8 +174,8 @@
 fn want(entry: &DaemonState, attempt: &Attempt, until: Moment) -> Option<WaitGuard> {
     let item = attempt.item()?;
     let tried = attempt.all_tried();
-    if matches!(entry.with_chooser(|c| c.engine(&item, &tried)), Choice::Server(_)) {
+    if matches!(entry.with_chooser(|c| c.choose_engine(&item, &tried)), EngineChoice::Server(_)) {
         return None;
     }
-    Some(entry.waits.begin(item, until, until, unusable(entry, &attempt.service, &tried)))
+    Some(entry.waits.begin(item, until, until, unusable_engines(entry, &attempt.service, &tried)))
 }
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -12,20 +12,20 @@
 use crate::cluster::server_instance::ServerInstance;
 use crate::placement::demand::ModelTarget;
 use crate::serve::admission::Admission;
-use crate::serve::admission::Outlook;
+use crate::serve::admission::AdmissionInput;
 use crate::serve::attempt::Attempt;
-use crate::serve::choose::Choice;
-use crate::serve::choose::Chosen;
+use crate::serve::choose::ChosenServer;
+use crate::serve::choose::EngineChoice;
 use crate::serve::daemon_state::DaemonState;
-use crate::serve::handle::ELSEWHERE;
+use crate::serve::handle::OTHER_DAEMON_RETRY_AFTER;
 use crate::serve::reply::Refusal;
 use crate::serve::server_feedback::RATE_LIMITED;
 use crate::serve::server_feedback::retry_after;
-use crate::serve::suspects::HELD;
+use crate::serve::suspects::QUARANTINED_REASON;
 use crate::verdict::Verdict;
 
 /// When a caller should come back where nothing better is known.
-pub const COME_BACK: Duration = Duration::from_secs(1);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Left of a caller's patience for the engine's first event, after a wait for a model.
 const FIRST_EVENT: Duration = Duration::from_millis(200);
 /// Time in which the holder of the placement lease says what it does about a wait.
@@ -35,7 +35,7 @@
 /// Time over which suspects of one crash are spread: some ways of a datagram between data centres.
 const SPREAD: Duration = Duration::from_millis(60);
 /// Time in which another engine must be found for a stream that broke off.
-pub const AGAIN: Duration = Duration::from_millis(1200);
+pub const RESUME_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Chooses a server, waiting for a model or adapter to be loaded where none has it.
 ///
@@ -45,49 +45,50 @@
 pub async fn find_server(
     entry: &Rc<DaemonState>,
     attempt: &mut Attempt,
-) -> Result<Chosen, Refusal> {
-    if let Some(refusal) = entry.held_refusal(attempt) {
+) -> Result<ChosenServer, Refusal> {
+    if let Some(refusal) = entry.quarantine_refusal(attempt) {
         return Err(refusal);
     }
     let Some(item) = attempt.item() else {
-        let chosen = entry.with_chooser(|c| c.plain(&attempt.service, &attempt.tried));
-        return chosen.ok_or_else(|| Refusal::failed(attempt.verdict, "no server", COME_BACK));
+        let chosen = entry.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried));
+        return chosen
+            .ok_or_else(|| Refusal::failed(attempt.verdict, "no server", DEFAULT_RETRY_AFTER));
     };
     let began = entry.now();
     let mut guard = None;
     take_turns(entry, attempt).await;
     loop {
-        let changed = entry.waits.changed.notified();
-        if let Some(refusal) = entry.held_refusal(attempt) {
+        let changed = entry.waits.inventories_changed.notified();
+        if let Some(refusal) = entry.quarantine_refusal(attempt) {
             return Err(refusal);
         }
         match engine(entry, attempt, &item) {
-            Choice::Server(chosen) => {
-                attempt.waited += entry.now().saturating_sub(began);
+            EngineChoice::Server(chosen) => {
+                attempt.model_wait += entry.now().saturating_sub(began);
                 return admit(entry, attempt, chosen);
             }
-            Choice::NoServer => {
-                return Err(Refusal::failed(attempt.verdict, "no server", COME_BACK));
+            EngineChoice::NoServer => {
+                return Err(Refusal::failed(attempt.verdict, "no server", DEFAULT_RETRY_AFTER));
             }
-            Choice::Missing => {}
+            EngineChoice::NotLoaded => {}
         }
         let now = entry.now();
         let patience = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
         let give_up = patience.min(entry.latest_start(attempt.deadline));
         if let Some(refusal) = hopeless(entry, attempt, &item, began, give_up) {
-            attempt.waited += now.saturating_sub(began);
+            attempt.model_wait += now.saturating_sub(began);
             return Err(refusal);
         }
         if guard.is_none() {
             slog::info!(entry.log, "request-waits"; "attempt" => attempt.id(),
                 "model" => item.model.as_str(), "adapter" => item.adapter.as_deref().unwrap_or("-"),
-                "ahead" => entry.waits.waiting(&item),
+                "ahead" => entry.waits.waiting_for(&item),
                 "give_up_ms" => give_up.saturating_sub(now).as_millis());
             guard = Some(entry.waits.begin(
                 item.clone(),
                 (attempt.arrived + attempt.route.latency_goal).saturating_sub(FIRST_EVENT),
                 give_up,
-                unusable(entry, &attempt.service, &attempt.tried),
+                unusable_engines(entry, &attempt.service, &attempt.tried),
             ));
         }
         // Engines that refused it may have room again.
@@ -105,14 +106,14 @@
 /// crash one too many waits until the others of its last crash have had time to show that they did not do it.
 async fn take_turns(entry: &Rc<DaemonState>, attempt: &mut Attempt) {
     attempt.trial = None;
-    if !entry.is_suspect(&attempt.print) {
+    if !entry.is_suspect(&attempt.fingerprint) {
         return;
     }
-    attempt.trial = Some(entry.trials.wait(attempt.print, entry.now()));
+    attempt.trial = Some(entry.trials.wait(attempt.fingerprint, entry.now()));
     sleep(SPREAD.mul_f64(rand::rng().random_range(0.5..1.0))).await;
-    while entry.now() < attempt.deadline && entry.held_refusal(attempt).is_none() {
-        let changed = entry.waits.changed.notified();
-        let undecided = entry.quarantine.borrow().decision_delay(&attempt.print, entry.now());
+    while entry.now() < attempt.deadline && entry.quarantine_refusal(attempt).is_none() {
+        let changed = entry.waits.inventories_changed.notified();
+        let undecided = entry.quarantine.borrow().decision_delay(&attempt.fingerprint, entry.now());
         if undecided.is_zero() && may_go(entry, attempt) {
             return;
         }
@@ -122,39 +123,44 @@
 
 /// Returns whether it is an attempt's turn, or it needs none.
 fn may_go(entry: &DaemonState, attempt: &mut Attempt) -> bool {
-    if !entry.is_suspect(&attempt.print) {
+    if !entry.is_suspect(&attempt.fingerprint) {
         attempt.trial = None;
         return true;
     }
     // It may have become a suspect while it waited for a model.
-    let trial = attempt.trial.get_or_insert_with(|| entry.trials.wait(attempt.print, entry.now()));
+    let trial =
+        attempt.trial.get_or_insert_with(|| entry.trials.wait(attempt.fingerprint, entry.now()));
     entry.trials.is_next(trial, &entry.settings().id, entry.now())
 }
 
 /// Chooses an engine; a suspect gets one to itself among suspects, when it is its turn.
-fn engine(entry: &DaemonState, attempt: &mut Attempt, item: &ModelTarget) -> Choice {
+fn engine(entry: &DaemonState, attempt: &mut Attempt, item: &ModelTarget) -> EngineChoice {
     if !may_go(entry, attempt) {
-        return Choice::Missing;
+        return EngineChoice::NotLoaded;
     }
     let Some(trial) = &attempt.trial else {
-        return entry.with_chooser(|c| c.engine(item, &attempt.tried));
+        return entry.with_chooser(|c| c.choose_engine(item, &attempt.tried));
     };
     let mut closed = entry.trials.servers(entry.now());
     closed.extend_from_slice(&attempt.tried);
-    let choice = entry.with_chooser(|c| c.engine(item, &closed));
-    if let Choice::Server(chosen) = &choice {
+    let choice = entry.with_chooser(|c| c.choose_engine(item, &closed));
+    if let EngineChoice::Server(chosen) = &choice {
         trial.begin(chosen.server.instance());
     }
     choice
 }
 
 /// Lets a request go to a chosen engine, unless its queue is too long for the caller.
-fn admit(entry: &DaemonState, attempt: &mut Attempt, chosen: Chosen) -> Result<Chosen, Refusal> {
+fn admit(
+    entry: &DaemonState,
+    attempt: &mut Attempt,
+    chosen: ChosenServer,
+) -> Result<ChosenServer, Refusal> {
     let now = entry.now();
     let left = |until: Moment| until.saturating_sub(now);
     let leaves = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
-    let outlook = Outlook {
-        wait: chosen.wait,
+    let outlook = AdmissionInput {
+        queue_wait: chosen.queue_wait,
         due: left(attempt.arrived + attempt.route.latency_goal),
         patience: left(leaves),
     };
@@ -162,7 +168,7 @@
         Admission::Now => attempt.is_late = false,
         Admission::Late => attempt.is_late = true,
         Admission::Refused(retry) => {
-            attempt.queued = chosen.wait;
+            attempt.queue_wait = chosen.queue_wait;
             return Err(Refusal::failed(
                 attempt.verdict,
                 "all engines with the model are full",
@@ -174,13 +180,13 @@
 }
 
 /// Engines that this request cannot use: those that failed it, and those out of reach.
-pub fn unusable(
+pub fn unusable_engines(
     entry: &DaemonState,
     service: &str,
     tried: &[ServerInstance],
 ) -> Vec<ServerInstance> {
-    let mut list = entry.with_chooser(|c| c.dark(service));
-    list.extend(entry.with_chooser(|c| c.held_back(service)));
+    let mut list = entry.with_chooser(|c| c.unreachable_servers(service));
+    list.extend(entry.with_chooser(|c| c.rate_limited(service)));
     list.extend_from_slice(tried);
     list
 }
@@ -209,7 +215,11 @@
         }
     }
     if expected.is_none() && nobody_loads(entry) {
-        return Some(Refusal::failed(verdict, "this data centre is cut off", ELSEWHERE));
+        return Some(Refusal::failed(
+            verdict,
+            "this data centre is cut off",
+            OTHER_DAEMON_RETRY_AFTER,
+        ));
     }
     match expected {
         Some(at) if at + FIRST_EVENT > give_up && now < give_up => {
@@ -217,7 +227,7 @@
             Some(Refusal::failed(verdict, "the model will be loaded too late", retry))
         }
         _ if now + FIRST_EVENT > give_up => {
-            Some(Refusal::failed(verdict, "the model was not loaded in time", COME_BACK))
+            Some(Refusal::failed(verdict, "the model was not loaded in time", DEFAULT_RETRY_AFTER))
         }
         None if !entry.with_chooser(|c| c.has_copy(item)) => {
             let load = load_time(attempt, item);
@@ -225,9 +235,9 @@
             (is_silent || now + load > give_up)
                 .then(|| Refusal::failed(verdict, "no host has a copy of the model", load))
         }
-        None if give_up < now + soonest(attempt, item) && now > began + WORD_TIME => {
-            Some(Refusal::failed(verdict, "no engine can load the model in time", COME_BACK))
-        }
+        None if give_up < now + soonest(attempt, item) && now > began + WORD_TIME => Some(
+            Refusal::failed(verdict, "no engine can load the model in time", DEFAULT_RETRY_AFTER),
+        ),
         _ => None,
     }
 }
@@ -247,7 +257,7 @@
 
 /// Time of the model's load from the weight store.
 fn load_time(attempt: &Attempt, item: &ModelTarget) -> Duration {
-    model_spec(attempt, item).map_or(COME_BACK, |m| m.store_load)
+    model_spec(attempt, item).map_or(DEFAULT_RETRY_AFTER, |m| m.store_load)
 }
 
 /// Time that an item which is not on its way takes at least until its first event.
@@ -257,19 +267,22 @@
 }
 
 /// Chooses another server for a stream that broke off; callers wait for events, so not for long.
-pub async fn find_again(entry: &Rc<DaemonState>, attempt: &mut Attempt) -> Option<Chosen> {
+pub async fn find_replacement(
+    entry: &Rc<DaemonState>,
+    attempt: &mut Attempt,
+) -> Option<ChosenServer> {
     let item = attempt.item()?;
     // A stream that left a server by itself would still have one: it is not broken off before its time.
-    let until = if attempt.has_left { attempt.deadline } else { entry.now() + AGAIN };
+    let until = if attempt.failed_over { attempt.deadline } else { entry.now() + RESUME_TIMEOUT };
     let mut guard = None;
     take_turns(entry, attempt).await;
     loop {
-        let changed = entry.waits.changed.notified();
-        if entry.held_refusal(attempt).is_some() {
-            attempt.reason = HELD;
+        let changed = entry.waits.inventories_changed.notified();
+        if entry.quarantine_refusal(attempt).is_some() {
+            attempt.reason = QUARANTINED_REASON;
             return None;
         }
-        if let Choice::Server(chosen) = engine(entry, attempt, &item) {
+        if let EngineChoice::Server(chosen) = engine(entry, attempt, &item) {
             return Some(chosen);
         }
         let left = until.saturating_sub(entry.now());
@@ -277,7 +290,7 @@
             return None;
         }
         guard.get_or_insert_with(|| {
-            let avoid = unusable(entry, &attempt.service, &attempt.tried);
+            let avoid = unusable_engines(entry, &attempt.service, &attempt.tried);
             entry.waits.begin(item.clone(), until, until, avoid)
         });
         let _notified = timeout(left.min(FULL_PAUSE * 2), changed).await;
--- a/lib/src/serve/follow_servers.rs
+++ b/lib/src/serve/follow_servers.rs
@@ -53,7 +53,7 @@
                     entry.coverage.is_partial.set(false);
                 }
                 entry.coverage.has_gap.set(false);
-                entry.coverage.reached(sent);
+                entry.coverage.advance_servers(sent);
                 is_listed = true;
                 pause = PAUSE;
             }
@@ -90,5 +90,5 @@
 /// that its picture is never older than if it read all the time, whatever becomes of readers.
 fn due(entry: &DaemonState) -> Moment {
     let part = if entry.is_large_fleet() && entry.is_reader() { READER_PART } else { READ_PART };
-    entry.coverage.servers.get() + entry.settings().drain.mul_f64(part)
+    entry.coverage.servers_at.get() + entry.settings().drain.mul_f64(part)
 }
--- a/lib/src/serve/freshness.rs
+++ b/lib/src/serve/freshness.rs
@@ -7,12 +7,12 @@
 
 /// What the picture of the platform stands on.
 #[derive(Debug, Default)]
-pub struct Coverage {
+pub struct Freshness {
     /// The moment up to which the list of servers is complete but for what they hold, by this daemon's own reads or
     /// by readers' words.
-    pub servers: Cell<Moment>,
+    pub servers_at: Cell<Moment>,
     /// The moment up to which the configuration in force is the newest, as readers tell.
-    pub config: Cell<Moment>,
+    pub config_at: Cell<Moment>,
     /// Whether a part of the list came by words, which leave out what servers hold.
     pub is_partial: Cell<bool>,
     /// Whether a reader told of changes behind some that were missed, or has another picture.
@@ -25,9 +25,9 @@
 /// the two has heard of a server's notice elsewhere.
 const DIFFER_FOR: Duration = Duration::from_secs(1);
 
-impl Coverage {
+impl Freshness {
     /// Notes whether the picture is the same as a reader's; returns whether it must be fetched anew.
-    pub fn compared(&self, is_same: bool, now: Moment) -> bool {
+    pub fn record_comparison(&self, is_same: bool, now: Moment) -> bool {
         if is_same {
             self.differs.set(None);
             return false;
@@ -40,7 +40,7 @@
     }
 
     /// Notes that the list of servers is complete up to a moment.
-    pub fn reached(&self, at: Moment) {
-        self.servers.set(self.servers.get().max(at));
+    pub fn advance_servers(&self, at: Moment) {
+        self.servers_at.set(self.servers_at.get().max(at));
     }
 }
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -124,7 +124,7 @@
             }
             Payload::Trials(notes) => {
                 if entry.trials.heard(&message.from, notes, now) {
-                    entry.waits.changed.notify_waiters();
+                    entry.waits.inventories_changed.notify_waiters();
                 }
             }
         }
@@ -162,7 +162,7 @@
         }
         if !had_holder && digest.lease.is_some() {
             // Demand that nobody heard is told to the new holder at once.
-            entry.waits.begun.notify_one();
+            entry.waits.wait_started.notify_one();
         }
         self.take_left(from, &digest.departures);
         entry.apply_peer_limits(&digest.limits, from);
@@ -221,7 +221,7 @@
         }
         if digest.config_version <= entry.config_version() {
             let age = Duration::from_millis(digest.config_age.into());
-            let told = &entry.coverage.config;
+            let told = &entry.coverage.config_at;
             told.set(told.get().max(now.saturating_sub(age)));
         }
         if self.take_changes(&heard, changes_from, digest.servers_end, joined) {
@@ -237,7 +237,7 @@
         if directory.feed_end() != end {
             return;
         }
-        if entry.coverage.compared(directory.checksum() == checksum, entry.now()) {
+        if entry.coverage.record_comparison(directory.checksum() == checksum, entry.now()) {
             entry.metrics.word("differs");
             slog::warn!(entry.log, "picture-differs"; "reader" => %from, "feed_end" => end,
                 "servers" => directory.servers().count());
@@ -277,7 +277,7 @@
         }
         entry.metrics.word("taken");
         entry.directory.borrow_mut().record_relayed_read(heard.read, end);
-        entry.coverage.reached(heard.read);
+        entry.coverage.advance_servers(heard.read);
         entry.coverage.is_partial.set(true);
         true
     }
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -30,9 +30,9 @@
 use crate::serve::daemon_state::DaemonState;
 use crate::serve::exchange_plain;
 use crate::serve::exchange_stream;
-use crate::serve::exchange_stream::Opened;
+use crate::serve::exchange_stream::OpenOutcome;
 use crate::serve::reply::Refusal;
-use crate::serve::reply::pass_on;
+use crate::serve::reply::forward_response;
 use crate::verdict::Verdict;
 
 /// Bodies of requests that are held at once; more would not fit a small host's memory.
@@ -43,12 +43,12 @@
 const LEARNING: Duration = Duration::from_millis(500);
 
 /// When a caller should try another daemon in place of one that stops or is cut off.
-pub const ELSEWHERE: Duration = Duration::from_millis(50);
+pub const OTHER_DAEMON_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Why a request has no answer, where a stop is the cause.
-pub const STOPS: &str = "this daemon stops";
+pub const STOPPING_REASON: &str = "this daemon stops";
 
 /// Answers a request, which is in progress until its answer is written.
-pub async fn handle(
+pub async fn handle_request(
     entry: Rc<DaemonState>,
     active: ActiveRequest,
     request: Request<Incoming>,
@@ -62,7 +62,7 @@
     if entry.closes_connections() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    response.body_mut().hold(active);
+    response.body_mut().attach_request(active);
     response
 }
 
@@ -94,13 +94,13 @@
     arrived: Moment,
 ) -> Result<Attempt, (request::Parts, Refusal)> {
     let Some(config) = entry.config() else {
-        let refusal = Refusal::unrun("no configuration yet", LEARNING);
+        let refusal = Refusal::not_run("no configuration yet", LEARNING);
         return Err((parts, refusal));
     };
     let body = tokio::select! {
         biased;
         body = read_body(body, config.limits.max_body) => body,
-        () = entry.aborted() => Err(Refusal::unrun(STOPS, ELSEWHERE)),
+        () = entry.aborted() => Err(Refusal::not_run(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
     };
     let body = match body {
         Ok(body) => body,
@@ -110,23 +110,23 @@
     let config = entry.config().unwrap_or(config);
     let Some(route) = config.route(host(&parts), parts.uri.path()).cloned() else {
         let refusal = if entry.is_config_stale(entry.now()) {
-            Refusal::unrun("no such route, but the configuration may be old", LEARNING)
+            Refusal::not_run("no such route, but the configuration may be old", LEARNING)
         } else {
-            Refusal::wrong(StatusCode::NOT_FOUND, "no such route")
+            Refusal::client_error(StatusCode::NOT_FOUND, "no such route")
         };
         return Err((parts, refusal));
     };
     let Some(service) = pick_service(&route) else {
-        return Err((parts, Refusal::unrun("the route has no service", LEARNING)));
+        return Err((parts, Refusal::not_run("the route has no service", LEARNING)));
     };
     let terms = entry.protocol.caller_terms(&parts.headers);
     let time = terms.patience.map_or(route.timeout, |p| p.min(route.timeout));
     let target = parts.uri.path_and_query().map_or("/", PathAndQuery::as_str);
-    let print = Fingerprint::new(&parts.method, host(&parts), target, &body);
+    let fingerprint = Fingerprint::new(&parts.method, host(&parts), target, &body);
     Ok(Attempt {
         parts,
         body,
-        print,
+        fingerprint,
         terms,
         config: Rc::clone(&config),
         route,
@@ -136,35 +136,37 @@
         verdict: Verdict::DidNotRun,
         sending: false,
         tried: Vec::new(),
-        has_left: false,
-        runs: 0,
+        failed_over: false,
+        possible_runs: 0,
         sends: 0,
-        arrivals: 0,
-        last: None,
+        deliveries: 0,
+        last_server: None,
         is_late: false,
-        queued: Duration::ZERO,
+        queue_wait: Duration::ZERO,
         cost: 0.0,
-        among: 0,
+        candidate_count: 0,
         reason: "",
-        waited: Duration::ZERO,
+        model_wait: Duration::ZERO,
         trial: None,
         young_since: None,
-        sent: arrived,
-        first: None,
-        pause: Duration::ZERO,
+        sent_at: arrived,
+        first_event: None,
+        max_pause: Duration::ZERO,
     })
 }
 
 async fn read_body(mut body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
-    let too_large = || Refusal::wrong(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+    let too_large =
+        || Refusal::client_error(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
     if body.size_hint().lower() > limit.min(HELD_BYTES) as u64 {
         return Err(too_large());
     }
     let mut bytes = BytesMut::new();
     let whole = async {
         while let Some(frame) = body.frame().await {
-            let frame = frame
-                .map_err(|_broken| Refusal::wrong(StatusCode::BAD_REQUEST, "the body broke off"))?;
+            let frame = frame.map_err(|_broken| {
+                Refusal::client_error(StatusCode::BAD_REQUEST, "the body broke off")
+            })?;
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
             }
@@ -177,7 +179,7 @@
     match timeout(BODY_TIME, whole).await {
         Ok(read) => read?,
         Err(_elapsed) => {
-            return Err(Refusal::wrong(
+            return Err(Refusal::client_error(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body did not come in time",
             ));
@@ -202,7 +204,7 @@
 }
 
 async fn answer(entry: &Rc<DaemonState>, mut attempt: Attempt) -> Response<ReplyBody> {
-    if let Some(refusal) = entry.held_refusal(&attempt) {
+    if let Some(refusal) = entry.quarantine_refusal(&attempt) {
         return refuse(entry, &attempt, &refusal);
     }
     if let Some(item) = attempt.item() {
@@ -210,35 +212,39 @@
     }
     entry.budget.borrow_mut().record_first(&attempt.service, attempt.arrived);
     if entry.now() > entry.latest_start(attempt.deadline) {
-        return refuse(entry, &attempt, &Refusal::unrun(STOPS, ELSEWHERE));
+        return refuse(
+            entry,
+            &attempt,
+            &Refusal::not_run(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER),
+        );
     }
     let result = tokio::select! {
         biased;
         result = exchange(entry, &mut attempt) => result,
-        () = entry.aborted() => Err(attempt.give_up(STOPS, ELSEWHERE)),
+        () = entry.aborted() => Err(attempt.give_up(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
     };
     match result {
-        Ok(Opened::Other(head, body)) => {
+        Ok(OpenOutcome::Whole(head, body)) => {
             attempt.verdict = Verdict::Ran;
-            entry.note_passed(&attempt, RequestProgress::Complete);
-            log_answer(entry, &attempt, head.status, "answered", None);
-            pass_on(head, body)
+            entry.record_passed(&attempt, RequestProgress::Complete);
+            log_request(entry, &attempt, head.status, "answered", None);
+            forward_response(head, body)
         }
-        Ok(Opened::Stream(started)) => exchange_stream::relay(entry, attempt, *started),
+        Ok(OpenOutcome::Stream(started)) => exchange_stream::spawn_relay(entry, attempt, *started),
         Err(refusal) => refuse(entry, &attempt, &refusal),
     }
 }
 
-async fn exchange(entry: &Rc<DaemonState>, attempt: &mut Attempt) -> Result<Opened, Refusal> {
+async fn exchange(entry: &Rc<DaemonState>, attempt: &mut Attempt) -> Result<OpenOutcome, Refusal> {
     if attempt.route.kind == RouteKind::Streaming {
-        return exchange_stream::open(entry, attempt).await;
+        return exchange_stream::open_stream(entry, attempt).await;
     }
     let (head, body) = exchange_plain::run(entry, attempt).await?;
-    Ok(Opened::Other(head, body))
+    Ok(OpenOutcome::Whole(head, body))
 }
 
 fn refuse(entry: &DaemonState, attempt: &Attempt, refusal: &Refusal) -> Response<ReplyBody> {
-    log_answer(entry, attempt, refusal.status, refusal.reason, None);
+    log_request(entry, attempt, refusal.status, refusal.reason, None);
     entry.metrics.refused(refusal.reason);
     let mut response = refusal.response();
     if let Some(id) = &attempt.terms.attempt {
@@ -248,7 +254,7 @@
 }
 
 /// Writes the one line that tells how a request ended.
-pub fn log_answer(
+pub fn log_request(
     entry: &DaemonState,
     attempt: &Attempt,
     status: StatusCode,
@@ -258,16 +264,16 @@
     let now = entry.now();
     let ms = |t: Moment| t.saturating_sub(attempt.arrived).as_millis();
     entry.metrics.answered(&attempt.route.name, attempt.verdict);
-    slog::info!(entry.log, "request"; "attempt" => attempt.id(), "print" => %attempt.print,
+    slog::info!(entry.log, "request"; "attempt" => attempt.id(), "print" => %attempt.fingerprint,
         "route" => attempt.route.name.as_str(), "service" => attempt.service.as_str(),
         "model" => attempt.terms.model.as_deref().unwrap_or("-"),
         "adapter" => attempt.terms.adapter.as_deref().unwrap_or("-"),
-        "server" => attempt.last.as_ref().map_or("-", |s| s.id.as_str()),
-        "among" => attempt.among, "cost_ms" => attempt.cost.round() as i64,
+        "server" => attempt.last_server.as_ref().map_or("-", |s| s.id.as_str()),
+        "among" => attempt.candidate_count, "cost_ms" => attempt.cost.round() as i64,
         "status" => status.as_u16(), "verdict" => %attempt.verdict, "reason" => reason,
         "sends" => attempt.sends, "late" => attempt.is_late,
-        "queued_ms" => attempt.queued.as_millis(), "waited_ms" => attempt.waited.as_millis(),
-        "pause_ms" => attempt.pause.as_millis(), "first_ms" => first.map_or(-1, |t| ms(t) as i64), "ms" => ms(now),
+        "queued_ms" => attempt.queue_wait.as_millis(), "waited_ms" => attempt.model_wait.as_millis(),
+        "pause_ms" => attempt.max_pause.as_millis(), "first_ms" => first.map_or(-1, |t| ms(t) as i64), "ms" => ms(now),
         "left_ms" => attempt.deadline.saturating_sub(now).as_millis(),
         "config" => attempt.config.version);
 }
--- a/lib/src/serve/headers.rs
+++ b/lib/src/serve/headers.rs
@@ -4,7 +4,7 @@
 use http::header;
 
 /// Removes the headers that concern only one connection, and the length, which is set anew.
-pub fn strip_connection(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/lib/src/serve/lifecycle.rs
+++ b/lib/src/serve/lifecycle.rs
@@ -58,7 +58,7 @@
     let ready = socket::listen(settings.ready)?;
     let peers = socket::listen(settings.peer)?;
     entry.tenure.borrow_mut().set_address(settings.peer, entry.now());
-    let gossip = Gossip::new(Rc::clone(entry), socket::datagrams(settings.peer)?);
+    let gossip = Gossip::new(Rc::clone(entry), socket::bind_udp(settings.peer)?);
     let calls = Rc::new(PooledCalls::new(Rc::clone(entry)));
     let orders = PlacementController::new(Rc::clone(entry), Rc::clone(&gossip), calls);
     let lease = LeaseManager::new(Rc::clone(entry), Rc::clone(&gossip));
@@ -68,7 +68,7 @@
     spawn_local(follow_config::follow_config(Rc::clone(entry)));
     spawn_local(follow_servers::follow_servers(Rc::clone(entry)));
     spawn_local(apply_updates::follow_daemons(Rc::clone(entry)));
-    spawn_local(suspects::recall(Rc::clone(entry)));
+    spawn_local(suspects::load_quarantine(Rc::clone(entry)));
     spawn_local(peer_transfer::serve_peers(Rc::clone(entry), peers));
     spawn_local(Rc::clone(&gossip).receive());
     spawn_local(Rc::clone(&gossip).publish_digests());
@@ -132,7 +132,7 @@
         apply_updates::sweep_servers(&entry);
         suspects::sweep(&entry);
         let directory = entry.directory.borrow();
-        entry.pool.sweep(|start| directory.is_current(start));
+        entry.pool.evict_idle(|start| directory.is_current(start));
     }
 }
 
--- a/lib/src/serve/model_waits.rs
+++ b/lib/src/serve/model_waits.rs
@@ -33,23 +33,23 @@
 
 /// The waiting requests by what they wait for.
 #[derive(Clone, Debug, Default)]
-pub struct Waits {
+pub struct ModelWaits {
     tables: Rc<RefCell<Tables>>,
     /// Signalled when engines hold something else than before.
-    pub changed: Rc<Notify>,
+    pub inventories_changed: Rc<Notify>,
     /// Signalled when a request begins to wait for something new.
-    pub begun: Rc<Notify>,
+    pub wait_started: Rc<Notify>,
 }
 
 /// A waiting request; it ends when this is dropped.
 #[derive(Debug)]
 pub struct WaitGuard {
-    waits: Waits,
+    waits: ModelWaits,
     item: ModelTarget,
     number: u64,
 }
 
-impl Waits {
+impl ModelWaits {
     /// Counts an arrival.
     pub fn arrived(&self, item: &ModelTarget, now: Moment) {
         let mut tables = self.tables.borrow_mut();
@@ -72,12 +72,12 @@
         let list = tables.waiting.entry(item.clone()).or_default();
         list.insert(number, Waiting { due, until, avoid });
         drop(tables);
-        self.begun.notify_one();
+        self.wait_started.notify_one();
         WaitGuard { waits: self.clone(), item, number }
     }
 
     /// Returns how many requests wait for an item.
-    pub fn waiting(&self, item: &ModelTarget) -> usize {
+    pub fn waiting_for(&self, item: &ModelTarget) -> usize {
         self.tables.borrow().waiting.get(item).map_or(0, BTreeMap::len)
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Returns the demand to be told.
-    pub fn note(&self, now: Moment) -> DemandReport {
+    pub fn demand_note(&self, now: Moment) -> DemandReport {
         let tables = self.tables.borrow();
         let queued = tables.waiting.iter().map(|(item, list)| want(item, list, now)).collect();
         let fresh = tables.counts.iter().filter(|(_, (at, _))| now <= *at + TOLD_FOR);
--- a/lib/src/serve/peer_sync.rs
+++ b/lib/src/serve/peer_sync.rs
@@ -92,7 +92,7 @@
     let Some((addr, read)) = reader else { return };
     if fetch_from(entry, addr, PeerRequest::Snapshot).await {
         entry.coverage.has_gap.set(false);
-        entry.coverage.reached(read);
+        entry.coverage.advance_servers(read);
     }
 }
 
--- a/lib/src/serve/pool.rs
+++ b/lib/src/serve/pool.rs
@@ -49,7 +49,7 @@
 
 /// Idle connections by start of a server: what was opened to the last start is never used for the next.
 #[derive(Clone, Debug, Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: Rc<RefCell<HashMap<ServerInstance, Vec<Idle>>>>,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Returns an idle connection that is still sound.
     fn take_idle(&self, server: &ServerInstance) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// The server cannot be reached; nothing was sent.
-    pub async fn connection(
+    pub async fn acquire(
         &self,
         server: &ServerInstance,
         addr: SocketAddr,
@@ -87,7 +87,7 @@
         if let Some(connection) = self.take_idle(server) {
             return Ok(connection);
         }
-        self.fresh(server, addr).await
+        self.connect(server, addr).await
     }
 
     /// Returns a new connection to a server.
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// The server cannot be reached; nothing was sent.
-    pub async fn fresh(
+    pub async fn connect(
         &self,
         server: &ServerInstance,
         addr: SocketAddr,
@@ -115,7 +115,11 @@
     /// # Errors
     ///
     /// The server cannot be reached.
-    pub async fn prepare(&self, server: &ServerInstance, addr: SocketAddr) -> std::io::Result<()> {
+    pub async fn ensure_idle(
+        &self,
+        server: &ServerInstance,
+        addr: SocketAddr,
+    ) -> std::io::Result<()> {
         if self.has_idle(server) {
             return Ok(());
         }
@@ -132,7 +136,7 @@
         server: &ServerInstance,
         addr: SocketAddr,
     ) -> std::io::Result<()> {
-        let Connection { mut sender, server } = self.fresh(server, addr).await?;
+        let Connection { mut sender, server } = self.connect(server, addr).await?;
         sender.ready().await.map_err(std::io::Error::other)?;
         let until = Instant::now() + DEFAULT_KEEP.mul_f64(KEEP_PART);
         self.idle.borrow_mut().entry(server).or_default().push(Idle { sender, until });
@@ -149,7 +153,7 @@
     ///
     /// It is offered again only when its request, too, is written whole and nothing followed the
     /// answer: a server may answer early and read on.
-    pub fn give_back(&self, connection: Connection, keep: Option<Duration>) {
+    pub fn release(&self, connection: Connection, keep: Option<Duration>) {
         let Connection { mut sender, server, .. } = connection;
         if sender.is_closed() {
             return;
@@ -170,12 +174,12 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: &ServerInstance) {
+    pub fn close_idle(&self, server: &ServerInstance) {
         self.idle.borrow_mut().remove(server);
     }
 
     /// Closes idle connections that are too old, and all to servers other than `known`.
-    pub fn sweep(&self, known: impl Fn(&ServerInstance) -> bool) {
+    pub fn evict_idle(&self, known: impl Fn(&ServerInstance) -> bool) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -102,7 +102,7 @@
         let told = ReaderReport {
             digest: Digest { workloads: Vec::new(), ..self.digest(departures) },
             changes_from,
-            read_age: millis(now.saturating_sub(entry.coverage.servers.get())),
+            read_age: millis(now.saturating_sub(entry.coverage.servers_at.get())),
             remote_age: millis(now.saturating_sub(remote_heard)),
             joined: joined.into_iter().map(|(id, raw)| (id, raw.to_vec())).collect(),
             checksum,
@@ -149,7 +149,7 @@
                 () = self.entry.report_due.notified() => self.tell_words(),
                 () = self.entry.quarantine_changed.notified() => self.tell_turn(false),
                 () = self.entry.trials.changed.notified() => {
-                    self.entry.waits.changed.notify_waiters();
+                    self.entry.waits.inventories_changed.notify_waiters();
                     self.tell_trials();
                 }
             }
@@ -249,7 +249,7 @@
     /// waited for, then in steps.
     pub async fn publish_demand(self: Rc<Self>) {
         loop {
-            let begun = self.entry.waits.begun.notified();
+            let begun = self.entry.waits.wait_started.notified();
             self.tell_demand_now();
             sleep(DEMAND_GAP).await;
             let _begun = timeout(DEMAND_EVERY, begun).await;
@@ -259,7 +259,7 @@
     fn tell_demand_now(&self) {
         let entry = &self.entry;
         let now = entry.now();
-        let note = entry.waits.note(now);
+        let note = entry.waits.demand_note(now);
         if note == DemandReport::default() {
             return;
         }
--- a/lib/src/serve/relay.rs
+++ b/lib/src/serve/relay.rs
@@ -11,23 +11,23 @@
 use crate::cluster::quarantine_report::RequestProgress;
 use crate::cluster::server_health::Evidence;
 use crate::serve::attempt::Attempt;
-use crate::serve::body::BrokenOff;
+use crate::serve::body::BodyAborted;
 use crate::serve::body::ChunkSender;
-use crate::serve::choose::Chosen;
+use crate::serve::choose::ChosenServer;
 use crate::serve::daemon_state::DaemonState;
-use crate::serve::event_stream::Flow;
-use crate::serve::event_stream::Progress;
-use crate::serve::exchange_stream::Opened;
-use crate::serve::exchange_stream::Started;
-use crate::serve::exchange_stream::begin;
-use crate::serve::failover::Exchange;
-use crate::serve::failover::Heard;
-use crate::serve::failover::ask;
-use crate::serve::failover::hear;
-use crate::serve::failover::offer;
-use crate::serve::find_server::find_again;
-use crate::serve::handle::STOPS;
-use crate::serve::handle::log_answer;
+use crate::serve::event_stream::EventStream;
+use crate::serve::event_stream::StreamItem;
+use crate::serve::exchange_stream::OpenOutcome;
+use crate::serve::exchange_stream::StartedStream;
+use crate::serve::exchange_stream::start_stream;
+use crate::serve::failover::SendFuture;
+use crate::serve::failover::WaitOutcome;
+use crate::serve::failover::await_with_failover;
+use crate::serve::failover::try_failover;
+use crate::serve::failover::wait_answer;
+use crate::serve::find_server::find_replacement;
+use crate::serve::handle::STOPPING_REASON;
+use crate::serve::handle::log_request;
 use crate::serve::send::SendFailure;
 use crate::serve::suspects;
 use crate::verdict::Verdict;
@@ -48,7 +48,7 @@
     /// Where its events go.
     pub sender: ChunkSender,
     /// When its last events came.
-    pub heard: Moment,
+    pub last_received: Moment,
 }
 
 /// Why no more events of a server are passed on.
@@ -58,54 +58,54 @@
     OutOfTime,
     DaemonEnds,
     /// The server broke off, or another one has taken the request after a silence.
-    Broken(Option<Exchange<Opened>>),
+    Broken(Option<SendFuture<OpenOutcome>>),
 }
 
 impl Relay {
     /// Passes events on until the stream ends, one way or another.
-    pub async fn run(&mut self, started: Started) {
-        let Started { mut flow, events, first, head } = started;
-        let mut chunk = events;
+    pub async fn run(&mut self, started: StartedStream) {
+        let StartedStream { mut stream, first_events, first_event, head } = started;
+        let mut chunk = first_events;
         loop {
-            let stop = self.pass(&mut flow, chunk).await;
+            let stop = self.pass(&mut stream, chunk).await;
             self.note(&stop);
             let reason = match stop {
                 Stop::Complete => {
-                    let run = self.entry.now().saturating_sub(first);
+                    let run = self.entry.now().saturating_sub(first_event);
                     self.entry.run_times.record(&self.attempt.service, run);
                     self.attempt.verdict = Verdict::Ran;
-                    self.entry.note_passed(&self.attempt, RequestProgress::Complete);
-                    self.log(head.status, "complete", first, flow.last());
-                    self.entry.pool.give_back(flow.answer.connection, flow.answer.terms.keep);
+                    self.entry.record_passed(&self.attempt, RequestProgress::Complete);
+                    self.log(head.status, "complete", first_event, stream.last());
+                    self.entry.pool.release(stream.answer.connection, stream.answer.terms.keep);
                     return;
                 }
                 Stop::CallerLeft => CALLER_LEFT,
                 Stop::OutOfTime => "out of time",
-                Stop::DaemonEnds => STOPS,
+                Stop::DaemonEnds => STOPPING_REASON,
                 Stop::Broken(taken) => {
-                    let last = flow.last();
+                    let last = stream.last();
                     // The old connection is closed before the stream goes on elsewhere.
-                    drop(flow);
+                    drop(stream);
                     if let Some((next, events)) = self.resume(last, taken).await {
-                        flow = next;
+                        stream = next;
                         chunk = events;
                         continue;
                     }
                     let has_left = self.sender.is_closed();
                     let reason = if has_left { CALLER_LEFT } else { self.attempt.reason };
-                    self.break_off(head.status, reason, first, last).await;
+                    self.break_off(head.status, reason, first_event, last).await;
                     return;
                 }
             };
-            let last = flow.last();
-            drop(flow);
-            self.break_off(head.status, reason, first, last).await;
+            let last = stream.last();
+            drop(stream);
+            self.break_off(head.status, reason, first_event, last).await;
             return;
         }
     }
 
     fn note(&self, stop: &Stop) {
-        if let (Stop::Complete, Some(server)) = (stop, &self.attempt.last) {
+        if let (Stop::Complete, Some(server)) = (stop, &self.attempt.last_server) {
             self.entry.record_health(&self.attempt.service, server, Evidence::Sound);
         }
     }
@@ -113,24 +113,25 @@
     /// Ends the answer so that it cannot look complete.
     async fn break_off(&self, status: StatusCode, reason: &str, first: Moment, last: Option<u64>) {
         self.log(status, reason, first, last);
-        let _caller_gone = timeout(Duration::from_secs(1), self.sender.send(Err(BrokenOff))).await;
+        let _caller_gone =
+            timeout(Duration::from_secs(1), self.sender.send(Err(BodyAborted))).await;
     }
 
     fn log(&self, status: StatusCode, reason: &str, first: Moment, last: Option<u64>) {
-        log_answer(&self.entry, &self.attempt, status, reason, Some(first));
+        log_request(&self.entry, &self.attempt, status, reason, Some(first));
         self.entry.metrics.relayed(last.unwrap_or(0));
     }
 
     /// Notes the pause before events that have just come.
     fn note_pause(&mut self) {
         let now = self.entry.now();
-        let pause = now.saturating_sub(self.heard);
-        self.attempt.pause = self.attempt.pause.max(pause);
-        self.heard = now;
+        let pause = now.saturating_sub(self.last_received);
+        self.attempt.max_pause = self.attempt.max_pause.max(pause);
+        self.last_received = now;
     }
 
     /// Passes events on until the stream stops.
-    async fn pass(&mut self, flow: &mut Flow, mut chunk: Bytes) -> Stop {
+    async fn pass(&mut self, stream: &mut EventStream, mut chunk: Bytes) -> Stop {
         let gap = self.attempt.route.gap_target.unwrap_or(Duration::from_secs(1));
         loop {
             if !chunk.is_empty() && self.sender.send(Ok(chunk)).await.is_err() {
@@ -143,70 +144,72 @@
                 biased;
                 () = self.sender.closed() => return Stop::CallerLeft,
                 () = self.entry.aborted() => return Stop::DaemonEnds,
-                heard = hear(&self.entry, &self.attempt, gap * SILENT_GAPS, flow.next()) => heard,
+                heard = wait_answer(&self.entry, &self.attempt, gap * SILENT_GAPS, stream.next()) => heard,
             };
             match heard {
-                Heard::Answer(Ok(Progress::Events(events))) => {
+                WaitOutcome::Answer(Ok(StreamItem::Events(events))) => {
                     self.note_pause();
-                    self.entry.note_events(&mut self.attempt);
+                    self.entry.record_events(&mut self.attempt);
                     chunk = events;
                 }
-                Heard::Answer(Ok(Progress::End)) => return Stop::Complete,
-                Heard::Answer(Err(failure)) => {
+                WaitOutcome::Answer(Ok(StreamItem::End)) => return Stop::Complete,
+                WaitOutcome::Answer(Err(failure)) => {
                     self.failed(&failure).await;
                     return Stop::Broken(None);
                 }
-                Heard::Elsewhere(next) => {
-                    let last = flow.last();
-                    let again =
-                        |e: &Rc<DaemonState>, a: &mut Attempt, c: &Chosen| begin(e, a, c, last);
+                WaitOutcome::FailOver(next) => {
+                    let last = stream.last();
+                    let again = |e: &Rc<DaemonState>, a: &mut Attempt, c: &ChosenServer| {
+                        start_stream(e, a, c, last)
+                    };
                     let offered = tokio::select! {
                         biased;
                         () = self.sender.closed() => return Stop::CallerLeft,
                         () = self.entry.aborted() => return Stop::DaemonEnds,
-                        offered = offer(&self.entry, &mut self.attempt, &next, again) => offered,
+                        offered = try_failover(&self.entry, &mut self.attempt, &next, again) => offered,
                     };
                     match offered {
                         None => chunk = Bytes::new(),
                         Some(taken) => return Stop::Broken(Some(taken)),
                     }
                 }
-                Heard::OutOfTime => return Stop::OutOfTime,
+                WaitOutcome::OutOfTime => return Stop::OutOfTime,
             }
         }
     }
 
     /// Takes in that the server failed.
     async fn failed(&mut self, failure: &SendFailure) {
-        self.attempt.failed(&self.entry, failure);
-        suspects::note_failure(&self.entry, &self.attempt, failure).await;
+        self.attempt.record_failure(&self.entry, failure);
+        suspects::check_for_crash(&self.entry, &self.attempt, failure).await;
     }
 
     /// Sends the request to another server, where that is allowed.
-    async fn send_again(&mut self, last: Option<u64>) -> Option<Exchange<Opened>> {
+    async fn send_again(&mut self, last: Option<u64>) -> Option<SendFuture<OpenOutcome>> {
         let now = self.entry.now();
-        if !self.attempt.route.resumable || last.is_none() || !self.attempt.may_repeat(now) {
+        if !self.attempt.route.resumable || last.is_none() || !self.attempt.may_retry(now) {
             return None;
         }
         let chosen = tokio::select! {
             biased;
             () = self.sender.closed() => return None,
             () = self.entry.aborted() => return None,
-            chosen = find_again(&self.entry, &mut self.attempt) => chosen?,
+            chosen = find_replacement(&self.entry, &mut self.attempt) => chosen?,
         };
         if !self.entry.take_retry(&self.attempt.service) {
             return None;
         }
-        Some(begin(&self.entry, &mut self.attempt, &chosen, last))
+        Some(start_stream(&self.entry, &mut self.attempt, &chosen, last))
     }
 
     /// Goes on with the stream at another server, one that has taken it or one to be found.
     async fn resume(
         &mut self,
         last: Option<u64>,
-        mut taken: Option<Exchange<Opened>>,
-    ) -> Option<(Flow, Bytes)> {
-        let again = |e: &Rc<DaemonState>, a: &mut Attempt, c: &Chosen| begin(e, a, c, last);
+        mut taken: Option<SendFuture<OpenOutcome>>,
+    ) -> Option<(EventStream, Bytes)> {
+        let again =
+            |e: &Rc<DaemonState>, a: &mut Attempt, c: &ChosenServer| start_stream(e, a, c, last);
         loop {
             let sent = match taken.take() {
                 Some(taken) => taken,
@@ -217,19 +220,19 @@
                 biased;
                 () = self.sender.closed() => return None,
                 () = self.entry.aborted() => return None,
-                opened = ask(&self.entry, &mut self.attempt, sent, again) => opened,
+                opened = await_with_failover(&self.entry, &mut self.attempt, sent, again) => opened,
             };
             match opened {
-                Ok(Opened::Stream(started)) => {
-                    self.attempt.began(&self.entry, started.first);
+                Ok(OpenOutcome::Stream(started)) => {
+                    self.attempt.record_first_event(&self.entry, started.first_event);
                     slog::info!(self.entry.log, "stream-resumed"; "attempt" => self.attempt.id(),
-                        "server" => self.attempt.last.as_ref().map_or("-", |s| s.id.as_str()),
+                        "server" => self.attempt.last_server.as_ref().map_or("-", |s| s.id.as_str()),
                         "after" => last.unwrap_or(0));
-                    return Some((started.flow, started.events));
+                    return Some((started.stream, started.first_events));
                 }
-                Ok(Opened::Other(..)) => {
-                    let failure = SendFailure::doubtful("the server did not resume the stream");
-                    self.attempt.failed(&self.entry, &failure);
+                Ok(OpenOutcome::Whole(..)) => {
+                    let failure = SendFailure::may_have_run("the server did not resume the stream");
+                    self.attempt.record_failure(&self.entry, &failure);
                 }
                 Err(failure) => self.failed(&failure).await,
             }
--- a/lib/src/serve/reply.rs
+++ b/lib/src/serve/reply.rs
@@ -10,15 +10,15 @@
 use http::response;
 
 use crate::serve::body::ReplyBody;
-use crate::serve::headers::strip_connection;
+use crate::serve::headers::strip_hop_by_hop;
 use crate::verdict::Verdict;
 
 /// Passes a server's whole answer on: its status, body and headers, less those of the connection.
-pub fn pass_on(head: response::Parts, body: Bytes) -> Response<ReplyBody> {
+pub fn forward_response(head: response::Parts, body: Bytes) -> Response<ReplyBody> {
     let mut response = Response::new(ReplyBody::whole(body));
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
-    strip_connection(response.headers_mut());
+    strip_hop_by_hop(response.headers_mut());
     response
 }
 
@@ -35,14 +35,14 @@
 
 impl Refusal {
     /// A request that did not run and will not; the caller may come back after `retry`.
-    pub fn unrun(reason: &'static str, retry: Duration) -> Self {
+    pub fn not_run(reason: &'static str, retry: Duration) -> Self {
         Self { status: StatusCode::SERVICE_UNAVAILABLE, retry: Some(retry), reason }
     }
 
     /// A request that has no answer; the status promises only what the verdict allows.
     pub fn failed(verdict: Verdict, reason: &'static str, retry: Duration) -> Self {
         match verdict {
-            Verdict::DidNotRun => Self::unrun(reason, retry),
+            Verdict::DidNotRun => Self::not_run(reason, retry),
             _ => Self { status: StatusCode::BAD_GATEWAY, retry: None, reason },
         }
     }
@@ -50,13 +50,13 @@
     /// A request that ran out of time and may have run.
     pub fn timeout(verdict: Verdict, reason: &'static str, retry: Duration) -> Self {
         match verdict {
-            Verdict::DidNotRun => Self::unrun(reason, retry),
+            Verdict::DidNotRun => Self::not_run(reason, retry),
             _ => Self { status: StatusCode::GATEWAY_TIMEOUT, retry: None, reason },
         }
     }
 
     /// A request that is wrong in itself.
-    pub fn wrong(status: StatusCode, reason: &'static str) -> Self {
+    pub fn client_error(status: StatusCode, reason: &'static str) -> Self {
         Self { status, retry: None, reason }
     }
 
--- a/lib/src/serve/send.rs
+++ b/lib/src/serve/send.rs
@@ -16,12 +16,12 @@
 use crate::protocol::AttemptId;
 use crate::serve::daemon_state::DaemonState;
 use crate::serve::pool::Connection;
-use crate::serve::pool::Pool;
+use crate::serve::pool::ConnectionPool;
 use crate::verdict::Verdict;
 
 /// The head of an answer, and what is needed to read the rest.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ServerResponse {
     /// Status and headers.
     pub head: response::Parts,
     /// What the server said beside them.
@@ -34,19 +34,19 @@
 
 /// Where a connection ended while a server had a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Break {
+pub enum Disconnect {
     /// Before the head of the answer.
-    Unanswered,
+    BeforeHead,
     /// After it: the server had begun to answer.
-    Answering,
+    AfterHead,
 }
 
-impl Break {
+impl Disconnect {
     /// Returns its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Unanswered => "unanswered",
-            Self::Answering => "answering",
+            Self::BeforeHead => "unanswered",
+            Self::AfterHead => "answering",
         }
     }
 }
@@ -61,16 +61,16 @@
     /// What happened, for the log.
     pub reason: &'static str,
     /// Whether the server got the request at all.
-    pub arrived: bool,
+    pub delivered: bool,
     /// Whether the server says that it does not hold the model or adapter.
-    pub lacks: bool,
+    pub lacks_model: bool,
     /// Where its connection ended, if that is what failed.
-    pub broke: Option<Break>,
+    pub disconnect: Option<Disconnect>,
 }
 
 impl SendFailure {
     fn unreachable(reason: &'static str) -> Self {
-        Self { evidence: Evidence::Unreachable, arrived: false, ..Self::unrun(reason) }
+        Self { evidence: Evidence::Unreachable, delivered: false, ..Self::unrun(reason) }
     }
 
     fn unconnected(error: &io::Error) -> Self {
@@ -87,9 +87,9 @@
             verdict,
             evidence: Evidence::Sound,
             reason,
-            arrived: true,
-            lacks: false,
-            broke: None,
+            delivered: true,
+            lacks_model: false,
+            disconnect: None,
         }
     }
 
@@ -98,7 +98,7 @@
             let other = Self::unrun("another server has the address");
             return Self { evidence: Evidence::Misdirected, ..other };
         }
-        Self { lacks: true, ..Self::unrun("the server lacks the model") }
+        Self { lacks_model: true, ..Self::unrun("the server lacks the model") }
     }
 
     fn refused() -> Self {
@@ -106,14 +106,14 @@
     }
 
     /// A failure after which the request may have run.
-    pub fn doubtful(reason: &'static str) -> Self {
+    pub fn may_have_run(reason: &'static str) -> Self {
         let verdict = Verdict::MayHaveRun;
         Self { verdict, evidence: Evidence::Failed, ..Self::unrun(reason) }
     }
 
     /// A connection that ended while the server had the request.
-    pub fn broken(reason: &'static str, broke: Break) -> Self {
-        Self { broke: Some(broke), ..Self::doubtful(reason) }
+    pub fn disconnected(reason: &'static str, broke: Disconnect) -> Self {
+        Self { disconnect: Some(broke), ..Self::may_have_run(reason) }
     }
 }
 
@@ -127,11 +127,11 @@
     server: &Server,
     attempt: Option<&AttemptId>,
     request: Request<Bytes>,
-) -> Result<Answer, SendFailure> {
+) -> Result<ServerResponse, SendFailure> {
     let mut request = request.map(Full::new);
     let (start, pool, sent) = (server.instance(), &entry.pool, entry.now());
     let mut connection = pool
-        .connection(&start, server.addr)
+        .acquire(&start, server.addr)
         .await
         .map_err(|error| SendFailure::unconnected(&error))?;
     // A connection that ended while it was idle gives the request back unsent.
@@ -143,14 +143,14 @@
                 tries += 1;
                 let Some(unsent) = error.take_message() else {
                     let reason = "the connection ended without an answer";
-                    return Err(SendFailure::broken(reason, Break::Unanswered));
+                    return Err(SendFailure::disconnected(reason, Disconnect::BeforeHead));
                 };
                 if tries > 2 {
                     return Err(SendFailure::unreachable("connections end at once"));
                 }
                 request = unsent;
                 connection = pool
-                    .fresh(&start, server.addr)
+                    .connect(&start, server.addr)
                     .await
                     .map_err(|error| SendFailure::unconnected(&error))?;
             }
@@ -163,18 +163,18 @@
     if is_own && !is_other {
         entry.apply_server_feedback(&start, &terms, sent);
     }
-    judge(server, Answer { head, terms, body, connection }, attempt)
+    judge(server, ServerResponse { head, terms, body, connection }, attempt)
 }
 
 fn judge(
     server: &Server,
-    answer: Answer,
+    answer: ServerResponse,
     attempt: Option<&AttemptId>,
-) -> Result<Answer, SendFailure> {
-    let Answer { head, terms, .. } = &answer;
+) -> Result<ServerResponse, SendFailure> {
+    let ServerResponse { head, terms, .. } = &answer;
     // An answer that belongs to another request may stand where this one's is due.
     if attempt.is_some() && terms.attempt.is_some() && terms.attempt.as_ref() != attempt {
-        return Err(SendFailure::doubtful("the answer belongs to another request"));
+        return Err(SendFailure::may_have_run("the answer belongs to another request"));
     }
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         let is_other = terms.instance.as_ref().is_some_and(|id| *id != server.id);
@@ -184,7 +184,7 @@
         return Err(SendFailure::refused());
     }
     if head.status.is_success() && (!terms.signed || terms.attempt.as_ref() != attempt) {
-        return Err(SendFailure::doubtful("the answer is not signed"));
+        return Err(SendFailure::may_have_run("the answer is not signed"));
     }
     Ok(answer)
 }
@@ -195,22 +195,23 @@
 ///
 /// The answer broke off or is too long.
 pub async fn read_whole(
-    pool: &Pool,
-    answer: Answer,
+    pool: &ConnectionPool,
+    answer: ServerResponse,
     limit: usize,
 ) -> Result<(response::Parts, Bytes), SendFailure> {
-    let Answer { head, terms, mut body, connection } = answer;
+    let ServerResponse { head, terms, mut body, connection } = answer;
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame
-            .map_err(|_broken| SendFailure::broken("the answer broke off", Break::Answering))?;
+        let frame = frame.map_err(|_broken| {
+            SendFailure::disconnected("the answer broke off", Disconnect::AfterHead)
+        })?;
         if let Ok(data) = frame.into_data() {
             bytes.extend_from_slice(&data);
         }
         if bytes.len() > limit {
-            return Err(SendFailure::doubtful("the answer is too long"));
+            return Err(SendFailure::may_have_run("the answer is too long"));
         }
     }
-    pool.give_back(connection, terms.keep);
+    pool.release(connection, terms.keep);
     Ok((head, Bytes::from(bytes)))
 }
--- a/lib/src/serve/server_feedback.rs
+++ b/lib/src/serve/server_feedback.rs
@@ -12,7 +12,7 @@
 use crate::protocol::AnswerTerms;
 use crate::protocol::NamedLimit;
 use crate::serve::daemon_state::DaemonState;
-use crate::serve::handle::ELSEWHERE;
+use crate::serve::handle::OTHER_DAEMON_RETRY_AFTER;
 
 /// Why a request is refused that no server may be sent.
 pub const RATE_LIMITED: &str = "servers take no more requests for now";
@@ -23,7 +23,7 @@
 pub fn retry_after(turn: SendPermit, left: Duration) -> Option<Duration> {
     match turn.wait {
         Some(wait) => (wait > left).then_some(wait),
-        None => Some(ELSEWHERE),
+        None => Some(OTHER_DAEMON_RETRY_AFTER),
     }
 }
 
@@ -72,7 +72,7 @@
         slog::info!(self.log, "server-limit"; "server" => %server, "from" => from,
             "limit" => limit.map_or(-1.0, RateLimit::per_second),
             "senders" => share.map_or(0, |share| share.senders));
-        self.waits.changed.notify_waiters();
+        self.waits.inventories_changed.notify_waiters();
     }
 
     /// Returns this daemon's part of a server's limit; none where other daemons send what the server takes.
--- a/lib/src/serve/socket.rs
+++ b/lib/src/serve/socket.rs
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// The connection has ended already.
-pub fn accepted(stream: &TcpStream) -> io::Result<()> {
+pub fn configure_accepted(stream: &TcpStream) -> io::Result<()> {
     watch(stream)
 }
 
@@ -86,7 +86,7 @@
 /// # Errors
 ///
 /// The address cannot be used.
-pub fn datagrams(addr: SocketAddr) -> io::Result<UdpSocket> {
+pub fn bind_udp(addr: SocketAddr) -> io::Result<UdpSocket> {
     let socket = std::net::UdpSocket::bind(addr)?;
     socket.set_nonblocking(true)?;
     UdpSocket::from_std(socket)
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -22,14 +22,14 @@
 use crate::serve::attempt::Attempt;
 use crate::serve::daemon_state::DaemonState;
 use crate::serve::reply::Refusal;
-use crate::serve::send::Break;
+use crate::serve::send::Disconnect;
 use crate::serve::send::SendFailure;
 use crate::serve::store_calls::track_call;
 use crate::store::Feed;
 use crate::store::FeedRecord;
 
 /// Why a request is held, for the log and its caller.
-pub const HELD: &str = "servers crash under this request";
+pub const QUARANTINED_REASON: &str = "servers crash under this request";
 /// Time in which a host says that nothing listens at a port: some round trips between data centres.
 const REFUSAL_TIME: Duration = Duration::from_millis(100);
 /// Events go on for a while once the first one is older than this.
@@ -46,30 +46,30 @@
 
 impl DaemonState {
     /// Returns whether a request may go to no server; asking keeps it held.
-    pub fn is_held(&self, print: &Fingerprint) -> bool {
+    pub fn is_quarantined(&self, print: &Fingerprint) -> bool {
         self.quarantine.borrow_mut().is_held(print, self.now())
     }
 
     /// Takes in how far a server came with a request.
-    pub fn note_passed(&self, attempt: &Attempt, passed: RequestProgress) {
-        if self.quarantine.borrow_mut().record_progress(attempt.print, passed, self.now()) {
+    pub fn record_passed(&self, attempt: &Attempt, passed: RequestProgress) {
+        if self.quarantine.borrow_mut().record_progress(attempt.fingerprint, passed, self.now()) {
             self.quarantine_changed.notify_one();
         }
     }
 
     /// Takes in that events of a stream have just come.
-    pub fn note_events(&self, attempt: &mut Attempt) {
+    pub fn record_events(&self, attempt: &mut Attempt) {
         if attempt.young_since.is_some_and(|first| self.now() >= first + YOUNG) {
             attempt.young_since = None;
-            self.note_passed(attempt, RequestProgress::Streaming);
+            self.record_passed(attempt, RequestProgress::Streaming);
         }
     }
 
     /// Returns the answer to a request that is held.
-    pub fn held_refusal(self: &Rc<Self>, attempt: &Attempt) -> Option<Refusal> {
-        judge(self, attempt.print);
-        let is_held = self.is_held(&attempt.print);
-        is_held.then(|| Refusal::failed(attempt.verdict, HELD, HOLD_TIME))
+    pub fn quarantine_refusal(self: &Rc<Self>, attempt: &Attempt) -> Option<Refusal> {
+        judge(self, attempt.fingerprint);
+        let is_held = self.is_quarantined(&attempt.fingerprint);
+        is_held.then(|| Refusal::failed(attempt.verdict, QUARANTINED_REASON, HOLD_TIME))
     }
 
     /// Returns whether servers crashed under a request that nobody cleared of it.
@@ -82,11 +82,13 @@
 ///
 /// A server that crashed refuses connections; one that only lost this connection, gives wrong answers or is cut off
 /// does not, and one that is leaving ends as planned.
-pub async fn note_failure(entry: &Rc<DaemonState>, attempt: &Attempt, failure: &SendFailure) {
-    let (Some(broke), Some(server)) = (failure.broke, attempt.last.clone()) else { return };
+pub async fn check_for_crash(entry: &Rc<DaemonState>, attempt: &Attempt, failure: &SendFailure) {
+    let (Some(broke), Some(server)) = (failure.disconnect, attempt.last_server.clone()) else {
+        return;
+    };
     let Some(addr) = address(entry, &server) else { return };
     let stage = stage(entry, attempt, broke);
-    let is_known = entry.quarantine.borrow().has_crashed(&server, attempt.sent);
+    let is_known = entry.quarantine.borrow().has_crashed(&server, attempt.sent_at);
     if is_known || refuses(entry, &server, addr).await {
         note_crash(entry, attempt, &server, stage);
     }
@@ -99,10 +101,12 @@
     known.map(|s| s.addr)
 }
 
-fn stage(entry: &DaemonState, attempt: &Attempt, broke: Break) -> CrashStage {
-    match (broke, attempt.first) {
-        (Break::Answering, None) => CrashStage::BeforeEvents,
-        (Break::Answering, Some(first)) if entry.now() < first + YOUNG => CrashStage::FirstEvent,
+fn stage(entry: &DaemonState, attempt: &Attempt, broke: Disconnect) -> CrashStage {
+    match (broke, attempt.first_event) {
+        (Disconnect::AfterHead, None) => CrashStage::BeforeEvents,
+        (Disconnect::AfterHead, Some(first)) if entry.now() < first + YOUNG => {
+            CrashStage::FirstEvent
+        }
         _ => CrashStage::Other,
     }
 }
@@ -121,9 +125,9 @@
     server: &ServerInstance,
     stage: CrashStage,
 ) {
-    let print = attempt.print;
+    let print = attempt.fingerprint;
     let mut quarantine = entry.quarantine.borrow_mut();
-    let is_held = quarantine.record_crash(server, attempt.sent, print, stage, entry.now());
+    let is_held = quarantine.record_crash(server, attempt.sent_at, print, stage, entry.now());
     let crashes = quarantine.suspected_crashes(&print).len();
     drop(quarantine);
     if stage < CrashStage::Other || crashes > 1 {
@@ -206,7 +210,7 @@
 }
 
 /// Reads which requests were held before this daemon started.
-pub async fn recall(entry: Rc<DaemonState>) {
+pub async fn load_quarantine(entry: Rc<DaemonState>) {
     loop {
         let call = entry.store.newest(Feed::Quarantine);
         let Ok(batch) = track_call(&entry, Feed::Quarantine, call).await else {
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreymux_lib::serve::admission::Admission;
-use comfreymux_lib::serve::admission::Outlook;
+use comfreymux_lib::serve::admission::AdmissionInput;
 use rand::RngExt as _;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -38,9 +38,13 @@
 }
 
 impl Engine {
-    fn outlook(&self) -> Outlook {
+    fn outlook(&self) -> AdmissionInput {
         let before = (self.ends.len() + self.queue.len() + 1).saturating_sub(SLOTS);
-        Outlook { wait: RUN * before as u32 / SLOTS as u32, due: GOAL, patience: PATIENCE }
+        AdmissionInput {
+            queue_wait: RUN * before as u32 / SLOTS as u32,
+            due: GOAL,
+            patience: PATIENCE,
+        }
     }
 
     fn step(&mut self, now: Duration, rng: &mut ChaCha8Rng, tally: &mut Tally) {
@@ -63,7 +67,7 @@
 }
 
 /// Twenty seconds of requests for one engine's model, `load` times what it can run.
-fn day(load: f64, admit: impl Fn(Outlook) -> Admission) -> Tally {
+fn day(load: f64, admit: impl Fn(AdmissionInput) -> Admission) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut tally = Tally::default();
     let mut engine = Engine::default();
@@ -92,7 +96,7 @@
     let joined = day(load, |_| Admission::Now);
     let served = f64::from(joined.punctual + joined.late + joined.refused + joined.left);
     assert!(f64::from(joined.punctual) / served < 0.45, "{joined:?}: no queue to keep short");
-    let tally = day(load, Outlook::admit);
+    let tally = day(load, AdmissionInput::admit);
     let asked = f64::from(tally.punctual + tally.late + tally.refused + tally.left);
     assert!(f64::from(tally.punctual) / asked >= least, "{tally:?}");
     assert_eq!(tally.left, 0, "who is refused knows at once: {tally:?}");
@@ -101,7 +105,7 @@
 /// Nobody is turned away or put behind where there is room.
 #[test]
 fn room_used() {
-    let tally = day(0.6, Outlook::admit);
+    let tally = day(0.6, AdmissionInput::admit);
     assert_eq!((tally.refused, tally.left), (0, 0), "{tally:?}");
     assert!(tally.late * 50 <= tally.punctual, "{tally:?}");
 }
@@ -109,16 +113,17 @@
 /// A request that is late already, since its model had to be loaded, goes to an idle engine as any other.
 #[test]
 fn late_unqueued() {
-    let outlook = Outlook { wait: Duration::ZERO, due: Duration::ZERO, patience: PATIENCE };
+    let outlook =
+        AdmissionInput { queue_wait: Duration::ZERO, due: Duration::ZERO, patience: PATIENCE };
     assert_eq!(outlook.admit(), Admission::Now);
-    let outlook = Outlook { wait: Duration::from_millis(500), ..outlook };
+    let outlook = AdmissionInput { queue_wait: Duration::from_millis(500), ..outlook };
     assert_eq!(outlook.admit(), Admission::Late);
 }
 
 /// A refused caller is told to come back when the queue is short enough for it, not later.
 #[test]
 fn return_told() {
-    let wait = Duration::from_secs(3);
-    let outlook = Outlook { wait, due: GOAL, patience: PATIENCE };
-    assert_eq!(outlook.admit(), Admission::Refused(wait.saturating_sub(GOAL)));
+    let queue_wait = Duration::from_secs(3);
+    let outlook = AdmissionInput { queue_wait, due: GOAL, patience: PATIENCE };
+    assert_eq!(outlook.admit(), Admission::Refused(queue_wait.saturating_sub(GOAL)));
 }
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -14,8 +14,8 @@
 use comfreymux_lib::cluster::server_health::ServerHealth;
 use comfreymux_lib::cluster::workloads::Workloads;
 use comfreymux_lib::placement::demand::ModelTarget;
-use comfreymux_lib::serve::choose::Choice;
 use comfreymux_lib::serve::choose::Chooser;
+use comfreymux_lib::serve::choose::EngineChoice;
 
 const fn ms(ms: u64) -> Moment {
     Duration::from_millis(ms)
@@ -232,11 +232,11 @@
         run_times: &RunTimes::default(),
         centre: &"north".into(),
         now: ms(100),
-        unseen: 1.0,
-        draw: 0.0,
+        load_uncertainty: 1.0,
+        random: 0.0,
     };
     let item = ModelTarget { service: "draft".into(), model: "m1".into(), adapter: None };
-    assert!(matches!(chooser.engine(&item, &[]), Choice::Missing));
+    assert!(matches!(chooser.choose_engine(&item, &[]), EngineChoice::NotLoaded));
     assert!(chooser.has_copy(&item));
     let other = ModelTarget { model: "m2".into(), ..item };
     assert!(!chooser.has_copy(&other));
--- a/lib/tests/test_events.rs
+++ b/lib/tests/test_events.rs
@@ -33,13 +33,13 @@
             splitter.push(&bytes[at..end]);
             at = end;
             while let Some(event) = splitter.next_event().expect("small events") {
-                order.take(&event).expect("in order");
+                order.check(&event).expect("in order");
                 out.extend_from_slice(&event.bytes);
             }
         }
         assert!(bytes.starts_with(&out));
         assert!(at - out.len() < 40);
-        assert_eq!(splitter.has_rest(), at > out.len());
+        assert_eq!(splitter.has_partial(), at > out.len());
     }
 }
 
@@ -54,9 +54,9 @@
     splitter.push(b"id: 1\n\n");
     splitter.push(next.as_bytes());
     let first = splitter.next_event().expect("small").expect("whole");
-    order.take(&first).expect("the first is due");
+    order.check(&first).expect("the first is due");
     let second = splitter.next_event().expect("small").expect("whole");
-    assert!(order.take(&second).is_err());
+    assert!(order.check(&second).is_err());
     assert_eq!(order.last(), Some(1));
 }
 
