--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -212,7 +212,7 @@
     }
 
     /// Notes a send to a chosen server.
-    pub fn sent(&mut self, chosen: &ChosenServer, now: Moment) {
+    pub fn record_send(&mut self, chosen: &ChosenServer, now: Moment) {
         self.sends += 1;
         self.sent_at = now;
         self.sending = true;
--- a/lib/src/serve/call.rs
+++ b/lib/src/serve/call.rs
@@ -66,7 +66,7 @@
     };
     let mut outstanding = CallGuard::new(pool, &peer);
     let answer = timeout(limit, exchange).await.map_err(|_elapsed| CallError::Unanswered)?;
-    outstanding.answered();
+    outstanding.mark_answered();
     let answer = answer?;
     pool.release(connection, Some(KEEP));
     Ok(answer)
--- a/lib/src/serve/call_guard.rs
+++ b/lib/src/serve/call_guard.rs
@@ -21,7 +21,7 @@
     }
 
     /// Takes in an answer, or a failure that showed at once.
-    pub fn answered(&mut self) {
+    pub fn mark_answered(&mut self) {
         self.answered = true;
     }
 }
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -267,7 +267,7 @@
         let list = self.unlimited_first(if sound.is_empty() { open } else { sound });
         let candidate = |s: &&Rc<Server>| {
             let work = self.loads.at(&s.instance(), self.now);
-            Candidate { cost: cost(s, work), spare: s.slots.saturating_sub(work.running) }
+            Candidate { cost: cost(s, work), free_slots: s.slots.saturating_sub(work.running) }
         };
         let candidates: Vec<Candidate> = list.iter().map(candidate).collect();
         let place = near_best::pick(&candidates, scatter, self.random)?;
--- a/lib/src/serve/event_stream.rs
+++ b/lib/src/serve/event_stream.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns the id of the last event.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.order.last()
     }
 
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -135,7 +135,7 @@
     chosen: &ChosenServer,
 ) -> SendFuture<(response::Parts, Bytes)> {
     let server = Rc::clone(&chosen.server);
-    attempt.sent(chosen, entry.now());
+    attempt.record_send(chosen, entry.now());
     entry.record_send(&server.instance());
     let request = attempt.request(entry, &server, None);
     let work = entry.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt);
--- a/lib/src/serve/exchange_stream.rs
+++ b/lib/src/serve/exchange_stream.rs
@@ -119,7 +119,7 @@
     resume: Option<u64>,
 ) -> SendFuture<OpenOutcome> {
     let server = Rc::clone(&chosen.server);
-    attempt.sent(chosen, entry.now());
+    attempt.record_send(chosen, entry.now());
     entry.record_send(&server.instance());
     let request = attempt.request(entry, &server, resume);
     let work = entry.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt);
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -109,7 +109,7 @@
     if !entry.is_suspect(&attempt.fingerprint) {
         return;
     }
-    attempt.trial = Some(entry.trials.wait(attempt.fingerprint, entry.now()));
+    attempt.trial = Some(entry.trials.enqueue(attempt.fingerprint, entry.now()));
     sleep(SPREAD.mul_f64(rand::rng().random_range(0.5..1.0))).await;
     while entry.now() < attempt.deadline && entry.quarantine_refusal(attempt).is_none() {
         let changed = entry.waits.inventories_changed.notified();
@@ -129,7 +129,7 @@
     }
     // It may have become a suspect while it waited for a model.
     let trial =
-        attempt.trial.get_or_insert_with(|| entry.trials.wait(attempt.fingerprint, entry.now()));
+        attempt.trial.get_or_insert_with(|| entry.trials.enqueue(attempt.fingerprint, entry.now()));
     entry.trials.is_next(trial, &entry.settings().id, entry.now())
 }
 
@@ -141,11 +141,11 @@
     let Some(trial) = &attempt.trial else {
         return entry.with_chooser(|c| c.choose_engine(item, &attempt.tried));
     };
-    let mut closed = entry.trials.servers(entry.now());
+    let mut closed = entry.trials.occupied_servers(entry.now());
     closed.extend_from_slice(&attempt.tried);
     let choice = entry.with_chooser(|c| c.choose_engine(item, &closed));
     if let EngineChoice::Server(chosen) = &choice {
-        trial.begin(chosen.server.instance());
+        trial.assign(chosen.server.instance());
     }
     choice
 }
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -123,7 +123,7 @@
                 self.take_word(&message.from, addr, message.process, word)
             }
             Payload::Trials(notes) => {
-                if entry.trials.heard(&message.from, notes, now) {
+                if entry.trials.update_peer(&message.from, notes, now) {
                     entry.waits.inventories_changed.notify_waiters();
                 }
             }
@@ -166,7 +166,7 @@
         }
         self.take_left(from, &digest.departures);
         entry.apply_peer_limits(&digest.limits, from);
-        suspects::hear(entry, &digest.quarantine, from);
+        suspects::receive_note(entry, &digest.quarantine, from);
     }
 
     fn take_left(&self, from: &DaemonId, left: &[ServerDeparture]) {
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -208,7 +208,7 @@
         return refuse(entry, &attempt, &refusal);
     }
     if let Some(item) = attempt.item() {
-        entry.waits.arrived(&item, attempt.arrived);
+        entry.waits.count_arrival(&item, attempt.arrived);
     }
     entry.budget.borrow_mut().record_first(&attempt.service, attempt.arrived);
     if entry.now() > entry.latest_start(attempt.deadline) {
--- a/lib/src/serve/lifecycle.rs
+++ b/lib/src/serve/lifecycle.rs
@@ -130,7 +130,7 @@
     loop {
         sleep(SWEEP_EVERY).await;
         apply_updates::sweep_servers(&entry);
-        suspects::sweep(&entry);
+        suspects::release_expired(&entry);
         let directory = entry.directory.borrow();
         entry.pool.evict_idle(|start| directory.is_current(start));
     }
--- a/lib/src/serve/model_waits.rs
+++ b/lib/src/serve/model_waits.rs
@@ -51,7 +51,7 @@
 
 impl ModelWaits {
     /// Counts an arrival.
-    pub fn arrived(&self, item: &ModelTarget, now: Moment) {
+    pub fn count_arrival(&self, item: &ModelTarget, now: Moment) {
         let mut tables = self.tables.borrow_mut();
         let count = tables.counts.entry(item.clone()).or_insert((now, 0));
         *count = (now, count.1 + 1);
--- a/lib/src/serve/near_best.rs
+++ b/lib/src/serve/near_best.rs
@@ -11,7 +11,7 @@
     /// Its estimated cost in milliseconds.
     pub cost: f64,
     /// Requests that it can take at once beside those known of.
-    pub spare: u32,
+    pub free_slots: u32,
 }
 
 /// A server whose share is smaller than this part of the largest one is left out.
@@ -28,7 +28,7 @@
 pub fn pick(list: &[Candidate], scatter: f64, draw: f64) -> Option<usize> {
     let best = list.iter().map(|c| c.cost).min_by(f64::total_cmp)?;
     let weight = |c: &Candidate| {
-        let share = f64::from(c.spare).max(FULL_SHARE);
+        let share = f64::from(c.free_slots).max(FULL_SHARE);
         share * (-(c.cost - best) / scatter).exp()
     };
     let weights: Vec<f64> = list.iter().map(weight).collect();
--- a/lib/src/serve/relay.rs
+++ b/lib/src/serve/relay.rs
@@ -75,7 +75,7 @@
                     self.entry.run_times.record(&self.attempt.service, run);
                     self.attempt.verdict = Verdict::Ran;
                     self.entry.record_passed(&self.attempt, RequestProgress::Complete);
-                    self.log(head.status, "complete", first_event, stream.last());
+                    self.log(head.status, "complete", first_event, stream.last_id());
                     self.entry.pool.release(stream.answer.connection, stream.answer.terms.keep);
                     return;
                 }
@@ -83,7 +83,7 @@
                 Stop::OutOfTime => "out of time",
                 Stop::DaemonEnds => STOPPING_REASON,
                 Stop::Broken(taken) => {
-                    let last = stream.last();
+                    let last = stream.last_id();
                     // The old connection is closed before the stream goes on elsewhere.
                     drop(stream);
                     if let Some((next, events)) = self.resume(last, taken).await {
@@ -97,7 +97,7 @@
                     return;
                 }
             };
-            let last = stream.last();
+            let last = stream.last_id();
             drop(stream);
             self.break_off(head.status, reason, first_event, last).await;
             return;
@@ -158,7 +158,7 @@
                     return Stop::Broken(None);
                 }
                 WaitOutcome::FailOver(next) => {
-                    let last = stream.last();
+                    let last = stream.last_id();
                     let again = |e: &Rc<DaemonState>, a: &mut Attempt, c: &ChosenServer| {
                         start_stream(e, a, c, last)
                     };
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -167,7 +167,7 @@
 }
 
 /// Takes in what a peer knows of such requests.
-pub fn hear(entry: &Rc<DaemonState>, note: &QuarantineReport, from: &str) {
+pub fn receive_note(entry: &Rc<DaemonState>, note: &QuarantineReport, from: &str) {
     let held = entry.quarantine.borrow_mut().merge(note, entry.now());
     for print in held {
         note_held(entry, print, from);
@@ -179,7 +179,7 @@
 }
 
 /// Lets go of requests that nobody has asked for in a long time.
-pub fn sweep(entry: &Rc<DaemonState>) {
+pub fn release_expired(entry: &Rc<DaemonState>) {
     let released = entry.quarantine.borrow_mut().sweep(entry.now());
     for print in released {
         slog::info!(entry.log, "request-released"; "print" => %print);
--- a/lib/src/serve/trials.rs
+++ b/lib/src/serve/trials.rs
@@ -55,7 +55,7 @@
 
 impl Trials {
     /// Begins the wait of a suspect for its turn.
-    pub fn wait(&self, print: Fingerprint, now: Moment) -> Trial {
+    pub fn enqueue(&self, print: Fingerprint, now: Moment) -> Trial {
         let mut tables = self.tables.borrow_mut();
         tables.begun += 1;
         let number = tables.begun;
@@ -71,7 +71,7 @@
     }
 
     /// Takes in a peer's; returns whether it had others before.
-    pub fn heard(&self, peer: &DaemonId, notes: Vec<TrialReport>, now: Moment) -> bool {
+    pub fn update_peer(&self, peer: &DaemonId, notes: Vec<TrialReport>, now: Moment) -> bool {
         let mut tables = self.tables.borrow_mut();
         if notes.is_empty() {
             return tables.peers.remove(peer).is_some();
@@ -82,7 +82,7 @@
     }
 
     /// Returns the servers that should get no other suspect now.
-    pub fn servers(&self, now: Moment) -> Vec<ServerInstance> {
+    pub fn occupied_servers(&self, now: Moment) -> Vec<ServerInstance> {
         let tables = self.tables.borrow();
         let peers = tables.fresh(now).map(|(_, note)| note);
         let own = tables.own.values().map(|own| &own.note);
@@ -129,7 +129,7 @@
 
 impl Trial {
     /// Ends the wait: a server gets the request.
-    pub fn begin(&self, server: ServerInstance) {
+    pub fn assign(&self, server: ServerInstance) {
         if let Some(own) = self.trials.tables.borrow_mut().own.get_mut(&self.number) {
             own.note.server = Some(server);
         }
--- a/lib/tests/test_near_best.rs
+++ b/lib/tests/test_near_best.rs
@@ -43,7 +43,7 @@
         }
         let candidate = |running: &u32| Candidate {
             cost: f64::from(*running) * PER_RUNNING,
-            spare: SLOTS.saturating_sub(*running),
+            free_slots: SLOTS.saturating_sub(*running),
         };
         let list: Vec<Candidate> = known.iter().map(candidate).collect();
         let replica = near_best::pick(&list, scatter, rng.random()).expect("a replica");
@@ -76,14 +76,14 @@
 #[test]
 fn near_first() {
     let scatter = 4.0 * PER_RUNNING;
-    let near = Candidate { cost: 0.0, spare: SLOTS };
-    let far = Candidate { cost: 30.0, spare: SLOTS };
+    let near = Candidate { cost: 0.0, free_slots: SLOTS };
+    let far = Candidate { cost: 30.0, free_slots: SLOTS };
     let picks = |list: &[Candidate]| {
         let draws = (0..1000).map(|n| (f64::from(n) + 0.5) / 1000.0);
         draws.filter(|draw| near_best::pick(list, scatter, *draw) == Some(0)).count()
     };
     assert_eq!(picks(&[near, far]), 1000);
-    let full = Candidate { cost: 110.0, spare: 0 };
+    let full = Candidate { cost: 110.0, free_slots: 0 };
     assert_eq!(picks(&[full, far]), 0);
     assert_eq!(near_best::pick(&[], scatter, 0.5), None);
 }
--- a/lib/tests/test_trials.rs
+++ b/lib/tests/test_trials.rs
@@ -23,7 +23,7 @@
 fn tell(fleet: &[Trials], now: Moment) {
     for (from, name) in fleet.iter().zip(names()) {
         for to in fleet.iter().filter(|to| !std::ptr::eq(*to, from)) {
-            to.heard(&name.as_str().into(), from.own(), now);
+            to.update_peer(&name.as_str().into(), from.own(), now);
         }
     }
 }
@@ -37,17 +37,17 @@
 #[test]
 fn one_next() {
     let fleet: Vec<Trials> = (0..5).map(|_| Trials::default()).collect();
-    let mut copies: Vec<Trial> = fleet.iter().map(|t| t.wait(print(), SECOND)).collect();
+    let mut copies: Vec<Trial> = fleet.iter().map(|t| t.enqueue(print(), SECOND)).collect();
     assert_eq!(next(&fleet, &copies, SECOND), [0; 0], "peers may have copies");
     tell(&fleet, SECOND);
     let now = SECOND * 2;
     tell(&fleet, now);
     let first = next(&fleet, &copies, now);
     assert_eq!(first.len(), 1);
-    copies[first[0]].begin(ServerInstance::from("e1"));
+    copies[first[0]].assign(ServerInstance::from("e1"));
     tell(&fleet, now);
     assert_eq!(next(&fleet, &copies, now), [0; 0], "an engine has one");
-    copies[first[0]] = fleet[first[0]].wait(print(), now);
+    copies[first[0]] = fleet[first[0]].enqueue(print(), now);
     tell(&fleet, now + SECOND);
     assert_eq!(next(&fleet, &copies, now + SECOND).len(), 1);
 }
@@ -56,7 +56,7 @@
 #[test]
 fn silent_passed() {
     let fleet: Vec<Trials> = (0..5).map(|_| Trials::default()).collect();
-    let copies: Vec<Trial> = fleet.iter().map(|t| t.wait(print(), SECOND)).collect();
+    let copies: Vec<Trial> = fleet.iter().map(|t| t.enqueue(print(), SECOND)).collect();
     tell(&fleet, SECOND);
     let later = SECOND * 3;
     assert_eq!(next(&fleet, &copies, later), [0, 1, 2, 3, 4]);
