--- a/cli/src/entry.rs
+++ b/cli/src/entry.rs
@@ -19,7 +19,7 @@
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
-    let (file, settings) = match SettingsFile::open() {
+    let (file, settings) = match SettingsFile::from_env() {
         Ok(opened) => opened,
         Err(error) => {
             eprintln!("{error}");
@@ -37,7 +37,7 @@
 
 fn run(file: SettingsFile, settings: EntrySettings) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    let store = Rc::new(PlatformStore::new(file.store()));
+    let store = Rc::new(PlatformStore::new(file.store_addr()));
     let log = logging::to_stdout();
     let protocol = Rc::new(PlatformProtocol);
     let process = rand::random();
