--- a/lib/src/cluster/engine_inventories.rs
+++ b/lib/src/cluster/engine_inventories.rs
@@ -70,22 +70,22 @@
 
 impl EngineInventories {
     /// Takes in word of the holder with `fence`; returns whether anything changed.
-    pub fn put(&mut self, fence: Fence, holding: EngineInventory, now: Moment) -> bool {
-        if let Some(old) = self.told.get(&holding.server)
-            && (old.fence > fence || old.fence == fence && old.sequence > holding.sequence)
+    pub fn put(&mut self, fence: Fence, inventory: EngineInventory, now: Moment) -> bool {
+        if let Some(old) = self.told.get(&inventory.server)
+            && (old.fence > fence || old.fence == fence && old.sequence > inventory.sequence)
         {
             return false;
         }
-        let models = holding.models.into_iter().map(LoadedModel::from).collect();
+        let models = inventory.models.into_iter().map(LoadedModel::from).collect();
         let told = Told {
             at: now,
             fence,
-            sequence: holding.sequence,
-            beat: holding.heartbeat,
+            sequence: inventory.sequence,
+            beat: inventory.heartbeat,
             models,
-            coming: holding.pending,
+            coming: inventory.pending,
         };
-        self.told.insert(holding.server, told);
+        self.told.insert(inventory.server, told);
         true
     }
 
--- a/lib/src/cluster/quarantine.rs
+++ b/lib/src/cluster/quarantine.rs
@@ -50,8 +50,8 @@
 
 impl Crash {
     /// Returns whether none of its requests was more suspicious.
-    fn has_worst(&self, print: &Fingerprint) -> bool {
-        self.requests.get(print) == Some(&self.worst)
+    fn has_worst(&self, fingerprint: &Fingerprint) -> bool {
+        self.requests.get(fingerprint) == Some(&self.worst)
     }
 }
 
@@ -73,14 +73,14 @@
         &mut self,
         server: &ServerInstance,
         sent: Moment,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         stage: CrashStage,
         now: Moment,
     ) -> bool {
-        let requests = [(print, stage)];
+        let requests = [(fingerprint, stage)];
         let id = self.crash_after(server, sent);
         self.take_crash(&id, now, &requests, true, now);
-        self.evaluate(print, now)
+        self.evaluate(fingerprint, now)
     }
 
     /// Returns whether a server is known to have crashed after a request was `sent` to it.
@@ -101,65 +101,68 @@
     /// that is news.
     pub fn record_progress(
         &mut self,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         passed: RequestProgress,
         now: Moment,
     ) -> bool {
-        let is_released = passed == RequestProgress::Complete && self.held.contains_key(&print);
-        let is_cleared = |c: &Crash| passed.clears(c.worst) && self.is_suspect(&print, c);
+        let is_released =
+            passed == RequestProgress::Complete && self.held.contains_key(&fingerprint);
+        let is_cleared = |c: &Crash| passed.clears(c.worst) && self.is_suspect(&fingerprint, c);
         let is_news = is_released || self.crashes.values().any(is_cleared);
         if is_news {
-            self.clear_at(print, passed, now);
+            self.clear_at(fingerprint, passed, now);
         }
         is_news
     }
 
     /// Returns the crashes that a request is believed to have caused.
-    pub fn suspected_crashes(&self, print: &Fingerprint) -> Vec<&CrashId> {
-        let crashes = self.crashes.iter().filter(|(_, crash)| self.is_suspect(print, crash));
+    pub fn suspected_crashes(&self, fingerprint: &Fingerprint) -> Vec<&CrashId> {
+        let crashes = self.crashes.iter().filter(|(_, crash)| self.is_suspect(fingerprint, crash));
         crashes.map(|(id, _)| id).collect()
     }
 
-    fn is_suspect(&self, print: &Fingerprint, crash: &Crash) -> bool {
-        crash.has_worst(print) && !self.has_passed(print, crash)
+    fn is_suspect(&self, fingerprint: &Fingerprint, crash: &Crash) -> bool {
+        crash.has_worst(fingerprint) && !self.has_passed(fingerprint, crash)
     }
 
     /// Returns whether a request came further than it had at a crash, and has crashed no server since. One whose servers
     /// crash about when its first event is due comes further now and then.
-    fn has_passed(&self, print: &Fingerprint, crash: &Crash) -> bool {
+    fn has_passed(&self, fingerprint: &Fingerprint, crash: &Crash) -> bool {
         let passed = RequestProgress::ALL.iter().filter(|passed| passed.clears(crash.worst));
-        let newest = passed.filter_map(|passed| self.cleared.get(&(*print, *passed))).max();
-        let relapsed =
-            |since: &Moment| self.crashes.values().any(|c| c.at > *since && c.has_worst(print));
+        let newest = passed.filter_map(|passed| self.cleared.get(&(*fingerprint, *passed))).max();
+        let relapsed = |since: &Moment| {
+            self.crashes.values().any(|c| c.at > *since && c.has_worst(fingerprint))
+        };
         newest.is_some_and(|at| *at >= crash.at && !relapsed(at))
     }
 
     /// Returns whether a crash has one suspect only: all others came further, or there were none.
     fn is_solved(&self, crash: &Crash, now: Moment) -> bool {
-        let suspects = crash.requests.keys().filter(|print| self.is_suspect(print, crash));
+        let suspects =
+            crash.requests.keys().filter(|fingerprint| self.is_suspect(fingerprint, crash));
         now >= crash.at + SETTLED && suspects.take(2).count() == 1
     }
 
     /// Holds a request if what is known by now is enough; returns whether it is held from now on.
-    pub fn evaluate(&mut self, print: Fingerprint, now: Moment) -> bool {
-        let suspected = self.crashes.values().filter(|crash| self.is_suspect(&print, crash));
+    pub fn evaluate(&mut self, fingerprint: Fingerprint, now: Moment) -> bool {
+        let suspected = self.crashes.values().filter(|crash| self.is_suspect(&fingerprint, crash));
         let crashes: Vec<&Crash> = suspected.collect();
         let is_solved = || crashes.iter().any(|crash| self.is_solved(crash, now));
         let is_fatal = crashes.len() >= CRASHES_AMONG || crashes.len() >= CRASHES && is_solved();
-        is_fatal && self.hold(print, now)
+        is_fatal && self.hold(fingerprint, now)
     }
 
     /// Returns how long to wait before a request that may crash one too many is sent.
-    pub fn decision_delay(&self, print: &Fingerprint, now: Moment) -> Duration {
-        let suspected = self.crashes.values().filter(|crash| self.is_suspect(print, crash));
+    pub fn decision_delay(&self, fingerprint: &Fingerprint, now: Moment) -> Duration {
+        let suspected = self.crashes.values().filter(|crash| self.is_suspect(fingerprint, crash));
         let times: Vec<Moment> = suspected.map(|crash| crash.at).collect();
         let newest = times.iter().max().filter(|_| times.len() + 1 >= CRASHES);
         newest.map_or(Duration::ZERO, |at| (*at + DECIDED).saturating_sub(now))
     }
 
     /// Returns whether a request may go to no server; asking for it keeps it held.
-    pub fn is_held(&mut self, print: &Fingerprint, now: Moment) -> bool {
-        let held = self.held.get_mut(print);
+    pub fn is_held(&mut self, fingerprint: &Fingerprint, now: Moment) -> bool {
+        let held = self.held.get_mut(fingerprint);
         held.map(|asked| *asked = now).is_some()
     }
 
@@ -194,8 +197,8 @@
 
     /// Takes in what a peer knows; returns the requests that are held from now on.
     pub fn merge(&mut self, note: &QuarantineReport, now: Moment) -> Vec<Fingerprint> {
-        for ((print, passed), age) in &note.cleared {
-            self.clear_at(*print, *passed, now.saturating_sub(*age));
+        for ((fingerprint, passed), age) in &note.cleared {
+            self.clear_at(*fingerprint, *passed, now.saturating_sub(*age));
         }
         let mut held = Vec::new();
         for crash in &note.crashes {
@@ -204,15 +207,15 @@
             if let Some(known) = self.crashes.get_mut(&crash.id) {
                 known.worst = known.worst.min(crash.worst);
             }
-            let prints = crash.requests.iter().map(|(print, _)| *print);
-            held.extend(prints.filter(|print| self.evaluate(*print, now)));
+            let fingerprints = crash.requests.iter().map(|(fingerprint, _)| *fingerprint);
+            held.extend(fingerprints.filter(|fingerprint| self.evaluate(*fingerprint, now)));
         }
-        for (print, age) in &note.held {
+        for (fingerprint, age) in &note.held {
             let asked = now.saturating_sub(*age);
-            let cleared = self.cleared.get(&(*print, RequestProgress::Complete));
+            let cleared = self.cleared.get(&(*fingerprint, RequestProgress::Complete));
             let is_cleared = cleared.is_some_and(|at| *at >= asked);
-            if !is_cleared && self.hold(*print, asked) {
-                held.push(*print);
+            if !is_cleared && self.hold(*fingerprint, asked) {
+                held.push(*fingerprint);
             }
         }
         held
@@ -223,7 +226,7 @@
         self.crashes.retain(|_, crash| now <= crash.at + KEPT_FOR);
         self.cleared.retain(|_, at| now <= *at + KEPT_FOR);
         let over = self.held.extract_if(|_, asked| now > *asked + HOLD_TIME);
-        over.map(|(print, _)| print).collect()
+        over.map(|(fingerprint, _)| fingerprint).collect()
     }
 
     fn take_crash(
@@ -247,14 +250,14 @@
         });
         crash.at = crash.at.min(at);
         crash.is_own |= is_own;
-        for (print, stage) in requests {
+        for (fingerprint, stage) in requests {
             crash.worst = crash.worst.min(*stage);
-            let cleared = self.cleared.get(&(*print, RequestProgress::Complete));
+            let cleared = self.cleared.get(&(*fingerprint, RequestProgress::Complete));
             let is_cleared = cleared.is_some_and(|at| *at >= crash.at);
             if is_cleared || crash.requests.len() >= REQUESTS_KEPT {
                 continue;
             }
-            let known = crash.requests.entry(*print).or_insert_with(|| {
+            let known = crash.requests.entry(*fingerprint).or_insert_with(|| {
                 crash.learned = now;
                 *stage
             });
@@ -263,8 +266,8 @@
     }
 
     /// Holds a request that was last asked for then; returns whether it was not held before.
-    pub fn hold(&mut self, print: Fingerprint, asked: Moment) -> bool {
-        if let Some(known) = self.held.get_mut(&print) {
+    pub fn hold(&mut self, fingerprint: Fingerprint, asked: Moment) -> bool {
+        if let Some(known) = self.held.get_mut(&fingerprint) {
             *known = (*known).max(asked);
             return false;
         }
@@ -272,19 +275,19 @@
             let oldest = self.held.iter().min_by_key(|(_, asked)| **asked).map(|(p, _)| *p);
             oldest.and_then(|p| self.held.remove(&p));
         }
-        self.held.insert(print, asked);
+        self.held.insert(fingerprint, asked);
         true
     }
 
-    fn clear_at(&mut self, print: Fingerprint, passed: RequestProgress, at: Moment) {
+    fn clear_at(&mut self, fingerprint: Fingerprint, passed: RequestProgress, at: Moment) {
         if passed == RequestProgress::Complete {
-            self.held.remove(&print);
+            self.held.remove(&fingerprint);
             for crash in self.crashes.values_mut().filter(|c| c.at <= at) {
-                crash.requests.remove(&print);
+                crash.requests.remove(&fingerprint);
             }
         }
         if self.cleared.len() < REQUESTS_KEPT {
-            let known = self.cleared.entry((print, passed)).or_insert(at);
+            let known = self.cleared.entry((fingerprint, passed)).or_insert(at);
             *known = (*known).max(at);
         }
     }
--- a/lib/src/cluster/readers.rs
+++ b/lib/src/cluster/readers.rs
@@ -31,9 +31,9 @@
 
 impl ReaderStatus {
     /// Reads the times of a word that came just now.
-    pub fn new(word: &ReaderReport, now: Moment) -> Self {
+    pub fn new(report: &ReaderReport, now: Moment) -> Self {
         let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
-        Self { at: now, read: ago(word.read_age), remote_heard: ago(word.remote_age) }
+        Self { at: now, read: ago(report.read_age), remote_heard: ago(report.remote_age) }
     }
 
     fn is_heard(&self, now: Moment) -> bool {
@@ -44,20 +44,20 @@
 impl Peer {
     /// Returns its newest word, where it reads for others and was heard just now.
     pub fn fresh_reader_status(&self, now: Moment) -> Option<&ReaderStatus> {
-        self.reader_status.as_ref().filter(|word| word.is_heard(now))
+        self.reader_status.as_ref().filter(|status| status.is_heard(now))
     }
 
     fn is_blind(&self, now: Moment) -> bool {
-        let read = self.reader_status.map_or(Moment::ZERO, |word| word.read);
+        let read = self.reader_status.map_or(Moment::ZERO, |status| status.read);
         now > read.min(self.config_checked) + READER_BLIND
     }
 }
 
 impl PeerTable {
     /// Takes in that a peer reads for others, as its word tells.
-    pub fn set_reader_status(&mut self, id: &DaemonId, word: ReaderStatus) {
+    pub fn set_reader_status(&mut self, id: &DaemonId, status: ReaderStatus) {
         if let Some(peer) = self.peers.get_mut(id) {
-            peer.reader_status = Some(word);
+            peer.reader_status = Some(status);
         }
     }
 
--- a/lib/src/cluster/workloads.rs
+++ b/lib/src/cluster/workloads.rs
@@ -188,8 +188,8 @@
     }
 
     /// Takes in a server's own word.
-    pub fn set_reported(&self, server: &ServerInstance, now: Moment, word: ReportedWorkload) {
-        self.tables.borrow_mut().words.insert(server.clone(), (now, word));
+    pub fn set_reported(&self, server: &ServerInstance, now: Moment, reported: ReportedWorkload) {
+        self.tables.borrow_mut().words.insert(server.clone(), (now, reported));
     }
 
     /// Returns this daemon's own requests in progress, to be told to peers.
--- a/lib/src/placement/engine_table.rs
+++ b/lib/src/placement/engine_table.rs
@@ -299,7 +299,7 @@
     }
 
     /// Returns what callers' requests may rely on, for all daemons.
-    pub fn holding(&self, now: Moment) -> EngineInventory {
+    pub fn inventory(&self, now: Moment) -> EngineInventory {
         let job = self.job.as_ref();
         let is_victim = |name: &ModelName| job.is_some_and(|j| j.victims.contains(name));
         let models = self
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -189,10 +189,10 @@
     pub fn begin_failover(&mut self, entry: &DaemonState) -> FailoverOrigin {
         let (server, verdict, failed_over) =
             (self.last_server.clone(), self.verdict, self.failed_over);
-        let standing = FailoverOrigin { server, verdict, failed_over };
+        let origin = FailoverOrigin { server, verdict, failed_over };
         self.record_failure(entry, &SendFailure::may_have_run("the server fell silent"));
         self.failed_over = true;
-        standing
+        origin
     }
 
     /// Takes in that the next server refused it, so that it stays with the silent one.
@@ -200,15 +200,15 @@
         &mut self,
         entry: &DaemonState,
         failure: &SendFailure,
-        standing: FailoverOrigin,
+        origin: FailoverOrigin,
     ) {
         self.record_failure(entry, failure);
-        self.failed_over = standing.failed_over;
+        self.failed_over = origin.failed_over;
         self.possible_runs -= 1;
         self.deliveries -= 1;
-        self.verdict = standing.verdict;
-        self.tried.retain(|s| Some(s) != standing.server.as_ref());
-        self.last_server = standing.server;
+        self.verdict = origin.verdict;
+        self.tried.retain(|s| Some(s) != origin.server.as_ref());
+        self.last_server = origin.server;
         self.sending = true;
     }
 
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -51,9 +51,9 @@
     /// The servers.
     pub directory: &'a Directory,
     /// What engines hold.
-    pub holdings: &'a EngineInventories,
+    pub inventories: &'a EngineInventories,
     /// Work at the servers.
-    pub loads: &'a Workloads,
+    pub workloads: &'a Workloads,
     /// Servers to avoid.
     pub health: &'a ServerHealth,
     /// How long requests run.
@@ -131,12 +131,12 @@
         // request waits, and the model is loaded elsewhere.
         let holds = |s: &Server| {
             !self.health.is_unreachable(&s.instance(), self.now)
-                && self.holdings.holds(s, &item.model, item.adapter.as_deref())
+                && self.inventories.holds(s, &item.model, item.adapter.as_deref())
         };
         let cost = |s: &Server, w| self.engine_cost(s, w);
         match self.choose(&item.service, tried, holds, cost, self.load_uncertainty * PER_RUNNING) {
             Some(chosen) => {
-                let work = self.loads.at(&chosen.server.instance(), self.now);
+                let work = self.workloads.at(&chosen.server.instance(), self.now);
                 let wait = self.queue_wait(&chosen.server, work);
                 EngineChoice::Server(ChosenServer { queue_wait: wait, ..chosen })
             }
@@ -156,10 +156,10 @@
         tried: &[ServerInstance],
     ) -> Option<ChosenServer> {
         let fits = |s: &Server| {
-            let holds = |i: &ModelTarget| self.holdings.holds(s, &i.model, i.adapter.as_deref());
+            let holds = |i: &ModelTarget| self.inventories.holds(s, &i.model, i.adapter.as_deref());
             !self.health.is_avoided(&s.instance(), self.now)
                 && item.is_none_or(holds)
-                && self.loads.at(&s.instance(), self.now).running < s.slots
+                && self.workloads.at(&s.instance(), self.now).running < s.slots
         };
         if item.is_some() {
             let cost = |s: &Server, w| self.engine_cost(s, w);
@@ -182,7 +182,7 @@
                 !server.leaving && !self.health.is_unreachable(&server.instance(), self.now);
             let is_near = copies.disk.contains(&item.model)
                 || copies.memory.contains(&item.model)
-                || self.holdings.holds(server, &item.model, None);
+                || self.inventories.holds(server, &item.model, None);
             if is_usable && is_near {
                 return true;
             }
@@ -211,7 +211,8 @@
     /// other server. One that is due gets a request all the same.
     fn unlimited_first<'s>(&self, list: Vec<&'s Rc<Server>>) -> Vec<&'s Rc<Server>> {
         let is_open = |s: &&Rc<Server>| self.turn(s).is_none_or(|turn| turn.probe_due);
-        let has_place = |s: &Rc<Server>| self.loads.at(&s.instance(), self.now).running < s.slots;
+        let has_place =
+            |s: &Rc<Server>| self.workloads.at(&s.instance(), self.now).running < s.slots;
         if self.turns.is_empty() || !list.iter().any(|s| is_open(s) && has_place(s)) {
             return list;
         }
@@ -229,7 +230,7 @@
     /// names, where one is given. None where another one is in reach, or there is none at all.
     pub fn next_turn(&self, service: &str, item: Option<&ModelTarget>) -> Option<SendPermit> {
         let holds = |s: &Server| {
-            item.is_none_or(|i| self.holdings.holds(s, &i.model, i.adapter.as_deref()))
+            item.is_none_or(|i| self.inventories.holds(s, &i.model, i.adapter.as_deref()))
         };
         let is_usable = |s: &Server| {
             s.service == service
@@ -266,7 +267,7 @@
         let sound: Vec<&Rc<Server>> = open.iter().filter(is_sound).copied().collect();
         let list = self.unlimited_first(if sound.is_empty() { open } else { sound });
         let candidate = |s: &&Rc<Server>| {
-            let work = self.loads.at(&s.instance(), self.now);
+            let work = self.workloads.at(&s.instance(), self.now);
             Candidate { cost: cost(s, work), free_slots: s.slots.saturating_sub(work.running) }
         };
         let candidates: Vec<Candidate> = list.iter().map(candidate).collect();
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -225,7 +225,7 @@
         let peers = PeerTable::new(settings.readers_from);
         // Set anew before each bid.
         let patience = Duration::ZERO;
-        let tenure = LeaseState::new(
+        let lease = LeaseState::new(
             settings.id.clone(),
             process,
             settings.fenced,
@@ -258,7 +258,7 @@
             report_due: Notify::new(),
             quarantine_changed: Notify::new(),
             fetch_due: Notify::new(),
-            lease: RefCell::new(tenure),
+            lease: RefCell::new(lease),
             renewal_due: Notify::new(),
             lease_renewed: Notify::new(),
             demand: RefCell::default(),
@@ -455,8 +455,8 @@
     /// Takes in the lease holder's word on what engines hold, and wakes those that wait for it.
     pub fn update_inventory(&self, fence: Fence, list: Vec<EngineInventory>) {
         let now = self.now();
-        for holding in list {
-            self.inventories.borrow_mut().put(fence, holding, now);
+        for inventory in list {
+            self.inventories.borrow_mut().put(fence, inventory, now);
         }
         self.model_waits.inventories_changed.notify_waiters();
     }
@@ -465,13 +465,13 @@
     pub fn with_chooser<T>(&self, f: impl FnOnce(&Chooser<'_>) -> T) -> T {
         let turns = self.send_permits();
         let directory = self.directory.borrow();
-        let holdings = self.inventories.borrow();
+        let inventories = self.inventories.borrow();
         let health = self.health.borrow();
         let settings = self.settings.borrow();
         f(&Chooser {
             directory: &directory,
-            holdings: &holdings,
-            loads: &self.workloads,
+            inventories: &inventories,
+            workloads: &self.workloads,
             health: &health,
             run_times: &self.run_times,
             turns: &turns,
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -81,11 +81,11 @@
     next: &ChosenServer,
     begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &ChosenServer) -> SendFuture<T>,
 ) -> Option<SendFuture<T>> {
-    let standing = attempt.begin_failover(entry);
+    let origin = attempt.begin_failover(entry);
     let mut offered = begin(entry, attempt, next);
     match timeout(OFFER_TIME, &mut offered).await {
         Ok(Err(failure)) if failure.verdict == Verdict::DidNotRun => {
-            attempt.cancel_failover(entry, &failure, standing);
+            attempt.cancel_failover(entry, &failure, origin);
             None
         }
         Ok(ended) => Some(Box::pin(ready(ended))),
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -203,7 +203,7 @@
     let expected = entry.with_chooser(|c| {
         let servers = c.directory.servers().filter(|s| s.service == item.service && !s.leaving);
         let times = servers.filter_map(|s| {
-            c.holdings.expected_at(&s.instance(), &item.model, item.adapter.as_deref(), now)
+            c.inventories.expected_at(&s.instance(), &item.model, item.adapter.as_deref(), now)
         });
         times.min()
     });
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -119,8 +119,8 @@
                 }
             }
             Payload::Inventories(fence, list) => self.take_holdings(&message.from, fence, list),
-            Payload::ReaderReport(word) => {
-                self.take_word(&message.from, addr, message.process, word)
+            Payload::ReaderReport(report) => {
+                self.take_word(&message.from, addr, message.process, report)
             }
             Payload::Trials(notes) => {
                 if entry.trials.update_peer(&message.from, notes, now) {
@@ -142,7 +142,7 @@
         if is_holder && entry.is_large_fleet() && entry.is_reader() {
             self.relay_holdings(fence, &list);
         }
-        list.retain(|holding| self.is_heard(&holding.server, from));
+        list.retain(|inventory| self.is_heard(&inventory.server, from));
         entry.update_inventory(fence, list);
     }
 
@@ -198,11 +198,17 @@
     }
 
     /// Takes in a reader's word.
-    fn take_word(&self, from: &DaemonId, addr: SocketAddr, process: ProcessId, word: ReaderReport) {
+    fn take_word(
+        &self,
+        from: &DaemonId,
+        addr: SocketAddr,
+        process: ProcessId,
+        report: ReaderReport,
+    ) {
         let entry = &self.entry;
         let now = entry.now();
-        let heard = ReaderStatus::new(&word, now);
-        let ReaderReport { digest, changes_from, joined, checksum, scope, workloads, .. } = word;
+        let heard = ReaderStatus::new(&report, now);
+        let ReaderReport { digest, changes_from, joined, checksum, scope, workloads, .. } = report;
         self.take_state(from, addr, process, &digest);
         entry.peers.borrow_mut().set_reader_status(from, heard);
         let is_near = digest.centre == entry.settings().centre;
--- a/lib/src/serve/lease_manager.rs
+++ b/lib/src/serve/lease_manager.rs
@@ -55,7 +55,7 @@
                 continue;
             }
             let now = entry.now();
-            let heard = entry.peers.borrow().holder(now).map(|(_, _, tenure)| tenure);
+            let heard = entry.peers.borrow().holder(now).map(|(_, _, lease)| lease);
             let patience = entry.bid_delay();
             if heard.is_some() {
                 vacant = None;
@@ -131,11 +131,11 @@
         let call = entry.store.append(Feed::Leases, feed_record, Some(at));
         let result = track_call(entry, Feed::Leases, call).await;
         let now = entry.now();
-        let mut tenure = entry.lease.borrow_mut();
+        let mut lease = entry.lease.borrow_mut();
         match result {
             Ok(offset) => {
-                tenure.on_appended(sent, now, offset);
-                drop(tenure);
+                lease.on_appended(sent, now, offset);
+                drop(lease);
                 entry.lease_renewed.notify_waiters();
                 if record.fence.is_none() {
                     let held_back = entry.lease.borrow().blocked_engines(now);
@@ -149,12 +149,12 @@
             }
             Err(StoreError::EndMismatch | StoreError::Expired) => {
                 slog::info!(entry.log, "lease-append-refused"; "at" => at);
-                tenure.on_conflict();
+                lease.on_conflict();
             }
-            Err(StoreError::Refused(_)) => tenure.on_store_failure(now),
+            Err(StoreError::Refused(_)) => lease.on_store_failure(now),
             Err(StoreError::UnknownOutcome(error)) => {
                 slog::info!(entry.log, "lease-append-doubtful"; "at" => at, "error" => error);
-                tenure.on_unknown_outcome(sent, now);
+                lease.on_unknown_outcome(sent, now);
             }
         }
     }
--- a/lib/src/serve/placement_controller.rs
+++ b/lib/src/serve/placement_controller.rs
@@ -87,7 +87,7 @@
         gossip: Rc<Gossip>,
         calls: Rc<dyn EngineClient>,
     ) -> Rc<Self> {
-        let desk = ControllerState {
+        let state = ControllerState {
             fence: None,
             fetch_limiter: FetchLimiter::new(Moment::ZERO),
             eta_accuracy: EtaAccuracy::default(),
@@ -96,7 +96,7 @@
             reading: Vec::new(),
         };
         let engines = EngineOrders::new(Rc::clone(&entry), calls);
-        Rc::new(Self { entry, gossip, engine_orders: engines, state: RefCell::new(desk) })
+        Rc::new(Self { entry, gossip, engine_orders: engines, state: RefCell::new(state) })
     }
 
     /// Plans and begins steps while the lease is held.
@@ -114,11 +114,11 @@
         let entry = &self.entry;
         let Some(config) = entry.config() else { return };
         {
-            let mut desk = self.state.borrow_mut();
-            let standing = entry.held_fence();
-            if desk.fence != standing {
-                desk.fence = standing;
-                desk.fetch_limiter.restart(entry.now(), entry.lease.borrow().share());
+            let mut state = self.state.borrow_mut();
+            let fence = entry.held_fence();
+            if state.fence != fence {
+                state.fence = fence;
+                state.fetch_limiter.restart(entry.now(), entry.lease.borrow().share());
                 entry.engine_table.borrow_mut().invalidate_all();
                 *entry.demand.borrow_mut() = Demand::default();
             }
@@ -139,15 +139,15 @@
         let entry = &self.entry;
         let now = entry.now();
         let ended = entry.engine_table.borrow_mut().follow(&entry.directory.borrow(), config, now);
-        let mut desk = self.state.borrow_mut();
+        let mut state = self.state.borrow_mut();
         for start in &ended {
-            desk.fetch_limiter.end(start, false, now);
+            state.fetch_limiter.end(start, false, now);
         }
-        drop(desk);
+        drop(state);
         // Engines that the holder before ordered just now are left alone for a while.
-        let tenure = entry.lease.borrow();
+        let lease = entry.lease.borrow();
         for engine in entry.engine_table.borrow_mut().engines.values_mut() {
-            let free = tenure.orderable_from(engine_key(&engine.server.id));
+            let free = lease.orderable_from(engine_key(&engine.server.id));
             engine.backoff_until = engine.backoff_until.max(free);
         }
     }
@@ -155,9 +155,9 @@
     /// Learns how many loads the weight store serves at full speed, and hands that on.
     fn look_at_store(&self) {
         let entry = &self.entry;
-        let mut desk = self.state.borrow_mut();
-        let is_fewer = desk.fetch_limiter.update_limit(entry.now());
-        let share = desk.fetch_limiter.share();
+        let mut state = self.state.borrow_mut();
+        let is_fewer = state.fetch_limiter.update_limit(entry.now());
+        let share = state.fetch_limiter.share();
         if is_fewer {
             slog::info!(entry.log, "weight-store-shared"; "full_speed" => share.limit,
                 "proven" => share.proven);
@@ -178,13 +178,13 @@
         let avoided =
             avoided.filter(|s| health.is_avoided(&s.instance(), now)).map(|s| s.id.clone());
         let window = entry.settings().load_window;
-        let mut desk = self.state.borrow_mut();
-        let share = desk.fetch_limiter.share();
+        let mut state = self.state.borrow_mut();
+        let share = state.fetch_limiter.share();
         let store_room =
-            if rate.is_finite() { desk.fetch_limiter.fetches_left(rate, window, now) } else { 0 };
-        drop(desk);
+            if rate.is_finite() { state.fetch_limiter.fetches_left(rate, window, now) } else { 0 };
+        drop(state);
         let work = entry.workloads.fleet_table(now);
-        let scene = PlanInput {
+        let input = PlanInput {
             now,
             config,
             engine_table: &engine_table,
@@ -195,7 +195,7 @@
             share,
             fetches_left: store_room,
         };
-        scene.plan()
+        input.plan()
     }
 
     /// Reads the reports of engines whose state is in doubt, before any order to them.
@@ -203,15 +203,15 @@
         let entry = &self.entry;
         let now = entry.now();
         let engine_table = entry.engine_table.borrow();
-        let mut desk = self.state.borrow_mut();
+        let mut state = self.state.borrow_mut();
         for engine in engine_table.engines.values() {
             let start = engine.server.instance();
             let is_idle = engine.job.is_none() && engine.adapter_jobs.is_empty();
             let is_due = is_idle && !engine.confirmed && now >= engine.backoff_until;
-            if !is_due || desk.reading.contains(&start) {
+            if !is_due || state.reading.contains(&start) {
                 continue;
             }
-            desk.reading.push(start.clone());
+            state.reading.push(start.clone());
             let orders = Rc::clone(self);
             spawn_local(async move {
                 let result = orders.engine_orders.fetch_report(&start).await;
@@ -304,14 +304,14 @@
         let entry = &self.entry;
         let now = entry.now();
         self.state.borrow_mut().untold.insert(server.id.clone(), TELLINGS);
-        let told = self.with_engine(server, |e| (e.server.service.clone(), e.holding(now)));
-        if let Some((service, holding)) = told {
+        let told = self.with_engine(server, |e| (e.server.service.clone(), e.inventory(now)));
+        if let Some((service, inventory)) = told {
             let demand = entry.demand.borrow();
             let waiting = demand.waiting_daemons(&service, &[model.as_str()]);
             let waiting: Vec<_> = waiting.into_iter().cloned().collect();
             drop(demand);
-            self.gossip.send_inventory(fence, &holding, &waiting);
-            entry.update_inventory(fence, vec![holding]);
+            self.gossip.send_inventory(fence, &inventory, &waiting);
+            entry.update_inventory(fence, vec![inventory]);
         }
         entry.plan_due.notify_one();
     }
@@ -322,20 +322,20 @@
         let now = entry.now();
         let daemons = entry.peers.borrow().daemons();
         let gap = if daemons <= SMALL_FLEET { Duration::ZERO } else { BATCH_GAP * daemons as u32 };
-        let mut desk = self.state.borrow_mut();
-        if desk.untold.is_empty() || now < desk.told + gap {
+        let mut state = self.state.borrow_mut();
+        if state.untold.is_empty() || now < state.told + gap {
             return;
         }
-        desk.told = now;
+        state.told = now;
         let engine_table = entry.engine_table.borrow();
         let mut list = Vec::new();
-        desk.untold.retain(|id, left| {
-            list.extend(engine_table.engines.get(id).map(|e| e.holding(now)));
+        state.untold.retain(|id, left| {
+            list.extend(engine_table.engines.get(id).map(|e| e.inventory(now)));
             *left -= 1;
             *left > 0
         });
         drop(engine_table);
-        drop(desk);
+        drop(state);
         self.gossip.publish_inventories(fence, &list);
         entry.update_inventory(fence, list);
     }
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -119,12 +119,12 @@
         let before = entry.peers.borrow().higher_ranked(entry.reader_rank(), &centre, now);
         let is_needed =
             entry.is_large_fleet() && entry.peers_known.get() && entry.stopping.get().is_none();
-        let mut duty = entry.reader_role.borrow_mut();
-        let did = duty.is_reader();
+        let mut role = entry.reader_role.borrow_mut();
+        let did = role.is_reader();
         let does = if is_needed {
-            duty.update(before, now)
+            role.update(before, now)
         } else {
-            duty.reset();
+            role.reset();
             false
         };
         if did != does {
@@ -277,9 +277,9 @@
     }
 
     /// Tells all peers what engines hold, in a large fleet by way of readers.
-    pub fn publish_inventories(&self, fence: Fence, holdings: &[EngineInventory]) {
+    pub fn publish_inventories(&self, fence: Fence, inventories: &[EngineInventory]) {
         let addrs = self.holdings_listeners();
-        for part in holdings.chunks(HOLDINGS_EACH) {
+        for part in inventories.chunks(HOLDINGS_EACH) {
             let bytes = self.encode(Payload::Inventories(fence, part.to_vec()));
             for addr in &addrs {
                 self.send(*addr, &bytes, "holdings");
@@ -312,8 +312,8 @@
     }
 
     /// Tells some peers what an engine holds.
-    pub fn send_inventory(&self, fence: Fence, holding: &EngineInventory, daemons: &[DaemonId]) {
-        let bytes = self.encode(Payload::Inventories(fence, vec![holding.clone()]));
+    pub fn send_inventory(&self, fence: Fence, inventory: &EngineInventory, daemons: &[DaemonId]) {
+        let bytes = self.encode(Payload::Inventories(fence, vec![inventory.clone()]));
         let peers = self.entry.peers.borrow();
         for (_, peer) in peers.all().filter(|(id, _)| daemons.contains(id)) {
             self.send(peer.addr, &bytes, "holdings");
--- a/lib/src/serve/server_feedback.rs
+++ b/lib/src/serve/server_feedback.rs
@@ -36,8 +36,8 @@
         sent: Moment,
     ) {
         let now = self.now();
-        if let Some(word) = terms.load {
-            self.workloads.set_reported(server, now, word);
+        if let Some(workload) = terms.load {
+            self.workloads.set_reported(server, now, workload);
         }
         // Only an answer with the server's signature tells that it names no limit any more.
         let limit = match &terms.limit {
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -46,8 +46,8 @@
 
 impl DaemonState {
     /// Returns whether a request may go to no server; asking keeps it held.
-    pub fn is_quarantined(&self, print: &Fingerprint) -> bool {
-        self.quarantine.borrow_mut().is_held(print, self.now())
+    pub fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
+        self.quarantine.borrow_mut().is_held(fingerprint, self.now())
     }
 
     /// Takes in how far a server came with a request.
@@ -73,8 +73,8 @@
     }
 
     /// Returns whether servers crashed under a request that nobody cleared of it.
-    pub fn is_suspect(&self, print: &Fingerprint) -> bool {
-        !self.quarantine.borrow().suspected_crashes(print).is_empty()
+    pub fn is_suspect(&self, fingerprint: &Fingerprint) -> bool {
+        !self.quarantine.borrow().suspected_crashes(fingerprint).is_empty()
     }
 }
 
@@ -125,43 +125,43 @@
     server: &ServerInstance,
     stage: CrashStage,
 ) {
-    let print = attempt.fingerprint;
+    let fingerprint = attempt.fingerprint;
     let mut quarantine = entry.quarantine.borrow_mut();
-    let is_held = quarantine.record_crash(server, attempt.sent_at, print, stage, entry.now());
-    let crashes = quarantine.suspected_crashes(&print).len();
+    let is_held = quarantine.record_crash(server, attempt.sent_at, fingerprint, stage, entry.now());
+    let crashes = quarantine.suspected_crashes(&fingerprint).len();
     drop(quarantine);
     if stage < CrashStage::Other || crashes > 1 {
-        slog::info!(entry.log, "request-suspected"; "print" => %print, "server" => %server,
+        slog::info!(entry.log, "request-suspected"; "print" => %fingerprint, "server" => %server,
             "stage" => stage.name(), "crashes" => crashes);
     }
     if stage == CrashStage::BeforeEvents {
         entry.quarantine_changed.notify_one();
     }
     if is_held {
-        hold(entry, print);
+        hold(entry, fingerprint);
     }
 }
 
 /// Holds a request if what peers have told since is enough.
-fn judge(entry: &Rc<DaemonState>, print: Fingerprint) {
-    let is_held = entry.quarantine.borrow_mut().evaluate(print, entry.now());
+fn judge(entry: &Rc<DaemonState>, fingerprint: Fingerprint) {
+    let is_held = entry.quarantine.borrow_mut().evaluate(fingerprint, entry.now());
     if is_held {
-        hold(entry, print);
+        hold(entry, fingerprint);
     }
 }
 
 /// Tells everybody of a request that this daemon holds from now on.
-fn hold(entry: &Rc<DaemonState>, print: Fingerprint) {
+fn hold(entry: &Rc<DaemonState>, fingerprint: Fingerprint) {
     entry.quarantine_changed.notify_one();
-    note_held(entry, print, "own");
-    spawn_local(store_held(Rc::clone(entry), print));
+    note_held(entry, fingerprint, "own");
+    spawn_local(store_held(Rc::clone(entry), fingerprint));
 }
 
-fn note_held(entry: &DaemonState, print: Fingerprint, from: &str) {
+fn note_held(entry: &DaemonState, fingerprint: Fingerprint, from: &str) {
     let quarantine = entry.quarantine.borrow();
     let servers: Vec<_> =
-        quarantine.suspected_crashes(&print).iter().map(|c| c.server.id.as_str()).collect();
-    slog::warn!(entry.log, "request-held"; "print" => %print, "from" => from,
+        quarantine.suspected_crashes(&fingerprint).iter().map(|c| c.server.id.as_str()).collect();
+    slog::warn!(entry.log, "request-held"; "print" => %fingerprint, "from" => from,
         "servers" => servers.join(","), "held" => quarantine.held().count());
     entry.metrics.set_quarantined(quarantine.held().count());
 }
@@ -169,11 +169,11 @@
 /// Takes in what a peer knows of such requests.
 pub fn receive_note(entry: &Rc<DaemonState>, note: &QuarantineReport, from: &str) {
     let held = entry.quarantine.borrow_mut().merge(note, entry.now());
-    for print in held {
-        note_held(entry, print, from);
+    for fingerprint in held {
+        note_held(entry, fingerprint, from);
         // It may be that no daemon holds it by what it saw itself. One record is enough.
         if entry.fence().is_some() {
-            spawn_local(store_held(Rc::clone(entry), print));
+            spawn_local(store_held(Rc::clone(entry), fingerprint));
         }
     }
 }
@@ -181,22 +181,25 @@
 /// Lets go of requests that nobody has asked for in a long time.
 pub fn release_expired(entry: &Rc<DaemonState>) {
     let released = entry.quarantine.borrow_mut().sweep(entry.now());
-    for print in released {
-        slog::info!(entry.log, "request-released"; "print" => %print);
+    for fingerprint in released {
+        slog::info!(entry.log, "request-released"; "print" => %fingerprint);
         entry.metrics.set_quarantined(entry.quarantine.borrow().held().count());
         // One record is enough.
         if entry.fence().is_some() {
-            spawn_local(append(Rc::clone(entry), FeedRecord { key: print.key(), value: None }));
+            spawn_local(append(
+                Rc::clone(entry),
+                FeedRecord { key: fingerprint.key(), value: None },
+            ));
         }
     }
 }
 
 /// Writes a held request to the store, since all daemons may be replaced at once.
-async fn store_held(entry: Rc<DaemonState>, print: Fingerprint) {
+async fn store_held(entry: Rc<DaemonState>, fingerprint: Fingerprint) {
     let crashes =
-        entry.quarantine.borrow().suspected_crashes(&print).into_iter().cloned().collect();
+        entry.quarantine.borrow().suspected_crashes(&fingerprint).into_iter().cloned().collect();
     let held = HeldEntry { crashes };
-    append(entry, FeedRecord { key: print.key(), value: Some(entries::encode(&held)) }).await;
+    append(entry, FeedRecord { key: fingerprint.key(), value: Some(entries::encode(&held)) }).await;
 }
 
 async fn append(entry: Rc<DaemonState>, record: FeedRecord) {
@@ -223,9 +226,9 @@
                 continue;
             }
             match Fingerprint::try_from(record.key.as_str()) {
-                Ok(print) => {
-                    entry.quarantine.borrow_mut().hold(print, entry.now());
-                    note_held(&entry, print, "store");
+                Ok(fingerprint) => {
+                    entry.quarantine.borrow_mut().hold(fingerprint, entry.now());
+                    note_held(&entry, fingerprint, "store");
                 }
                 Err(error) => entry.log_unreadable(Feed::Quarantine, &record.key, &error.0),
             }
--- a/lib/src/serve/trials.rs
+++ b/lib/src/serve/trials.rs
@@ -55,11 +55,11 @@
 
 impl Trials {
     /// Begins the wait of a suspect for its turn.
-    pub fn enqueue(&self, print: Fingerprint, now: Moment) -> Trial {
+    pub fn enqueue(&self, fingerprint: Fingerprint, now: Moment) -> Trial {
         let mut tables = self.tables.borrow_mut();
         tables.begun += 1;
         let number = tables.begun;
-        let note = TrialReport { fingerprint: print, server: None };
+        let note = TrialReport { fingerprint, server: None };
         tables.own.insert(number, OwnTrial { since: now, note });
         self.changed.notify_one();
         Trial { trials: self.clone(), number }
@@ -96,18 +96,19 @@
     /// waited for the same model do not go off together.
     pub fn is_next(&self, trial: &Trial, daemon: &str, now: Moment) -> bool {
         let tables = self.tables.borrow();
-        let Some(OwnTrial { since, note: TrialReport { fingerprint: print, .. } }) =
+        let Some(OwnTrial { since, note: TrialReport { fingerprint, .. } }) =
             tables.own.get(&trial.number)
         else {
             return false;
         };
-        let mut own = tables.own.iter().filter(|(_, own)| own.note.fingerprint == *print);
+        let mut own = tables.own.iter().filter(|(_, own)| own.note.fingerprint == *fingerprint);
         let is_first = own.all(|(n, own)| *n >= trial.number && own.note.server.is_none());
-        let own_rank = rank(print, daemon);
-        let mut copies = tables.fresh(now).filter(|(_, note)| note.fingerprint == *print);
+        let own_rank = rank(fingerprint, daemon);
+        let mut copies = tables.fresh(now).filter(|(_, note)| note.fingerprint == *fingerprint);
         is_first
             && now >= *since + HEARD_WITHIN
-            && copies.all(|(peer, note)| note.server.is_none() && rank(print, peer) > own_rank)
+            && copies
+                .all(|(peer, note)| note.server.is_none() && rank(fingerprint, peer) > own_rank)
     }
 }
 
@@ -120,9 +121,9 @@
 }
 
 /// A daemon's place among those that have copies of a request; the lowest comes first.
-fn rank(print: &Fingerprint, daemon: &str) -> u64 {
+fn rank(fingerprint: &Fingerprint, daemon: &str) -> u64 {
     let mut hasher = Xxh3::new();
-    hasher.update(print.key().as_bytes());
+    hasher.update(fingerprint.key().as_bytes());
     hasher.update(daemon.as_bytes());
     hasher.digest()
 }
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -226,8 +226,8 @@
     let chooser = Chooser {
         turns: &turns,
         directory: &directory,
-        holdings: &EngineInventories::default(),
-        loads: &Workloads::default(),
+        inventories: &EngineInventories::default(),
+        workloads: &Workloads::default(),
         health: &ServerHealth::default(),
         run_times: &RunTimes::default(),
         centre: &"north".into(),
--- a/lib/tests/test_fingerprints.rs
+++ b/lib/tests/test_fingerprints.rs
@@ -4,14 +4,14 @@
 use http::Method;
 use rstest::rstest;
 
-fn print(method: &Method, host: &str, path: &str, body: &[u8]) -> Fingerprint {
+fn fingerprint(method: &Method, host: &str, path: &str, body: &[u8]) -> Fingerprint {
     Fingerprint::new(method, host, path, body)
 }
 
 #[test]
 fn attempts_alike() {
-    let first = print(&Method::POST, "shop.example", "/draft/7?size=2", b"gown 7");
-    let second = print(&Method::POST, "shop.example", "/draft/7?size=2", b"gown 7");
+    let first = fingerprint(&Method::POST, "shop.example", "/draft/7?size=2", b"gown 7");
+    let second = fingerprint(&Method::POST, "shop.example", "/draft/7?size=2", b"gown 7");
     assert_eq!(first, second);
     assert_eq!(first.to_string().len(), 8);
 }
@@ -29,6 +29,6 @@
     #[case] path: &str,
     #[case] body: &[u8],
 ) {
-    let one = print(&Method::POST, "shop.example", "/draft/7", b"gown 7");
-    assert_ne!(one, print(method, host, path, body));
+    let one = fingerprint(&Method::POST, "shop.example", "/draft/7", b"gown 7");
+    assert_ne!(one, fingerprint(method, host, path, body));
 }
--- a/lib/tests/test_handover.rs
+++ b/lib/tests/test_handover.rs
@@ -30,15 +30,15 @@
         LeaseState::new(format!("d{process}").into(), process, fenced, APART, ms(0))
     }
 
-    fn settle(&mut self, tenure: &mut LeaseState, now: Moment) {
+    fn settle(&mut self, lease: &mut LeaseState, now: Moment) {
         loop {
-            match tenure.next_step(now, None) {
+            match lease.next_step(now, None) {
                 LeaseStep::Sleep(_) => return,
-                LeaseStep::Read => tenure.on_read(now, self.newest.clone(), self.end),
-                LeaseStep::Append(at, _) if at != self.end => tenure.on_conflict(),
+                LeaseStep::Read => lease.on_read(now, self.newest.clone(), self.end),
+                LeaseStep::Append(at, _) if at != self.end => lease.on_conflict(),
                 LeaseStep::Append(_, entry) => {
                     let offset = self.append(entry);
-                    tenure.on_appended(now, now, offset);
+                    lease.on_appended(now, now, offset);
                 }
             }
         }
@@ -51,21 +51,21 @@
     }
 
     /// Lets a holder begin a change at an engine.
-    fn change(&mut self, tenure: &mut LeaseState, engine: EngineKey, now: Moment) {
-        let fence = tenure.held_fence().expect("it holds the lease");
-        tenure.begin_orders(fence, engine, now);
-        self.settle(tenure, now);
+    fn change(&mut self, lease: &mut LeaseState, engine: EngineKey, now: Moment) {
+        let fence = lease.held_fence().expect("it holds the lease");
+        lease.begin_orders(fence, engine, now);
+        self.settle(lease, now);
     }
 
     /// Returns when a daemon may first order an engine, looking every 50 ms.
-    fn first_order(&mut self, tenure: &mut LeaseState, engine: EngineKey, from: u64) -> Moment {
+    fn first_order(&mut self, lease: &mut LeaseState, engine: EngineKey, from: u64) -> Moment {
         let first = (from..from + 20_000).step_by(50).map(ms).find(|now| {
-            self.settle(tenure, *now);
-            if tenure.held_fence().is_none() {
+            self.settle(lease, *now);
+            if lease.held_fence().is_none() {
                 return false;
             }
-            self.change(tenure, engine, *now);
-            tenure.fence_for(engine, *now).is_some()
+            self.change(lease, engine, *now);
+            lease.fence_for(engine, *now).is_some()
         });
         first.expect("it orders at last")
     }
--- a/lib/tests/test_load_trust.rs
+++ b/lib/tests/test_load_trust.rs
@@ -15,20 +15,20 @@
 /// report than it did, and the second one's callers were late by just that.
 #[test]
 fn punctual_trusted() {
-    let mut trust = EtaAccuracy::default();
-    assert!(!trust.is_reliable(at(1)), "nothing was seen yet");
-    trust.record(SOON, at(2));
-    assert!(trust.is_reliable(at(2)));
+    let mut accuracy = EtaAccuracy::default();
+    assert!(!accuracy.is_reliable(at(1)), "nothing was seen yet");
+    accuracy.record(SOON, at(2));
+    assert!(accuracy.is_reliable(at(2)));
 }
 
 /// Hosts' disks turn slow. Requests that come before the end of a load are refused by the engine, and each of them uses
 /// up a repeat: after one late load, ends are looked for in reports again.
 #[test]
 fn late_doubted() {
-    let mut trust = EtaAccuracy::default();
-    trust.record(SOON, at(2));
-    trust.record(LATE, at(3));
-    trust.record(SOON, at(4));
-    assert!(!trust.is_reliable(at(4)));
-    assert!(trust.is_reliable(at(14)));
+    let mut accuracy = EtaAccuracy::default();
+    accuracy.record(SOON, at(2));
+    accuracy.record(LATE, at(3));
+    accuracy.record(SOON, at(4));
+    assert!(!accuracy.is_reliable(at(4)));
+    assert!(accuracy.is_reliable(at(14)));
 }
--- a/lib/tests/test_peer_table.rs
+++ b/lib/tests/test_peer_table.rs
@@ -19,9 +19,9 @@
 fn table(count: u16) -> PeerTable {
     let mut peers = PeerTable::default();
     for n in 0..count {
-        let tenure = (n + 1 == count).then_some(LeaseReport { fence: 1, left_ms: 1000, end: 1 });
+        let lease = (n + 1 == count).then_some(LeaseReport { fence: 1, left_ms: 1000, end: 1 });
         let centre = ["near", "far"][usize::from(n % 2)];
-        let digest = Digest { lease: tenure, ..digest(centre, Duration::ZERO) };
+        let digest = Digest { lease, ..digest(centre, Duration::ZERO) };
         peers.record_digest(&format!("d{n}").into(), addr(n), n.into(), &digest, NOW);
     }
     peers
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -14,7 +14,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn print(n: u32) -> Fingerprint {
+fn fingerprint(n: u32) -> Fingerprint {
     Fingerprint::new(&Method::POST, "shop.example", "/draft/7", &n.to_be_bytes())
 }
 
@@ -32,7 +32,7 @@
     let mut now = start();
     for n in 0..count {
         now += SECOND;
-        quarantine.record_crash(&server(n), Moment::ZERO, print(1), stage, now);
+        quarantine.record_crash(&server(n), Moment::ZERO, fingerprint(1), stage, now);
     }
     (quarantine, now)
 }
@@ -40,16 +40,16 @@
 #[test]
 fn held_at_third() {
     let (mut quarantine, now) = after_crashes(2, CrashStage::BeforeEvents);
-    assert!(!quarantine.is_held(&print(1), now));
+    assert!(!quarantine.is_held(&fingerprint(1), now));
     assert!(quarantine.record_crash(
         &server(2),
         Moment::ZERO,
-        print(1),
+        fingerprint(1),
         CrashStage::BeforeEvents,
         now
     ));
-    assert!(quarantine.is_held(&print(1), now));
-    assert!(!quarantine.is_held(&print(2), now));
+    assert!(quarantine.is_held(&fingerprint(1), now));
+    assert!(!quarantine.is_held(&fingerprint(2), now));
 }
 
 /// One crash seen by three daemons counted as three.
@@ -59,10 +59,10 @@
     for _daemon in 0..3 {
         let (there, now) = after_crashes(1, CrashStage::BeforeEvents);
         here.merge(&there.report(now, false), now);
-        here.record_crash(&server(0), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
+        here.record_crash(&server(0), Moment::ZERO, fingerprint(1), CrashStage::BeforeEvents, now);
     }
-    assert!(!here.is_held(&print(1), start()));
-    assert_eq!(here.suspected_crashes(&print(1)).len(), 1);
+    assert!(!here.is_held(&fingerprint(1), start()));
+    assert_eq!(here.suspected_crashes(&fingerprint(1)).len(), 1);
 }
 
 /// A server started again under its id and crashed again before its entry told so; its crashes counted as one.
@@ -75,7 +75,7 @@
         let is_held = quarantine.record_crash(
             &server(0),
             sent,
-            print(1),
+            fingerprint(1),
             CrashStage::BeforeEvents,
             sent + SECOND / 2,
         );
@@ -91,13 +91,13 @@
     let mut here = Quarantine::default();
     for n in 0..3 {
         let mut there = Quarantine::default();
-        there.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
+        there.record_crash(&server(n), Moment::ZERO, fingerprint(1), CrashStage::BeforeEvents, now);
         here.merge(&there.report(now, false), now);
     }
     // Others may tell of further suspects yet.
-    assert!(!here.evaluate(print(1), now));
-    assert!(here.evaluate(print(1), now + SECOND));
-    assert!(here.is_held(&print(1), now + SECOND));
+    assert!(!here.evaluate(fingerprint(1), now));
+    assert!(here.evaluate(fingerprint(1), now + SECOND));
+    assert!(here.is_held(&fingerprint(1), now + SECOND));
 }
 
 /// Two requests began together at each of three servers, and the honest one was refused.
@@ -110,17 +110,17 @@
             quarantine.record_crash(
                 &server(n),
                 Moment::ZERO,
-                print(request),
+                fingerprint(request),
                 CrashStage::BeforeEvents,
                 now,
             );
         }
         now += SECOND;
     }
-    assert!(!quarantine.evaluate(print(1), now) && !quarantine.evaluate(print(2), now));
+    assert!(!quarantine.evaluate(fingerprint(1), now) && !quarantine.evaluate(fingerprint(2), now));
     // One of them has an answer: it was the other.
-    quarantine.record_progress(print(2), RequestProgress::Complete, now);
-    assert!(quarantine.evaluate(print(1), now));
+    quarantine.record_progress(fingerprint(2), RequestProgress::Complete, now);
+    assert!(quarantine.evaluate(fingerprint(1), now));
 }
 
 /// An honest request went on elsewhere, and its whole answer had to be awaited before the other one was held.
@@ -129,16 +129,22 @@
     let (mut quarantine, now) = after_crashes(3, CrashStage::BeforeEvents);
     let mut other = Quarantine::default();
     for n in 0..3 {
-        quarantine.record_crash(&server(n), Moment::ZERO, print(2), CrashStage::BeforeEvents, now);
-        other.record_crash(&server(n), Moment::ZERO, print(3), CrashStage::FirstEvent, now);
+        quarantine.record_crash(
+            &server(n),
+            Moment::ZERO,
+            fingerprint(2),
+            CrashStage::BeforeEvents,
+            now,
+        );
+        other.record_crash(&server(n), Moment::ZERO, fingerprint(3), CrashStage::FirstEvent, now);
     }
-    quarantine.record_progress(print(2), RequestProgress::FirstEvent, now + SECOND);
-    assert_eq!(quarantine.suspected_crashes(&print(2)).len(), 0);
+    quarantine.record_progress(fingerprint(2), RequestProgress::FirstEvent, now + SECOND);
+    assert_eq!(quarantine.suspected_crashes(&fingerprint(2)).len(), 0);
     // One that crashes servers after its first event comes so far each time.
-    other.record_progress(print(3), RequestProgress::FirstEvent, now + SECOND);
-    assert_eq!(other.suspected_crashes(&print(3)).len(), 3);
-    other.record_progress(print(3), RequestProgress::Streaming, now + SECOND);
-    assert_eq!(other.suspected_crashes(&print(3)).len(), 0);
+    other.record_progress(fingerprint(3), RequestProgress::FirstEvent, now + SECOND);
+    assert_eq!(other.suspected_crashes(&fingerprint(3)).len(), 3);
+    other.record_progress(fingerprint(3), RequestProgress::Streaming, now + SECOND);
+    assert_eq!(other.suspected_crashes(&fingerprint(3)).len(), 0);
 }
 
 /// A request crashed servers about when its first event was due, and each event cleared it of the crashes before.
@@ -151,12 +157,12 @@
         .enumerate()
     {
         if stage == CrashStage::FirstEvent {
-            quarantine.record_progress(print(1), RequestProgress::FirstEvent, now);
+            quarantine.record_progress(fingerprint(1), RequestProgress::FirstEvent, now);
         }
-        quarantine.record_crash(&server(n), Moment::ZERO, print(1), stage, now + SECOND / 10);
+        quarantine.record_crash(&server(n), Moment::ZERO, fingerprint(1), stage, now + SECOND / 10);
         now += SECOND;
     }
-    assert!(quarantine.is_held(&print(1), now));
+    assert!(quarantine.is_held(&fingerprint(1), now));
 }
 
 /// The same where nothing ever tells them apart.
@@ -168,13 +174,16 @@
             quarantine.record_crash(
                 &server(n),
                 Moment::ZERO,
-                print(request),
+                fingerprint(request),
                 CrashStage::BeforeEvents,
                 start(),
             );
         }
     }
-    assert!(quarantine.is_held(&print(1), start()) && quarantine.is_held(&print(2), start()));
+    assert!(
+        quarantine.is_held(&fingerprint(1), start())
+            && quarantine.is_held(&fingerprint(2), start())
+    );
 }
 
 /// A daemon that was away for long, or has just started, did not learn of a held request.
@@ -182,10 +191,10 @@
 fn held_told_on() {
     let (mut there, now) = after_crashes(3, CrashStage::BeforeEvents);
     let later = now + SECOND * 60;
-    assert!(there.is_held(&print(1), later));
+    assert!(there.is_held(&fingerprint(1), later));
     let mut here = Quarantine::default();
-    assert_eq!(here.merge(&there.report(later, false), later), [print(1)]);
-    assert!(here.is_held(&print(1), later));
+    assert_eq!(here.merge(&there.report(later, false), later), [fingerprint(1)]);
+    assert!(here.is_held(&fingerprint(1), later));
 }
 
 /// Requests that waited, or whose events went on, were refused for what another one did.
@@ -194,13 +203,25 @@
     let now = start();
     let mut quarantine = Quarantine::default();
     for n in 0..5 {
-        quarantine.record_crash(&server(n), Moment::ZERO, print(2), CrashStage::Other, now);
-        quarantine.record_crash(&server(n), Moment::ZERO, print(3), CrashStage::FirstEvent, now);
-        quarantine.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
+        quarantine.record_crash(&server(n), Moment::ZERO, fingerprint(2), CrashStage::Other, now);
+        quarantine.record_crash(
+            &server(n),
+            Moment::ZERO,
+            fingerprint(3),
+            CrashStage::FirstEvent,
+            now,
+        );
+        quarantine.record_crash(
+            &server(n),
+            Moment::ZERO,
+            fingerprint(1),
+            CrashStage::BeforeEvents,
+            now,
+        );
     }
-    assert!(quarantine.is_held(&print(1), now));
-    assert!(!quarantine.is_held(&print(2), now));
-    assert!(!quarantine.is_held(&print(3), now));
+    assert!(quarantine.is_held(&fingerprint(1), now));
+    assert!(!quarantine.is_held(&fingerprint(2), now));
+    assert!(!quarantine.is_held(&fingerprint(3), now));
 }
 
 /// The same where the request that did it was another daemon's.
@@ -209,19 +230,19 @@
     let now = start();
     let (mut here, mut there) = <(Quarantine, Quarantine)>::default();
     for n in 0..5 {
-        there.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
+        there.record_crash(&server(n), Moment::ZERO, fingerprint(1), CrashStage::BeforeEvents, now);
         here.merge(&there.report(now, false), now);
-        here.record_crash(&server(n), Moment::ZERO, print(2), CrashStage::Other, now);
+        here.record_crash(&server(n), Moment::ZERO, fingerprint(2), CrashStage::Other, now);
     }
-    assert!(here.is_held(&print(1), now));
-    assert!(!here.is_held(&print(2), now));
+    assert!(here.is_held(&fingerprint(1), now));
+    assert!(!here.is_held(&fingerprint(2), now));
 }
 
 /// A server that gives no head before its answer hid which request crashed it.
 #[test]
 fn unanswered_held() {
     let (mut quarantine, now) = after_crashes(3, CrashStage::Other);
-    assert!(quarantine.is_held(&print(1), now));
+    assert!(quarantine.is_held(&fingerprint(1), now));
 }
 
 /// A popular request met one crash after the other through a day, and was refused though it was served in between.
@@ -230,13 +251,19 @@
     let mut quarantine = Quarantine::default();
     let mut now = start();
     for n in 0..6 {
-        quarantine.record_crash(&server(n), Moment::ZERO, print(1), CrashStage::BeforeEvents, now);
+        quarantine.record_crash(
+            &server(n),
+            Moment::ZERO,
+            fingerprint(1),
+            CrashStage::BeforeEvents,
+            now,
+        );
         if n % 2 == 1 {
-            quarantine.record_progress(print(1), RequestProgress::Complete, now + SECOND);
+            quarantine.record_progress(fingerprint(1), RequestProgress::Complete, now + SECOND);
         }
         now += SECOND * 2;
     }
-    assert!(!quarantine.is_held(&print(1), now));
+    assert!(!quarantine.is_held(&fingerprint(1), now));
 }
 
 /// One daemon knew that a request had been answered, another held it.
@@ -245,7 +272,7 @@
     let (mut there, now) = after_crashes(2, CrashStage::BeforeEvents);
     let mut here = Quarantine::default();
     here.merge(&there.report(now, false), now);
-    there.record_progress(print(1), RequestProgress::Complete, now);
+    there.record_progress(fingerprint(1), RequestProgress::Complete, now);
     here.merge(&there.report(now + SECOND, false), now + SECOND);
     // Older word that was under way does not undo it.
     let (late, _) = after_crashes(2, CrashStage::BeforeEvents);
@@ -253,7 +280,7 @@
     assert!(!here.record_crash(
         &server(2),
         Moment::ZERO,
-        print(1),
+        fingerprint(1),
         CrashStage::BeforeEvents,
         now + SECOND * 2
     ));
@@ -264,10 +291,10 @@
     let (mut quarantine, now) = after_crashes(3, CrashStage::BeforeEvents);
     let asked = now + HOLD_TIME;
     assert!(quarantine.sweep(asked).is_empty());
-    assert!(quarantine.is_held(&print(1), asked));
+    assert!(quarantine.is_held(&fingerprint(1), asked));
     assert!(quarantine.sweep(asked + HOLD_TIME).is_empty());
-    assert_eq!(quarantine.sweep(asked + HOLD_TIME + SECOND), [print(1)]);
-    assert!(!quarantine.is_held(&print(1), asked + HOLD_TIME + SECOND));
+    assert_eq!(quarantine.sweep(asked + HOLD_TIME + SECOND), [fingerprint(1)]);
+    assert!(!quarantine.is_held(&fingerprint(1), asked + HOLD_TIME + SECOND));
 }
 
 /// Crashes of thousands of servers and requests fill no memory, and no datagram.
@@ -279,7 +306,7 @@
             quarantine.record_crash(
                 &server(n / 3),
                 Moment::ZERO,
-                print(request + n as u32),
+                fingerprint(request + n as u32),
                 CrashStage::BeforeEvents,
                 start(),
             );
@@ -304,7 +331,7 @@
             .map(|(at, request, stage)| {
                 let stage = [CrashStage::BeforeEvents, CrashStage::FirstEvent, CrashStage::Other][*stage as usize];
                 let mut seer = Quarantine::default();
-                seer.record_crash(&server(*at), Moment::ZERO, print(*request), stage, now);
+                seer.record_crash(&server(*at), Moment::ZERO, fingerprint(*request), stage, now);
                 seer.report(now, false)
             })
             .collect();
@@ -315,7 +342,7 @@
             }
             let list = |n| {
                 let mut servers: Vec<_> =
-                    hearer.suspected_crashes(&print(n)).into_iter().cloned().collect();
+                    hearer.suspected_crashes(&fingerprint(n)).into_iter().cloned().collect();
                 servers.sort();
                 servers
             };
--- a/lib/tests/test_starts.rs
+++ b/lib/tests/test_starts.rs
@@ -231,9 +231,9 @@
 /// sent there for what the last start held, whatever the number of orders that it had accepted.
 #[test]
 fn holding_older() {
-    let mut holdings = EngineInventories::default();
+    let mut inventories = EngineInventories::default();
     let note = |name: &str| LoadedModelReport { name: name.into(), adapters: Vec::new() };
-    let holding =
+    let inventory =
         |born: StartTime, sequence: u64, heartbeat: u64, models: &[&str]| EngineInventory {
             server: start(born),
             sequence,
@@ -242,11 +242,11 @@
             pending: Vec::new(),
         };
     let now = server(Some(SECOND), 1, &[]);
-    assert!(holdings.put(7, holding(FIRST, 12, 70, &["hem"]), ms(0)));
-    assert!(!holdings.holds(&now, "hem", None));
-    assert!(holdings.put(7, holding(SECOND, 1, 1, &["cuff"]), ms(100)));
-    assert!(holdings.put(7, holding(FIRST, 13, 1, &["hem"]), ms(200)));
-    assert!(holdings.holds(&now, "cuff", None) && !holdings.holds(&now, "hem", None));
+    assert!(inventories.put(7, inventory(FIRST, 12, 70, &["hem"]), ms(0)));
+    assert!(!inventories.holds(&now, "hem", None));
+    assert!(inventories.put(7, inventory(SECOND, 1, 1, &["cuff"]), ms(100)));
+    assert!(inventories.put(7, inventory(FIRST, 13, 1, &["hem"]), ms(200)));
+    assert!(inventories.holds(&now, "cuff", None) && !inventories.holds(&now, "hem", None));
 }
 
 /// A crashed server is avoided for up to four seconds. It starts again at once, and the pause of the last
--- a/lib/tests/test_tenure.rs
+++ b/lib/tests/test_tenure.rs
@@ -62,30 +62,30 @@
     }
 
     /// Carries out a step at once; returns whether there was one.
-    fn step(&mut self, tenure: &mut LeaseState, now: Moment) -> bool {
-        self.hearing(tenure, now, None)
+    fn step(&mut self, lease: &mut LeaseState, now: Moment) -> bool {
+        self.hearing(lease, now, None)
     }
 
     /// The same at a daemon that hears another's claim.
-    fn hearing(&mut self, tenure: &mut LeaseState, now: Moment, heard: Option<PeerLease>) -> bool {
-        match tenure.next_step(now, heard) {
+    fn hearing(&mut self, lease: &mut LeaseState, now: Moment, heard: Option<PeerLease>) -> bool {
+        match lease.next_step(now, heard) {
             LeaseStep::Sleep(_) => false,
             LeaseStep::Read => {
-                tenure.on_read(now, self.newest.clone(), self.end);
+                lease.on_read(now, self.newest.clone(), self.end);
                 true
             }
             LeaseStep::Append(at, entry) => {
                 match self.append(at, entry) {
-                    Some(offset) => tenure.on_appended(now, now, offset),
-                    None => tenure.on_conflict(),
+                    Some(offset) => lease.on_appended(now, now, offset),
+                    None => lease.on_conflict(),
                 }
                 true
             }
         }
     }
 
-    fn settle(&mut self, tenure: &mut LeaseState, now: Moment) {
-        while self.step(tenure, now) {}
+    fn settle(&mut self, lease: &mut LeaseState, now: Moment) {
+        while self.step(lease, now) {}
     }
 }
 
@@ -300,12 +300,12 @@
 
 impl Course {
     /// Begins or ends a change at an engine.
-    fn turn(&mut self, tenure: &mut LeaseState, who: usize, engine: usize, now: Moment) {
+    fn turn(&mut self, lease: &mut LeaseState, who: usize, engine: usize, now: Moment) {
         match self.changes[who][engine].take() {
-            Some(fence) => tenure.end_orders(fence, engine as EngineKey, now),
+            Some(fence) => lease.end_orders(fence, engine as EngineKey, now),
             None => {
-                if let Some(fence) = tenure.held_fence() {
-                    tenure.begin_orders(fence, engine as EngineKey, now);
+                if let Some(fence) = lease.held_fence() {
+                    lease.begin_orders(fence, engine as EngineKey, now);
                     self.changes[who][engine] = Some(fence);
                 }
             }
@@ -359,28 +359,28 @@
             feed.append(at, entry);
         }
         course.turn(&mut daemons[who], who, pause as usize % ENGINES, now);
-        let tenure = &mut daemons[who];
-        match tenure.next_step(now, None) {
+        let lease = &mut daemons[who];
+        match lease.next_step(now, None) {
             LeaseStep::Sleep(_) => {}
             LeaseStep::Read => match fate {
-                Fate::Answered => tenure.on_read(now, feed.newest.clone(), feed.end),
-                _ => tenure.on_store_failure(now),
+                Fate::Answered => lease.on_read(now, feed.newest.clone(), feed.end),
+                _ => lease.on_store_failure(now),
             },
             LeaseStep::Append(at, entry) => match fate {
                 Fate::Answered => match feed.append(at, entry) {
-                    Some(offset) => tenure.on_appended(now, now, offset),
-                    None => tenure.on_conflict(),
+                    Some(offset) => lease.on_appended(now, now, offset),
+                    None => lease.on_conflict(),
                 },
                 Fate::Lost => {
                     feed.append(at, entry);
-                    tenure.on_unknown_outcome(now, now);
+                    lease.on_unknown_outcome(now, now);
                 }
-                Fate::LostAndUndone => tenure.on_unknown_outcome(now, now),
+                Fate::LostAndUndone => lease.on_unknown_outcome(now, now),
                 Fate::Late(tenths) => {
                     late.push((now + ms(u64::from(tenths) * 100), at, entry));
-                    tenure.on_unknown_outcome(now, now);
+                    lease.on_unknown_outcome(now, now);
                 }
-                Fate::Refused => tenure.on_store_failure(now),
+                Fate::Refused => lease.on_store_failure(now),
             },
         }
         course.look(&daemons, now);
--- a/lib/tests/test_trials.rs
+++ b/lib/tests/test_trials.rs
@@ -11,7 +11,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn print() -> Fingerprint {
+fn fingerprint() -> Fingerprint {
     Fingerprint::new(&Method::POST, "shop.example", "/draft/7", b"gown")
 }
 
@@ -37,7 +37,7 @@
 #[test]
 fn one_next() {
     let fleet: Vec<Trials> = (0..5).map(|_| Trials::default()).collect();
-    let mut copies: Vec<Trial> = fleet.iter().map(|t| t.enqueue(print(), SECOND)).collect();
+    let mut copies: Vec<Trial> = fleet.iter().map(|t| t.enqueue(fingerprint(), SECOND)).collect();
     assert_eq!(next(&fleet, &copies, SECOND), [0; 0], "peers may have copies");
     tell(&fleet, SECOND);
     let now = SECOND * 2;
@@ -47,7 +47,7 @@
     copies[first[0]].assign(ServerInstance::from("e1"));
     tell(&fleet, now);
     assert_eq!(next(&fleet, &copies, now), [0; 0], "an engine has one");
-    copies[first[0]] = fleet[first[0]].enqueue(print(), now);
+    copies[first[0]] = fleet[first[0]].enqueue(fingerprint(), now);
     tell(&fleet, now + SECOND);
     assert_eq!(next(&fleet, &copies, now + SECOND).len(), 1);
 }
@@ -56,7 +56,7 @@
 #[test]
 fn silent_passed() {
     let fleet: Vec<Trials> = (0..5).map(|_| Trials::default()).collect();
-    let copies: Vec<Trial> = fleet.iter().map(|t| t.enqueue(print(), SECOND)).collect();
+    let copies: Vec<Trial> = fleet.iter().map(|t| t.enqueue(fingerprint(), SECOND)).collect();
     tell(&fleet, SECOND);
     let later = SECOND * 3;
     assert_eq!(next(&fleet, &copies, later), [0, 1, 2, 3, 4]);
--- a/lib/testutils/src/placing_site.rs
+++ b/lib/testutils/src/placing_site.rs
@@ -155,7 +155,7 @@
     /// Returns the next steps.
     pub fn plan(&self) -> Vec<Action> {
         let work = self.loads.fleet_table(NOW);
-        let scene = PlanInput {
+        let input = PlanInput {
             now: NOW,
             config: &self.config,
             engine_table: &self.engine_table,
@@ -166,7 +166,7 @@
             share: self.share,
             fetches_left: self.room,
         };
-        scene.plan()
+        input.plan()
     }
 }
 
