--- a/cli/src/entry.rs
+++ b/cli/src/entry.rs
@@ -42,7 +42,7 @@
     let protocol = Rc::new(PlatformProtocol);
     let process = rand::random();
     let clock = Rc::new(BootClock);
-    let entry = DaemonState::new(
+    let daemon = DaemonState::new(
         settings,
         process,
         protocol,
@@ -51,7 +51,7 @@
         log.logger(),
         clock,
     );
-    let result = LocalSet::new().block_on(&runtime, lifecycle::run(entry, Rc::new(file)));
+    let result = LocalSet::new().block_on(&runtime, lifecycle::run(daemon, Rc::new(file)));
     log.flush();
     result
 }
--- a/lib/src/serve/accept.rs
+++ b/lib/src/serve/accept.rs
@@ -41,33 +41,33 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts callers for as long as the daemon runs.
-pub async fn serve_callers(entry: Rc<DaemonState>, listener: TcpListener) {
+pub async fn serve_callers(daemon: Rc<DaemonState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _peer)) => {
-                let entry = Rc::clone(&entry);
-                spawn_local(serve_caller(entry, stream));
+                let daemon = Rc::clone(&daemon);
+                spawn_local(serve_caller(daemon, stream));
             }
             Err(error) => {
-                slog::warn!(entry.log, "accept-failed"; "error" => %error);
+                slog::warn!(daemon.log, "accept-failed"; "error" => %error);
                 sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-async fn serve_caller(entry: Rc<DaemonState>, stream: TcpStream) {
+async fn serve_caller(daemon: Rc<DaemonState>, stream: TcpStream) {
     if socket::configure_accepted(&stream).is_err() {
         return;
     }
-    let limits = entry.config().map_or(FIRST_LIMITS, |c| c.limits);
-    let requests = ActiveRequests::new(Rc::clone(&entry));
+    let limits = daemon.config().map_or(FIRST_LIMITS, |c| c.limits);
+    let requests = ActiveRequests::new(Rc::clone(&daemon));
     let socket = CallerSocket::new(stream, Rc::clone(&requests));
-    let for_requests = Rc::clone(&entry);
+    let for_requests = Rc::clone(&daemon);
     let service = service_fn(move |request: Request<Incoming>| {
-        let entry = Rc::clone(&for_requests);
+        let daemon = Rc::clone(&for_requests);
         let active = requests.begin();
-        async move { Ok::<_, Infallible>(handle_request(entry, active, request).await) }
+        async move { Ok::<_, Infallible>(handle_request(daemon, active, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -75,18 +75,18 @@
         .max_buf_size(limits.max_head.max(LEAST_HEAD))
         .serve_connection(TokioIo::new(socket), service);
     if let Err(error) = connection.await {
-        slog::debug!(entry.log, "caller-connection-ended"; "error" => %error);
+        slog::debug!(daemon.log, "caller-connection-ended"; "error" => %error);
     }
 }
 
 /// Answers whether new callers are welcome.
-pub async fn serve_ready(entry: Rc<DaemonState>, listener: TcpListener) {
-    let path = entry.protocol.ready_path();
-    serve_small(entry, listener, move |entry, asked| {
+pub async fn serve_ready(daemon: Rc<DaemonState>, listener: TcpListener) {
+    let path = daemon.protocol.ready_path();
+    serve_small(daemon, listener, move |daemon, asked| {
         if asked != path {
             return (StatusCode::NOT_FOUND, String::new());
         }
-        if entry.is_ready() {
+        if daemon.is_ready() {
             (StatusCode::OK, String::from("ready\n"))
         } else {
             (StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
@@ -96,13 +96,13 @@
 }
 
 /// Serves metrics as text.
-pub async fn serve_metrics(entry: Rc<DaemonState>, listener: TcpListener) {
-    serve_small(entry, listener, |entry, asked| match asked {
+pub async fn serve_metrics(daemon: Rc<DaemonState>, listener: TcpListener) {
+    serve_small(daemon, listener, |daemon, asked| match asked {
         "/metrics" => {
-            entry.metrics.set_requests(entry.model_waits.total(), entry.active.get());
-            let version = entry.config_version();
-            entry.metrics.configuration(version, entry.config_age(entry.now()));
-            (StatusCode::OK, entry.metrics.to_text())
+            daemon.metrics.set_requests(daemon.model_waits.total(), daemon.active.get());
+            let version = daemon.config_version();
+            daemon.metrics.configuration(version, daemon.config_age(daemon.now()));
+            (StatusCode::OK, daemon.metrics.to_text())
         }
         _ => (StatusCode::NOT_FOUND, String::new()),
     })
@@ -110,7 +110,7 @@
 }
 
 async fn serve_small(
-    entry: Rc<DaemonState>,
+    daemon: Rc<DaemonState>,
     listener: TcpListener,
     answer: impl Fn(&DaemonState, &str) -> (StatusCode, String) + 'static,
 ) {
@@ -120,11 +120,11 @@
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let entry = Rc::clone(&entry);
+        let daemon = Rc::clone(&daemon);
         let answer = Rc::clone(&answer);
         spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
-                let (status, text) = answer(&entry, request.uri().path());
+                let (status, text) = answer(&daemon, request.uri().path());
                 let mut response = Response::new(ReplyBody::whole(Bytes::from(text)));
                 *response.status_mut() = status;
                 async move { Ok::<_, Infallible>(response) }
--- a/lib/src/serve/active_requests.rs
+++ b/lib/src/serve/active_requests.rs
@@ -12,7 +12,7 @@
 /// waited for a slow caller ended, and the caller got a part of it.
 #[derive(Debug)]
 pub struct ActiveRequests {
-    entry: Rc<DaemonState>,
+    daemon: Rc<DaemonState>,
     /// Requests that the HTTP library has whole answers to, which may not have been written; the
     /// daemon's count still holds them.
     unwritten: Cell<u32>,
@@ -20,13 +20,13 @@
 
 impl ActiveRequests {
     /// Counts for a connection without requests.
-    pub fn new(entry: Rc<DaemonState>) -> Rc<Self> {
-        Rc::new(Self { entry, unwritten: Cell::default() })
+    pub fn new(daemon: Rc<DaemonState>) -> Rc<Self> {
+        Rc::new(Self { daemon, unwritten: Cell::default() })
     }
 
     /// Counts a request until its answer is written.
     pub fn begin(self: &Rc<Self>) -> ActiveRequest {
-        self.entry.active.set(self.entry.active.get() + 1);
+        self.daemon.active.set(self.daemon.active.get() + 1);
         ActiveRequest::new(Rc::clone(self))
     }
 
@@ -37,8 +37,8 @@
 
     /// Takes in that nothing is left to write.
     pub fn mark_flushed(&self) {
-        let active = self.entry.active.get();
-        self.entry.active.set(active.saturating_sub(self.unwritten.take()));
+        let active = self.daemon.active.get();
+        self.daemon.active.set(active.saturating_sub(self.unwritten.take()));
     }
 }
 
--- a/lib/src/serve/adapter_loading.rs
+++ b/lib/src/serve/adapter_loading.rs
@@ -23,9 +23,9 @@
         fence: Fence,
     ) {
         let result = self.carry_out_adapter(&server, &job, fence).await;
-        let entry = &self.entry;
-        let now = entry.now();
-        slog::info!(entry.log, "adapter"; "server" => %server, "model" => job.model.as_str(),
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        slog::info!(daemon.log, "adapter"; "server" => %server, "model" => job.model.as_str(),
             "adapter" => job.adapter.as_str(), "result" => ?result,
             "victim" => job.victim.as_ref().map_or("-", |(_, a)| a.as_str()));
         self.with_engine(&server, |engine| {
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -134,14 +134,14 @@
     /// Makes the request of a send to `server`.
     pub fn request(
         &self,
-        entry: &DaemonState,
+        daemon: &DaemonState,
         server: &Server,
         resume: Option<u64>,
     ) -> Request<Bytes> {
         let behind = if self.is_late { LATE_RANKS } else { 0 };
         let rank = self.route.priority.saturating_add(behind).min(LAST_PRIORITY);
         let priority = self.item().map(|_| rank);
-        let time_left = self.deadline.saturating_sub(entry.now());
+        let time_left = self.deadline.saturating_sub(daemon.now());
         let terms =
             SendHeaders { server: server.id.clone(), time_left, priority, resume_after: resume };
         let mut request = Request::new(self.body.clone());
@@ -149,7 +149,7 @@
         *request.uri_mut() = self.parts.uri.clone();
         let mut headers = self.parts.headers.clone();
         strip_hop_by_hop(&mut headers);
-        entry.protocol.set_send_headers(&mut headers, &terms);
+        daemon.protocol.set_send_headers(&mut headers, &terms);
         *request.headers_mut() = headers;
         request
     }
@@ -173,11 +173,11 @@
     }
 
     /// Notes the first event of its answer.
-    pub fn record_first_event(&mut self, entry: &DaemonState, first: Moment) {
+    pub fn record_first_event(&mut self, daemon: &DaemonState, first: Moment) {
         self.first_event = Some(first);
         self.young_since = Some(first);
         self.trial = None;
-        entry.record_passed(self, RequestProgress::FirstEvent);
+        daemon.record_passed(self, RequestProgress::FirstEvent);
     }
 
     /// Returns the servers that it was sent to, the last one too.
@@ -186,11 +186,11 @@
     }
 
     /// Notes that it leaves a silent server, and returns how it stood there.
-    pub fn begin_failover(&mut self, entry: &DaemonState) -> FailoverOrigin {
+    pub fn begin_failover(&mut self, daemon: &DaemonState) -> FailoverOrigin {
         let (server, verdict, failed_over) =
             (self.last_server.clone(), self.verdict, self.failed_over);
         let origin = FailoverOrigin { server, verdict, failed_over };
-        self.record_failure(entry, &SendFailure::may_have_run("the server fell silent"));
+        self.record_failure(daemon, &SendFailure::may_have_run("the server fell silent"));
         self.failed_over = true;
         origin
     }
@@ -198,11 +198,11 @@
     /// Takes in that the next server refused it, so that it stays with the silent one.
     pub fn cancel_failover(
         &mut self,
-        entry: &DaemonState,
+        daemon: &DaemonState,
         failure: &SendFailure,
         origin: FailoverOrigin,
     ) {
-        self.record_failure(entry, failure);
+        self.record_failure(daemon, failure);
         self.failed_over = origin.failed_over;
         self.possible_runs -= 1;
         self.deliveries -= 1;
@@ -234,7 +234,7 @@
     }
 
     /// Takes in that a send failed.
-    pub fn record_failure(&mut self, entry: &DaemonState, failure: &SendFailure) {
+    pub fn record_failure(&mut self, daemon: &DaemonState, failure: &SendFailure) {
         self.sending = false;
         self.trial = None;
         self.reason = failure.reason;
@@ -245,21 +245,21 @@
         }
         let Some(server) = self.last_server.clone() else { return };
         if failure.lacks_model {
-            self.note_lack(entry, &server);
+            self.note_lack(daemon, &server);
         }
-        entry.record_health(&self.service, &server, failure.evidence);
-        slog::info!(entry.log, "send-failed"; "attempt" => self.id(), "print" => %self.fingerprint,
+        daemon.record_health(&self.service, &server, failure.evidence);
+        slog::info!(daemon.log, "send-failed"; "attempt" => self.id(), "print" => %self.fingerprint,
             "server" => %server, "reason" => failure.reason, "verdict" => %failure.verdict,
             "broke" => failure.disconnect.map_or("-", Disconnect::name),
-            "ms" => entry.now().saturating_sub(self.arrived).as_millis());
+            "ms" => daemon.now().saturating_sub(self.arrived).as_millis());
         self.tried.push(server);
     }
 
-    fn note_lack(&self, entry: &DaemonState, server: &ServerInstance) {
+    fn note_lack(&self, daemon: &DaemonState, server: &ServerInstance) {
         let Some(item) = self.item() else { return };
-        let directory = entry.directory.borrow();
+        let directory = daemon.directory.borrow();
         if let Some(server) = directory.get(&server.id).filter(|s| s.born == server.born) {
-            entry.inventories.borrow_mut().mark_missing(
+            daemon.inventories.borrow_mut().mark_missing(
                 server,
                 &item.model,
                 item.adapter.as_deref(),
--- a/lib/src/serve/engine_orders.rs
+++ b/lib/src/serve/engine_orders.rs
@@ -64,14 +64,14 @@
 /// Gives orders to engines.
 #[derive(Debug)]
 pub struct EngineOrders {
-    entry: Rc<DaemonState>,
+    daemon: Rc<DaemonState>,
     calls: Rc<dyn EngineClient>,
 }
 
 impl EngineOrders {
     /// Gives orders for a daemon.
-    pub fn new(entry: Rc<DaemonState>, calls: Rc<dyn EngineClient>) -> Self {
-        Self { entry, calls }
+    pub fn new(daemon: Rc<DaemonState>, calls: Rc<dyn EngineClient>) -> Self {
+        Self { daemon, calls }
     }
 
     /// Calls `f` with the engine table's page on one start of an engine, where there is one.
@@ -80,7 +80,7 @@
         start: &ServerInstance,
         f: impl FnOnce(&mut Engine) -> T,
     ) -> Option<T> {
-        self.entry.engine_table.borrow_mut().engine_mut(start).map(f)
+        self.daemon.engine_table.borrow_mut().engine_mut(start).map(f)
     }
 
     /// Returns the server where the start that an order is meant for still runs, as far as known.
@@ -88,7 +88,7 @@
     /// An id alone does not tell starts apart: the next one would carry out an order whose number of
     /// accepted orders happens to be its own.
     fn target(&self, start: &ServerInstance) -> Result<Rc<Server>, OrderFailure> {
-        let directory = self.entry.directory.borrow();
+        let directory = self.daemon.directory.borrow();
         let server = directory.get(&start.id).filter(|s| s.born == start.born);
         server.cloned().ok_or(OrderFailure::Ended)
     }
@@ -123,7 +123,7 @@
             kind,
             model: model.clone(),
             adapter: adapter.cloned(),
-            holder: self.entry.settings().id.clone(),
+            holder: self.daemon.settings().id.clone(),
             fence,
         };
         let has_strays = self.with_engine(server, |e| e.orders_inflight).unwrap_or(true);
@@ -155,8 +155,8 @@
                     }
                 }
                 Ok(OrderReply::Fenced) => {
-                    slog::warn!(self.entry.log, "order-fenced"; "server" => %server, "fence" => fence);
-                    self.entry.lease.borrow_mut().step_down();
+                    slog::warn!(self.daemon.log, "order-fenced"; "server" => %server, "fence" => fence);
+                    self.daemon.lease.borrow_mut().step_down();
                     return Err(OrderFailure::LeaseLost);
                 }
                 Ok(OrderReply::Misdirected | OrderReply::Refused) => {
@@ -172,10 +172,10 @@
                         sleep(BUSY_PAUSE).await;
                         continue;
                     }
-                    slog::info!(self.entry.log, "order-given-up"; "server" => %server,
+                    slog::info!(self.daemon.log, "order-given-up"; "server" => %server,
                         "expect" => order.expected_sequence, "tries" => tries);
                     let target = self.target(server)?;
-                    self.entry.record_health(&target.service, server, Evidence::Unreachable);
+                    self.daemon.record_health(&target.service, server, Evidence::Unreachable);
                     return Err(OrderFailure::Silent);
                 }
             }
@@ -194,7 +194,7 @@
         model: &ModelName,
         adapter: Option<&SmolStr>,
     ) -> Result<u64, OrderFailure> {
-        let config = self.entry.config().ok_or(OrderFailure::Doubted)?;
+        let config = self.daemon.config().ok_or(OrderFailure::Doubted)?;
         let expect = self.with_engine(server, |engine| {
             let service = config.services.get(&engine.server.service);
             let spec = service.and_then(|service| service.engine.as_ref())?;
@@ -214,16 +214,16 @@
         order: &EngineOrder,
         tries: usize,
     ) -> Result<Result<OrderReply, CallError>, OrderFailure> {
-        let entry = &self.entry;
+        let daemon = &self.daemon;
         let target = self.target(server)?;
-        let request = entry.protocol.order_request(&target, order);
+        let request = daemon.protocol.order_request(&target, order);
         let answer = self.calls.call(server, target.addr, request, ANSWER_LIMIT).await;
-        let reply = answer.map(|(status, _)| entry.protocol.order_reply(status));
+        let reply = answer.map(|(status, _)| daemon.protocol.order_reply(status));
         let shown = match &reply {
             Ok(reply) => format!("{reply:?}"),
             Err(error) => error.to_string(),
         };
-        slog::info!(entry.log, "order"; "server" => %server, "op" => order.kind.name(),
+        slog::info!(daemon.log, "order"; "server" => %server, "op" => order.kind.name(),
             "model" => order.model.as_str(), "adapter" => order.adapter.as_deref().unwrap_or("-"),
             "expect" => order.expected_sequence, "fence" => order.fence, "tries" => tries, "reply" => shown);
         Ok(reply)
@@ -231,7 +231,7 @@
 
     /// Announces a change at an engine: its orders are given while the guard lives.
     pub fn begin_orders(&self, server: &ServerInstance, fence: Fence) -> OrdersGuard {
-        OrdersGuard::new(&self.entry, engine_key(&server.id), fence)
+        OrdersGuard::new(&self.daemon, engine_key(&server.id), fence)
     }
 
     /// Waits until an engine may be ordered under `fence`.
@@ -240,14 +240,14 @@
         server: &ServerInstance,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
-        let entry = &self.entry;
+        let daemon = &self.daemon;
         let engine = engine_key(&server.id);
         loop {
-            let listed = entry.lease_renewed.notified();
-            if entry.lease.borrow().fence_for(engine, entry.now()) == Some(fence) {
+            let listed = daemon.lease_renewed.notified();
+            if daemon.lease.borrow().fence_for(engine, daemon.now()) == Some(fence) {
                 return Ok(());
             }
-            if entry.held_fence() != Some(fence) {
+            if daemon.held_fence() != Some(fence) {
                 return Err(OrderFailure::LeaseLost);
             }
             let _waited = timeout(BUSY_PAUSE, listed).await;
@@ -255,7 +255,7 @@
     }
 
     fn accepted(&self, server: &ServerInstance, order: &EngineOrder) {
-        let now = self.entry.now();
+        let now = self.daemon.now();
         self.with_engine(server, |engine| {
             engine.sequence = order.expected_sequence + 1;
             engine.orders_inflight = false;
@@ -277,20 +277,20 @@
         order: &EngineOrder,
         reply: OrderReply,
     ) -> Result<bool, OrderFailure> {
-        let began = self.entry.now();
+        let began = self.daemon.now();
         loop {
             sleep(REPORT_LAG).await;
             let report = self.fetch_report(server).await;
             self.check_instance(server)?;
-            if self.entry.held_fence() != Some(order.fence) {
+            if self.daemon.held_fence() != Some(order.fence) {
                 return Err(OrderFailure::LeaseLost);
             }
             let report = report.ok_or(OrderFailure::Silent)?;
             let is_shown = is_applied(&report, &order.kind, &order.model, order.adapter.as_ref());
-            slog::info!(self.entry.log, "order-conflict"; "server" => %server,
+            slog::info!(self.daemon.log, "order-conflict"; "server" => %server,
                 "expect" => order.expected_sequence, "sequence" => report.sequence, "busy" => report.busy,
                 "shown" => is_shown);
-            let waited = self.entry.now().saturating_sub(began);
+            let waited = self.daemon.now().saturating_sub(began);
             if report.sequence == order.expected_sequence {
                 if reply == OrderReply::Done && waited < REPORT_AGE {
                     continue;
@@ -305,7 +305,7 @@
             if !is_next || report.busy || !is_shown {
                 return Err(OrderFailure::Mismatch);
             }
-            let now = self.entry.now();
+            let now = self.daemon.now();
             self.with_engine(server, |engine| engine.apply_report(&report, now));
             return Ok(true);
         }
@@ -313,26 +313,26 @@
 
     /// Reads the report of one start of an engine; none where it cannot be had.
     pub async fn fetch_report(&self, start: &ServerInstance) -> Option<EngineReport> {
-        let entry = &self.entry;
+        let daemon = &self.daemon;
         let server = self.target(start).ok()?;
-        let request = entry.protocol.report_request(&server);
+        let request = daemon.protocol.report_request(&server);
         let answer = self.calls.call(start, server.addr, request, ANSWER_LIMIT).await;
         match answer {
             Ok((status, body)) if status.is_success() => {
-                let report = entry.protocol.parse_report(&body);
+                let report = daemon.protocol.parse_report(&body);
                 let report = report.map_err(|error| {
-                    slog::warn!(entry.log, "report-unreadable"; "server" => %start,
+                    slog::warn!(daemon.log, "report-unreadable"; "server" => %start,
                         "error" => %error);
                 });
                 report.ok().filter(|report| self.is_current(start, report))
             }
             Ok((status, _)) => {
-                slog::info!(entry.log, "report-refused"; "server" => %start,
+                slog::info!(daemon.log, "report-refused"; "server" => %start,
                     "status" => status.as_u16());
                 None
             }
             Err(error) => {
-                slog::info!(entry.log, "report-failed"; "server" => %start, "error" => %error);
+                slog::info!(daemon.log, "report-failed"; "server" => %start, "error" => %error);
                 None
             }
         }
@@ -341,6 +341,6 @@
     /// Takes in which start an engine reports for, and returns whether that is the one asked.
     fn is_current(&self, start: &ServerInstance, report: &EngineReport) -> bool {
         let told = ServerInstance { id: start.id.clone(), born: report.born };
-        apply_updates::apply_start(&self.entry, &told, "report") == InstanceOrder::Same
+        apply_updates::apply_start(&self.daemon, &told, "report") == InstanceOrder::Same
     }
 }
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -34,20 +34,20 @@
 ///
 /// Returns the answer of our own that the caller gets.
 pub async fn run(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Result<(response::Parts, Bytes), Refusal> {
     loop {
-        let now = entry.now();
+        let now = daemon.now();
         if now >= attempt.deadline {
             return Err(Refusal::timeout(attempt.verdict, "out of time", FULL));
         }
-        if let Some(refusal) = entry.quarantine_refusal(attempt) {
+        if let Some(refusal) = daemon.quarantine_refusal(attempt) {
             return Err(refusal);
         }
-        let Some(chosen) = choose(entry, attempt) else {
+        let Some(chosen) = choose(daemon, attempt) else {
             let turn =
-                entry.with_chooser(|c| c.next_turn(&attempt.service, attempt.item().as_ref()));
+                daemon.with_chooser(|c| c.next_turn(&attempt.service, attempt.item().as_ref()));
             if let Some(turn) = turn.filter(|_| !attempt.must_not_retry()) {
                 let left = (attempt.arrived + attempt.route.latency_goal).saturating_sub(now);
                 if let Some(retry) = retry_after(turn, left) {
@@ -70,23 +70,23 @@
             attempt.tried.clear();
             continue;
         };
-        if attempt.deliveries > 0 && !entry.take_retry(&attempt.service) {
+        if attempt.deliveries > 0 && !daemon.take_retry(&attempt.service) {
             return Err(Refusal::failed(attempt.verdict, "the retry budget is spent", FULL));
         }
-        let sent = send_once(entry, attempt, &chosen);
-        match await_with_failover(entry, attempt, sent, send_once).await {
+        let sent = send_once(daemon, attempt, &chosen);
+        match await_with_failover(daemon, attempt, sent, send_once).await {
             Ok((head, body)) => {
-                if is_retried(entry, attempt, &head) {
+                if is_retried(daemon, attempt, &head) {
                     continue;
                 }
-                entry.metrics.record_first_byte(entry.now().saturating_sub(attempt.arrived));
+                daemon.metrics.record_first_byte(daemon.now().saturating_sub(attempt.arrived));
                 return Ok((head, body));
             }
             Err(failure) => {
-                attempt.record_failure(entry, &failure);
-                suspects::check_for_crash(entry, attempt, &failure).await;
-                if !attempt.may_retry(entry.now()) {
-                    let refusal = if entry.now() >= attempt.deadline {
+                attempt.record_failure(daemon, &failure);
+                suspects::check_for_crash(daemon, attempt, &failure).await;
+                if !attempt.may_retry(daemon.now()) {
+                    let refusal = if daemon.now() >= attempt.deadline {
                         Refusal::timeout(attempt.verdict, attempt.reason, FULL)
                     } else {
                         Refusal::failed(attempt.verdict, attempt.reason, FULL)
@@ -98,10 +98,10 @@
     }
 }
 
-fn choose(entry: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
+fn choose(daemon: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
     match attempt.item() {
-        None => entry.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried)),
-        Some(item) => match entry.with_chooser(|c| c.choose_engine(&item, &attempt.tried)) {
+        None => daemon.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried)),
+        Some(item) => match daemon.with_chooser(|c| c.choose_engine(&item, &attempt.tried)) {
             EngineChoice::Server(chosen) => Some(chosen),
             EngineChoice::NotLoaded | EngineChoice::NoServer => None,
         },
@@ -110,11 +110,11 @@
 
 /// Whether a failure of the server's own is worth another server: only where the request may run
 /// again and both limits allow it.
-fn is_retried(entry: &DaemonState, attempt: &mut Attempt, head: &response::Parts) -> bool {
+fn is_retried(daemon: &DaemonState, attempt: &mut Attempt, head: &response::Parts) -> bool {
     let failed = head.status.is_server_error();
     let Some(server) = attempt.last_server.clone() else { return false };
     let evidence = if failed { Evidence::Failed } else { Evidence::Sound };
-    entry.record_health(&attempt.service, &server, evidence);
+    daemon.record_health(&attempt.service, &server, evidence);
     if !failed || attempt.route.kind != RouteKind::Idempotent {
         return false;
     }
@@ -123,27 +123,27 @@
     attempt.verdict = Verdict::Ran;
     attempt.sending = false;
     attempt.tried.push(server);
-    let is_open = attempt.may_retry(entry.now()) && choose(entry, attempt).is_some();
+    let is_open = attempt.may_retry(daemon.now()) && choose(daemon, attempt).is_some();
     // The next round takes the repeat out of the budget; a server's own answer is better than ours.
-    is_open && entry.has_retry(&attempt.service)
+    is_open && daemon.has_retry(&attempt.service)
 }
 
 /// Sends the request; the answer is read whole.
 fn send_once(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
     chosen: &ChosenServer,
 ) -> SendFuture<(response::Parts, Bytes)> {
     let server = Rc::clone(&chosen.server);
-    attempt.record_send(chosen, entry.now());
-    entry.record_send(&server.instance());
-    let request = attempt.request(entry, &server, None);
-    let work = entry.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt_tokens);
+    attempt.record_send(chosen, daemon.now());
+    daemon.record_send(&server.instance());
+    let request = attempt.request(daemon, &server, None);
+    let work = daemon.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt_tokens);
     let id = attempt.terms.attempt.clone();
-    let entry = Rc::clone(entry);
+    let daemon = Rc::clone(daemon);
     Box::pin(async move {
         let _work = work;
-        let answer = send::send(&entry, &server, id.as_ref(), request).await?;
-        send::read_whole(&entry.pool, answer, ANSWER_LIMIT).await
+        let answer = send::send(&daemon, &server, id.as_ref(), request).await?;
+        send::read_whole(&daemon.pool, answer, ANSWER_LIMIT).await
     })
 }
--- a/lib/src/serve/exchange_stream.rs
+++ b/lib/src/serve/exchange_stream.rs
@@ -58,40 +58,40 @@
 ///
 /// Returns the answer of our own that the caller gets.
 pub async fn open_stream(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Result<OpenOutcome, Refusal> {
     let resume = attempt.terms.last_event;
     loop {
-        let chosen = find_server(entry, attempt).await?;
-        if attempt.deliveries > 0 && !entry.take_retry(&attempt.service) {
+        let chosen = find_server(daemon, attempt).await?;
+        if attempt.deliveries > 0 && !daemon.take_retry(&attempt.service) {
             return Err(Refusal::failed(
                 attempt.verdict,
                 "the retry budget is spent",
                 DEFAULT_RETRY_AFTER,
             ));
         }
-        let sent = start_stream(entry, attempt, &chosen, resume);
-        match await_with_failover(entry, attempt, sent, |e, a, c| start_stream(e, a, c, resume))
+        let sent = start_stream(daemon, attempt, &chosen, resume);
+        match await_with_failover(daemon, attempt, sent, |e, a, c| start_stream(e, a, c, resume))
             .await
         {
             Ok(OpenOutcome::Whole(head, body)) => {
                 if !head.status.is_server_error() || !attempt.route.resumable {
                     return Ok(OpenOutcome::Whole(head, body));
                 }
-                attempt.record_failure(entry, &SendFailure::may_have_run("the server failed"));
-                if !attempt.may_retry(entry.now()) {
+                attempt.record_failure(daemon, &SendFailure::may_have_run("the server failed"));
+                if !attempt.may_retry(daemon.now()) {
                     return Ok(OpenOutcome::Whole(head, body));
                 }
             }
             Ok(OpenOutcome::Stream(started)) => {
-                attempt.record_first_event(entry, started.first_event);
+                attempt.record_first_event(daemon, started.first_event);
                 return Ok(OpenOutcome::Stream(started));
             }
             Err(failure) => {
-                attempt.record_failure(entry, &failure);
-                suspects::check_for_crash(entry, attempt, &failure).await;
-                let now = entry.now();
+                attempt.record_failure(daemon, &failure);
+                suspects::check_for_crash(daemon, attempt, &failure).await;
+                let now = daemon.now();
                 if now >= attempt.deadline {
                     return Err(Refusal::timeout(
                         attempt.verdict,
@@ -113,22 +113,22 @@
 
 /// Sends the request; the answer is read until the first event.
 pub fn start_stream(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
     chosen: &ChosenServer,
     resume: Option<u64>,
 ) -> SendFuture<OpenOutcome> {
     let server = Rc::clone(&chosen.server);
-    attempt.record_send(chosen, entry.now());
-    entry.record_send(&server.instance());
-    let request = attempt.request(entry, &server, resume);
-    let work = entry.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt_tokens);
+    attempt.record_send(chosen, daemon.now());
+    daemon.record_send(&server.instance());
+    let request = attempt.request(daemon, &server, resume);
+    let work = daemon.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt_tokens);
     let id = attempt.terms.attempt.clone();
-    let entry = Rc::clone(entry);
+    let daemon = Rc::clone(daemon);
     Box::pin(async move {
-        let answer = send::send(&entry, &server, id.as_ref(), request).await?;
+        let answer = send::send(&daemon, &server, id.as_ref(), request).await?;
         if answer.head.status != StatusCode::OK {
-            let (head, body) = send::read_whole(&entry.pool, answer, ANSWER_LIMIT).await?;
+            let (head, body) = send::read_whole(&daemon.pool, answer, ANSWER_LIMIT).await?;
             return Ok(OpenOutcome::Whole(head, body));
         }
         let head = answer.head.clone();
@@ -149,14 +149,14 @@
             head,
             stream,
             first_events,
-            first_event: entry.now(),
+            first_event: daemon.now(),
         })))
     })
 }
 
 /// Begins the answer to the caller and leaves the rest to a task.
 pub fn spawn_relay(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: Attempt,
     started: StartedStream,
 ) -> Response<ReplyBody> {
@@ -165,11 +165,11 @@
     *response.status_mut() = started.head.status;
     *response.headers_mut() = started.head.headers.clone();
     strip_hop_by_hop(response.headers_mut());
-    entry.metrics.record_first_byte(started.first_event.saturating_sub(attempt.arrived));
-    entry.metrics.record_wait(&attempt.route.name, attempt.model_wait);
-    let entry = Rc::clone(entry);
+    daemon.metrics.record_first_byte(started.first_event.saturating_sub(attempt.arrived));
+    daemon.metrics.record_wait(&attempt.route.name, attempt.model_wait);
+    let daemon = Rc::clone(daemon);
     spawn_local(async move {
-        let mut relay = Relay { entry, attempt, sender, last_received: started.first_event };
+        let mut relay = Relay { daemon, attempt, sender, last_received: started.first_event };
         relay.run(started).await;
     });
     response
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -50,18 +50,18 @@
 ///
 /// There is no usable answer.
 pub async fn await_with_failover<T: 'static>(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
     sent: SendFuture<T>,
     begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &ChosenServer) -> SendFuture<T>,
 ) -> Result<T, SendFailure> {
     let mut current = sent;
     loop {
-        match wait_answer(entry, attempt, attempt.silence_timeout(), &mut current).await {
+        match wait_answer(daemon, attempt, attempt.silence_timeout(), &mut current).await {
             WaitOutcome::Answer(answer) => return answer,
             WaitOutcome::OutOfTime => return Err(SendFailure::may_have_run("no answer in time")),
             WaitOutcome::FailOver(next) => {
-                if let Some(taken) = try_failover(entry, attempt, &next, &begin).await {
+                if let Some(taken) = try_failover(daemon, attempt, &next, &begin).await {
                     current = taken;
                 }
             }
@@ -76,16 +76,16 @@
 /// was let go first, a refusal left the request nowhere, and its answer was cut or replaced by a failure. A
 /// refusal comes at once, so the silent one is kept until then.
 pub async fn try_failover<T: 'static>(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
     next: &ChosenServer,
     begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &ChosenServer) -> SendFuture<T>,
 ) -> Option<SendFuture<T>> {
-    let origin = attempt.begin_failover(entry);
-    let mut offered = begin(entry, attempt, next);
+    let origin = attempt.begin_failover(daemon);
+    let mut offered = begin(daemon, attempt, next);
     match timeout(OFFER_TIME, &mut offered).await {
         Ok(Err(failure)) if failure.verdict == Verdict::DidNotRun => {
-            attempt.cancel_failover(entry, &failure, origin);
+            attempt.cancel_failover(daemon, &failure, origin);
             None
         }
         Ok(ended) => Some(Box::pin(ready(ended))),
@@ -99,44 +99,48 @@
 /// Given up for nothing, it cut answers that were coming: the caller saw a broken stream or a failure, and
 /// the server's log a run that would have ended well. So attempts, budget, place and connection come first.
 pub async fn wait_answer<T>(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &Attempt,
     patience: Duration,
     answer: impl Future<Output = T>,
 ) -> WaitOutcome<T> {
-    let left = attempt.deadline.saturating_sub(entry.now());
+    let left = attempt.deadline.saturating_sub(daemon.now());
     tokio::select! {
         biased;
         answer = answer => WaitOutcome::Answer(answer),
         () = sleep(left) => WaitOutcome::OutOfTime,
-        chosen = elsewhere(entry, attempt, patience) => WaitOutcome::FailOver(chosen),
+        chosen = elsewhere(daemon, attempt, patience) => WaitOutcome::FailOver(chosen),
     }
 }
 
 /// Returns once the request can go on at another server; never, where it may not.
-async fn elsewhere(entry: &Rc<DaemonState>, attempt: &Attempt, patience: Duration) -> ChosenServer {
+async fn elsewhere(
+    daemon: &Rc<DaemonState>,
+    attempt: &Attempt,
+    patience: Duration,
+) -> ChosenServer {
     if !attempt.route.is_retryable() {
         return pending().await;
     }
     sleep(patience).await;
     if !attempt.may_fail_over() {
-        note(entry, attempt);
+        note(daemon, attempt);
         return pending().await;
     }
     let mut guard = None;
-    let until = entry.now() + RESUME_TIMEOUT;
+    let until = daemon.now() + RESUME_TIMEOUT;
     let mut is_noted = false;
     loop {
-        let changed = entry.model_waits.inventories_changed.notified();
-        if let Some(chosen) = able(entry, attempt).await {
+        let changed = daemon.model_waits.inventories_changed.notified();
+        if let Some(chosen) = able(daemon, attempt).await {
             return chosen;
         }
         if !is_noted {
-            note(entry, attempt);
+            note(daemon, attempt);
             is_noted = true;
         }
-        if entry.now() < until {
-            guard = guard.or_else(|| want(entry, attempt, until));
+        if daemon.now() < until {
+            guard = guard.or_else(|| want(daemon, attempt, until));
         } else {
             guard = None;
         }
@@ -145,42 +149,42 @@
 }
 
 /// Returns another server that can take the request now, its repeat taken out of the budget.
-async fn able(entry: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
-    if entry.is_quarantined(&attempt.fingerprint) || !entry.has_retry(&attempt.service) {
+async fn able(daemon: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
+    if daemon.is_quarantined(&attempt.fingerprint) || !daemon.has_retry(&attempt.service) {
         return None;
     }
     let item = attempt.item();
     let tried = attempt.all_tried();
     let chosen =
-        entry.with_chooser(|c| c.choose_available(&attempt.service, item.as_ref(), &tried))?;
+        daemon.with_chooser(|c| c.choose_available(&attempt.service, item.as_ref(), &tried))?;
     let server = &chosen.server;
-    if entry.pool.ensure_idle(&server.instance(), server.addr).await.is_err() {
-        entry.record_health(&attempt.service, &server.instance(), Evidence::Unreachable);
+    if daemon.pool.ensure_idle(&server.instance(), server.addr).await.is_err() {
+        daemon.record_health(&attempt.service, &server.instance(), Evidence::Unreachable);
         return None;
     }
     // Nothing is awaited from here until the caller of `hear` has the server.
-    entry.take_retry(&attempt.service).then_some(chosen)
+    daemon.take_retry(&attempt.service).then_some(chosen)
 }
 
 /// Tells of a silent server that cannot be left yet, and lets other requests avoid it.
-fn note(entry: &DaemonState, attempt: &Attempt) {
+fn note(daemon: &DaemonState, attempt: &Attempt) {
     let Some(server) = &attempt.last_server else { return };
-    slog::info!(entry.log, "server-silent"; "attempt" => attempt.id(), "server" => %server,
-        "ms" => entry.now().saturating_sub(attempt.arrived).as_millis());
-    entry.record_health(&attempt.service, server, Evidence::Failed);
+    slog::info!(daemon.log, "server-silent"; "attempt" => attempt.id(), "server" => %server,
+        "ms" => daemon.now().saturating_sub(attempt.arrived).as_millis());
+    daemon.record_health(&attempt.service, server, Evidence::Failed);
 }
 
 /// Asks for the model at another engine, where no other holds it.
-fn want(entry: &DaemonState, attempt: &Attempt, until: Moment) -> Option<WaitGuard> {
+fn want(daemon: &DaemonState, attempt: &Attempt, until: Moment) -> Option<WaitGuard> {
     let item = attempt.item()?;
     let tried = attempt.all_tried();
-    if matches!(entry.with_chooser(|c| c.choose_engine(&item, &tried)), EngineChoice::Server(_)) {
+    if matches!(daemon.with_chooser(|c| c.choose_engine(&item, &tried)), EngineChoice::Server(_)) {
         return None;
     }
-    Some(entry.model_waits.begin(
+    Some(daemon.model_waits.begin(
         item,
         until,
         until,
-        unusable_engines(entry, &attempt.service, &tried),
+        unusable_engines(daemon, &attempt.service, &tried),
     ))
 }
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -43,57 +43,57 @@
 ///
 /// Returns the answer of our own where the wait is hopeless.
 pub async fn find_server(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Result<ChosenServer, Refusal> {
-    if let Some(refusal) = entry.quarantine_refusal(attempt) {
+    if let Some(refusal) = daemon.quarantine_refusal(attempt) {
         return Err(refusal);
     }
     let Some(item) = attempt.item() else {
-        let chosen = entry.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried));
+        let chosen = daemon.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried));
         return chosen
             .ok_or_else(|| Refusal::failed(attempt.verdict, "no server", DEFAULT_RETRY_AFTER));
     };
-    let began = entry.now();
+    let began = daemon.now();
     let mut guard = None;
-    take_turns(entry, attempt).await;
+    take_turns(daemon, attempt).await;
     loop {
-        let changed = entry.model_waits.inventories_changed.notified();
-        if let Some(refusal) = entry.quarantine_refusal(attempt) {
+        let changed = daemon.model_waits.inventories_changed.notified();
+        if let Some(refusal) = daemon.quarantine_refusal(attempt) {
             return Err(refusal);
         }
-        match engine(entry, attempt, &item) {
+        match engine(daemon, attempt, &item) {
             EngineChoice::Server(chosen) => {
-                attempt.model_wait += entry.now().saturating_sub(began);
-                return admit(entry, attempt, chosen);
+                attempt.model_wait += daemon.now().saturating_sub(began);
+                return admit(daemon, attempt, chosen);
             }
             EngineChoice::NoServer => {
                 return Err(Refusal::failed(attempt.verdict, "no server", DEFAULT_RETRY_AFTER));
             }
             EngineChoice::NotLoaded => {}
         }
-        let now = entry.now();
+        let now = daemon.now();
         let patience = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
-        let give_up = patience.min(entry.latest_start(attempt.deadline));
-        if let Some(refusal) = hopeless(entry, attempt, &item, began, give_up) {
+        let give_up = patience.min(daemon.latest_start(attempt.deadline));
+        if let Some(refusal) = hopeless(daemon, attempt, &item, began, give_up) {
             attempt.model_wait += now.saturating_sub(began);
             return Err(refusal);
         }
         if guard.is_none() {
-            slog::info!(entry.log, "request-waits"; "attempt" => attempt.id(),
+            slog::info!(daemon.log, "request-waits"; "attempt" => attempt.id(),
                 "model" => item.model.as_str(), "adapter" => item.adapter.as_deref().unwrap_or("-"),
-                "ahead" => entry.model_waits.waiting_for(&item),
+                "ahead" => daemon.model_waits.waiting_for(&item),
                 "give_up_ms" => give_up.saturating_sub(now).as_millis());
-            guard = Some(entry.model_waits.begin(
+            guard = Some(daemon.model_waits.begin(
                 item.clone(),
                 (attempt.arrived + attempt.route.latency_goal).saturating_sub(FIRST_EVENT),
                 give_up,
-                unusable_engines(entry, &attempt.service, &attempt.tried),
+                unusable_engines(daemon, &attempt.service, &attempt.tried),
             ));
         }
         // Engines that refused it may have room again.
         let _notified = timeout(FULL_PAUSE * 2, changed).await;
-        if entry.now() > began + FULL_PAUSE && attempt.verdict == Verdict::DidNotRun {
+        if daemon.now() > began + FULL_PAUSE && attempt.verdict == Verdict::DidNotRun {
             attempt.tried.clear();
         }
     }
@@ -104,17 +104,18 @@
 /// All suspects of a crash would go to the next engine in the same moment, from every daemon, before any of these
 /// could tell that it has one there. Attempts at one request go one after the other over all daemons, and one that may
 /// crash one too many waits until the others of its last crash have had time to show that they did not do it.
-async fn take_turns(entry: &Rc<DaemonState>, attempt: &mut Attempt) {
+async fn take_turns(daemon: &Rc<DaemonState>, attempt: &mut Attempt) {
     attempt.trial = None;
-    if !entry.is_suspect(&attempt.fingerprint) {
+    if !daemon.is_suspect(&attempt.fingerprint) {
         return;
     }
-    attempt.trial = Some(entry.trials.enqueue(attempt.fingerprint, entry.now()));
+    attempt.trial = Some(daemon.trials.enqueue(attempt.fingerprint, daemon.now()));
     sleep(SPREAD.mul_f64(rand::rng().random_range(0.5..1.0))).await;
-    while entry.now() < attempt.deadline && entry.quarantine_refusal(attempt).is_none() {
-        let changed = entry.model_waits.inventories_changed.notified();
-        let undecided = entry.quarantine.borrow().decision_delay(&attempt.fingerprint, entry.now());
-        if undecided.is_zero() && may_go(entry, attempt) {
+    while daemon.now() < attempt.deadline && daemon.quarantine_refusal(attempt).is_none() {
+        let changed = daemon.model_waits.inventories_changed.notified();
+        let undecided =
+            daemon.quarantine.borrow().decision_delay(&attempt.fingerprint, daemon.now());
+        if undecided.is_zero() && may_go(daemon, attempt) {
             return;
         }
         let _changed = timeout(undecided.max(FULL_PAUSE), changed).await;
@@ -122,28 +123,29 @@
 }
 
 /// Returns whether it is an attempt's turn, or it needs none.
-fn may_go(entry: &DaemonState, attempt: &mut Attempt) -> bool {
-    if !entry.is_suspect(&attempt.fingerprint) {
+fn may_go(daemon: &DaemonState, attempt: &mut Attempt) -> bool {
+    if !daemon.is_suspect(&attempt.fingerprint) {
         attempt.trial = None;
         return true;
     }
     // It may have become a suspect while it waited for a model.
-    let trial =
-        attempt.trial.get_or_insert_with(|| entry.trials.enqueue(attempt.fingerprint, entry.now()));
-    entry.trials.is_next(trial, &entry.settings().id, entry.now())
+    let trial = attempt
+        .trial
+        .get_or_insert_with(|| daemon.trials.enqueue(attempt.fingerprint, daemon.now()));
+    daemon.trials.is_next(trial, &daemon.settings().id, daemon.now())
 }
 
 /// Chooses an engine; a suspect gets one to itself among suspects, when it is its turn.
-fn engine(entry: &DaemonState, attempt: &mut Attempt, item: &ModelTarget) -> EngineChoice {
-    if !may_go(entry, attempt) {
+fn engine(daemon: &DaemonState, attempt: &mut Attempt, item: &ModelTarget) -> EngineChoice {
+    if !may_go(daemon, attempt) {
         return EngineChoice::NotLoaded;
     }
     let Some(trial) = &attempt.trial else {
-        return entry.with_chooser(|c| c.choose_engine(item, &attempt.tried));
+        return daemon.with_chooser(|c| c.choose_engine(item, &attempt.tried));
     };
-    let mut closed = entry.trials.occupied_servers(entry.now());
+    let mut closed = daemon.trials.occupied_servers(daemon.now());
     closed.extend_from_slice(&attempt.tried);
-    let choice = entry.with_chooser(|c| c.choose_engine(item, &closed));
+    let choice = daemon.with_chooser(|c| c.choose_engine(item, &closed));
     if let EngineChoice::Server(chosen) = &choice {
         trial.assign(chosen.server.instance());
     }
@@ -152,11 +154,11 @@
 
 /// Lets a request go to a chosen engine, unless its queue is too long for the caller.
 fn admit(
-    entry: &DaemonState,
+    daemon: &DaemonState,
     attempt: &mut Attempt,
     chosen: ChosenServer,
 ) -> Result<ChosenServer, Refusal> {
-    let now = entry.now();
+    let now = daemon.now();
     let left = |until: Moment| until.saturating_sub(now);
     let leaves = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
     let outlook = AdmissionInput {
@@ -181,26 +183,26 @@
 
 /// Engines that this request cannot use: those that failed it, and those out of reach.
 pub fn unusable_engines(
-    entry: &DaemonState,
+    daemon: &DaemonState,
     service: &str,
     tried: &[ServerInstance],
 ) -> Vec<ServerInstance> {
-    let mut list = entry.with_chooser(|c| c.unreachable_servers(service));
-    list.extend(entry.with_chooser(|c| c.rate_limited(service)));
+    let mut list = daemon.with_chooser(|c| c.unreachable_servers(service));
+    list.extend(daemon.with_chooser(|c| c.rate_limited(service)));
     list.extend_from_slice(tried);
     list
 }
 
 /// Refuses a wait that cannot end in time, as soon as that is known.
 fn hopeless(
-    entry: &DaemonState,
+    daemon: &DaemonState,
     attempt: &Attempt,
     item: &ModelTarget,
     began: Moment,
     give_up: Moment,
 ) -> Option<Refusal> {
-    let now = entry.now();
-    let expected = entry.with_chooser(|c| {
+    let now = daemon.now();
+    let expected = daemon.with_chooser(|c| {
         let servers = c.directory.servers().filter(|s| s.service == item.service && !s.leaving);
         let times = servers.filter_map(|s| {
             c.inventories.expected_at(&s.instance(), &item.model, item.adapter.as_deref(), now)
@@ -209,12 +211,12 @@
     });
     let verdict = attempt.verdict;
     if expected.is_none() && now > began + WORD_TIME {
-        let turn = entry.with_chooser(|c| c.next_turn(&item.service, Some(item)));
+        let turn = daemon.with_chooser(|c| c.next_turn(&item.service, Some(item)));
         if let Some(retry) = turn.and_then(|turn| retry_after(turn, give_up.saturating_sub(now))) {
             return Some(Refusal::failed(verdict, RATE_LIMITED, retry));
         }
     }
-    if expected.is_none() && nobody_loads(entry) {
+    if expected.is_none() && nobody_loads(daemon) {
         return Some(Refusal::failed(
             verdict,
             "this data centre is cut off",
@@ -229,7 +231,7 @@
         _ if now + FIRST_EVENT > give_up => {
             Some(Refusal::failed(verdict, "the model was not loaded in time", DEFAULT_RETRY_AFTER))
         }
-        None if !entry.with_chooser(|c| c.has_copy(item)) => {
+        None if !daemon.with_chooser(|c| c.has_copy(item)) => {
             let load = load_time(attempt, item);
             let is_silent = now > began + WORD_TIME;
             (is_silent || now + load > give_up)
@@ -244,9 +246,9 @@
 
 /// Whether this daemon is cut off from the store and other data centres, and from whoever orders loads: callers are
 /// better off with another one, where the balancer takes them.
-fn nobody_loads(entry: &DaemonState) -> bool {
-    let has_holder = || entry.peers.borrow().holder(entry.now()).is_some();
-    entry.isolated.get() && entry.fence().is_none() && !has_holder()
+fn nobody_loads(daemon: &DaemonState) -> bool {
+    let has_holder = || daemon.peers.borrow().holder(daemon.now()).is_some();
+    daemon.isolated.get() && daemon.fence().is_none() && !has_holder()
 }
 
 /// What the configuration says of a model.
@@ -268,30 +270,30 @@
 
 /// Chooses another server for a stream that broke off; callers wait for events, so not for long.
 pub async fn find_replacement(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Option<ChosenServer> {
     let item = attempt.item()?;
     // A stream that left a server by itself would still have one: it is not broken off before its time.
-    let until = if attempt.failed_over { attempt.deadline } else { entry.now() + RESUME_TIMEOUT };
+    let until = if attempt.failed_over { attempt.deadline } else { daemon.now() + RESUME_TIMEOUT };
     let mut guard = None;
-    take_turns(entry, attempt).await;
+    take_turns(daemon, attempt).await;
     loop {
-        let changed = entry.model_waits.inventories_changed.notified();
-        if entry.quarantine_refusal(attempt).is_some() {
+        let changed = daemon.model_waits.inventories_changed.notified();
+        if daemon.quarantine_refusal(attempt).is_some() {
             attempt.reason = QUARANTINED_REASON;
             return None;
         }
-        if let EngineChoice::Server(chosen) = engine(entry, attempt, &item) {
+        if let EngineChoice::Server(chosen) = engine(daemon, attempt, &item) {
             return Some(chosen);
         }
-        let left = until.saturating_sub(entry.now());
+        let left = until.saturating_sub(daemon.now());
         if left.is_zero() {
             return None;
         }
         guard.get_or_insert_with(|| {
-            let avoid = unusable_engines(entry, &attempt.service, &attempt.tried);
-            entry.model_waits.begin(item.clone(), until, until, avoid)
+            let avoid = unusable_engines(daemon, &attempt.service, &attempt.tried);
+            daemon.model_waits.begin(item.clone(), until, until, avoid)
         });
         let _notified = timeout(left.min(FULL_PAUSE * 2), changed).await;
     }
--- a/lib/src/serve/follow_config.rs
+++ b/lib/src/serve/follow_config.rs
@@ -49,37 +49,37 @@
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 
 /// Follows the configuration for as long as the daemon runs.
-pub async fn follow_config(entry: Rc<DaemonState>) {
+pub async fn follow_config(daemon: Rc<DaemonState>) {
     let mut from = None;
     let mut pause = PAUSE;
     loop {
-        let mut sent = entry.now();
+        let mut sent = daemon.now();
         let result = match from {
             None => {
                 track_call(
-                    &entry,
+                    &daemon,
                     Feed::Configuration,
-                    entry.store.list_latest(Feed::Configuration),
+                    daemon.store.list_latest(Feed::Configuration),
                 )
                 .await
             }
             Some(offset) => {
-                wait_for_need(&entry).await;
-                sent = entry.now();
-                read_on(&entry, offset).await
+                wait_for_need(&daemon).await;
+                sent = daemon.now();
+                read_on(&daemon, offset).await
             }
         };
         match result {
             Ok(batch) => {
-                take_config(&entry, &batch);
+                take_config(&daemon, &batch);
                 from = Some(batch.end);
                 pause = PAUSE;
             }
             Err(StoreError::Expired) => from = None,
             // A call that was given up late was pause enough.
             Err(_failed) => {
-                let is_back = backoff_after(&entry, sent, pause).await;
-                let has_readers = from.is_some() && entry.relies_on_readers();
+                let is_back = backoff_after(&daemon, sent, pause).await;
+                let has_readers = from.is_some() && daemon.relies_on_readers();
                 pause =
                     if has_readers && !is_back { (pause * 2).min(LONGEST_PAUSE) } else { PAUSE };
             }
@@ -88,43 +88,43 @@
 }
 
 /// Waits for as long as readers follow the configuration for this daemon.
-async fn wait_for_need(entry: &DaemonState) {
-    while entry.relies_on_readers() && !entry.polls_config() {
+async fn wait_for_need(daemon: &DaemonState) {
+    while daemon.relies_on_readers() && !daemon.polls_config() {
         sleep(LOOK_EVERY).await;
     }
 }
 
-fn take_config(entry: &DaemonState, batch: &Batch) {
-    entry.log_unreadable_records(Feed::Configuration, batch);
+fn take_config(daemon: &DaemonState, batch: &Batch) {
+    daemon.log_unreadable_records(Feed::Configuration, batch);
     let records = batch.records.iter().rev().filter(|r| r.key == CONFIG_KEY);
     // Another writer's record must not hide the operators' version before it.
     for raw in records.filter_map(|r| r.value.as_ref()) {
-        if apply_config(entry, raw, "store") {
+        if apply_config(daemon, raw, "store") {
             break;
         }
     }
 }
 
 /// Waits for the next version.
-async fn read_on(entry: &DaemonState, from: Offset) -> Result<Batch, StoreError> {
-    let begun = entry.now();
-    let was_behind = entry.is_behind();
-    let call = entry.store.read(Feed::Configuration, from, longest_wait(entry, was_behind));
+async fn read_on(daemon: &DaemonState, from: Offset) -> Result<Batch, StoreError> {
+    let begun = daemon.now();
+    let was_behind = daemon.is_behind();
+    let call = daemon.store.read(Feed::Configuration, from, longest_wait(daemon, was_behind));
     tokio::select! {
         biased;
-        result = track_read(entry, Feed::Configuration, call) => result,
-        reason = given_up(entry, was_behind) => {
-            Err(abandon_call(entry, Feed::Configuration, begun, reason))
+        result = track_read(daemon, Feed::Configuration, call) => result,
+        reason = given_up(daemon, was_behind) => {
+            Err(abandon_call(daemon, Feed::Configuration, begun, reason))
         }
     }
 }
 
 /// Returns how long the store may wait for a change before it answers.
-fn longest_wait(entry: &DaemonState, is_behind: bool) -> Duration {
-    if entry.config_age(entry.now()) > OFTEN_WAIT {
+fn longest_wait(daemon: &DaemonState, is_behind: bool) -> Duration {
+    if daemon.config_age(daemon.now()) > OFTEN_WAIT {
         // An answer is overdue: whether the store is back must show soon.
         Duration::ZERO
-    } else if is_behind || entry.polls_config() {
+    } else if is_behind || daemon.polls_config() {
         OFTEN_WAIT
     } else {
         SELDOM_WAIT
@@ -136,17 +136,17 @@
 /// A call that began while this daemon was behind brings what peers have already, however slow the store or
 /// the link is; given up for that, it would be given up again and again and never be answered. It has
 /// the short limit instead.
-async fn given_up(entry: &DaemonState, was_behind: bool) -> &'static str {
+async fn given_up(daemon: &DaemonState, was_behind: bool) -> &'static str {
     let begun = Instant::now();
     loop {
-        if timeout(LOOK_EVERY, entry.newer_config.notified()).await.is_ok() {
+        if timeout(LOOK_EVERY, daemon.newer_config.notified()).await.is_ok() {
             sleep(NEWS_PAUSE).await;
         }
         let out = begun.elapsed();
-        if out >= YOUNG && !was_behind && entry.is_behind() {
+        if out >= YOUNG && !was_behind && daemon.is_behind() {
             return "a peer has a later version";
         }
-        if out >= OFTEN_LIMIT && (was_behind || entry.polls_config()) {
+        if out >= OFTEN_LIMIT && (was_behind || daemon.polls_config()) {
             return "no answer in time";
         }
     }
--- a/lib/src/serve/follow_servers.rs
+++ b/lib/src/serve/follow_servers.rs
@@ -29,39 +29,39 @@
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 
 /// Follows the list of servers.
-pub async fn follow_servers(entry: Rc<DaemonState>) {
+pub async fn follow_servers(daemon: Rc<DaemonState>) {
     // Whether the list was read once.
     let mut is_listed = false;
     let mut pause = PAUSE;
     loop {
         if is_listed {
-            wait_until_due(&entry).await;
+            wait_until_due(&daemon).await;
         }
-        let is_whole = !is_listed || must_list(&entry);
-        let sent = entry.now();
-        let end = entry.directory.borrow().feed_end();
+        let is_whole = !is_listed || must_list(&daemon);
+        let sent = daemon.now();
+        let end = daemon.directory.borrow().feed_end();
         let result = if is_whole {
-            track_call(&entry, Feed::Servers, entry.store.list_latest(Feed::Servers)).await
+            track_call(&daemon, Feed::Servers, daemon.store.list_latest(Feed::Servers)).await
         } else {
-            let call = entry.store.read(Feed::Servers, end, Duration::ZERO);
-            track_read(&entry, Feed::Servers, call).await
+            let call = daemon.store.read(Feed::Servers, end, Duration::ZERO);
+            track_read(&daemon, Feed::Servers, call).await
         };
         match result {
             Ok(batch) => {
-                apply_server_batch(&entry, &batch, is_whole);
+                apply_server_batch(&daemon, &batch, is_whole);
                 if is_whole {
-                    entry.freshness.is_partial.set(false);
+                    daemon.freshness.is_partial.set(false);
                 }
-                entry.freshness.has_gap.set(false);
-                entry.freshness.advance_servers(sent);
+                daemon.freshness.has_gap.set(false);
+                daemon.freshness.advance_servers(sent);
                 is_listed = true;
                 pause = PAUSE;
             }
             Err(StoreError::Expired) => is_listed = false,
             Err(_failed) => {
                 // A call that was given up late was pause enough.
-                let is_back = backoff_after(&entry, sent, pause).await;
-                let longest = if is_back || entry.polls_servers() { PAUSE } else { LONGEST_PAUSE };
+                let is_back = backoff_after(&daemon, sent, pause).await;
+                let longest = if is_back || daemon.polls_servers() { PAUSE } else { LONGEST_PAUSE };
                 pause = (pause * 2).min(longest);
             }
         }
@@ -69,15 +69,15 @@
 }
 
 /// Returns whether the list must be read anew: who gives orders must know what servers hold, which words leave out.
-fn must_list(entry: &DaemonState) -> bool {
-    entry.held_fence().is_some() && entry.freshness.is_partial.get()
+fn must_list(daemon: &DaemonState) -> bool {
+    daemon.held_fence().is_some() && daemon.freshness.is_partial.get()
 }
 
 /// Waits until the feed must be read.
-async fn wait_until_due(entry: &DaemonState) {
+async fn wait_until_due(daemon: &DaemonState) {
     loop {
-        let left = due(entry).saturating_sub(entry.now());
-        if left.is_zero() || must_list(entry) {
+        let left = due(daemon).saturating_sub(daemon.now());
+        if left.is_zero() || must_list(daemon) {
             return;
         }
         sleep(left.min(LOOK_EVERY)).await;
@@ -88,7 +88,7 @@
 ///
 /// A daemon that lives by words reads when they have told it nothing new for as long as its own pause would be, so
 /// that its picture is never older than if it read all the time, whatever becomes of readers.
-fn due(entry: &DaemonState) -> Moment {
-    let part = if entry.is_large_fleet() && entry.is_reader() { READER_PART } else { READ_PART };
-    entry.freshness.servers_at.get() + entry.settings().drain.mul_f64(part)
+fn due(daemon: &DaemonState) -> Moment {
+    let part = if daemon.is_large_fleet() && daemon.is_reader() { READER_PART } else { READ_PART };
+    daemon.freshness.servers_at.get() + daemon.settings().drain.mul_f64(part)
 }
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -41,7 +41,7 @@
 /// Sends and receives datagrams.
 #[derive(Debug)]
 pub struct Gossip {
-    pub(super) entry: Rc<DaemonState>,
+    pub(super) daemon: Rc<DaemonState>,
     socket: UdpSocket,
     malformed: Cell<u64>,
     /// When the last digest was told.
@@ -54,16 +54,16 @@
 
 impl Gossip {
     /// Uses a socket.
-    pub fn new(entry: Rc<DaemonState>, socket: UdpSocket) -> Rc<Self> {
+    pub fn new(daemon: Rc<DaemonState>, socket: UdpSocket) -> Rc<Self> {
         let (malformed, last_digest, last_broadcast, round) = <_>::default();
-        Rc::new(Self { entry, socket, malformed, last_digest, last_broadcast, round })
+        Rc::new(Self { daemon, socket, malformed, last_digest, last_broadcast, round })
     }
 
     pub(super) fn encode(&self, content: Payload) -> Vec<u8> {
-        let settings = self.entry.settings();
+        let settings = self.daemon.settings();
         let message = PeerMessage {
             from: settings.id.clone(),
-            process: self.entry.process,
+            process: self.daemon.process,
             port: settings.peer.port(),
             payload: content,
         };
@@ -73,7 +73,7 @@
     pub(super) fn send(&self, to: SocketAddr, bytes: &[u8], kind: &'static str) {
         // A datagram that cannot be sent now is repeated with newer content.
         if self.socket.try_send_to(bytes, to).is_ok() {
-            self.entry.metrics.record_control_bytes(kind, bytes.len());
+            self.daemon.metrics.record_control_bytes(kind, bytes.len());
         }
     }
 
@@ -92,7 +92,7 @@
                     self.malformed.set(count);
                     // The first and then every thousandth: a flood must not fill the log.
                     if count % 1000 == 1 {
-                        slog::warn!(self.entry.log, "datagram-malformed"; "from" => %from,
+                        slog::warn!(self.daemon.log, "datagram-malformed"; "from" => %from,
                             "error" => %error, "count" => count);
                     }
                 }
@@ -101,11 +101,11 @@
     }
 
     fn take(&self, message: PeerMessage, from: SocketAddr) {
-        let entry = &self.entry;
-        if message.process == entry.process {
+        let daemon = &self.daemon;
+        if message.process == daemon.process {
             return;
         }
-        let now = entry.now();
+        let now = daemon.now();
         let addr = SocketAddr::new(from.ip(), message.port);
         match message.payload {
             Payload::Digest(digest) => {
@@ -113,9 +113,9 @@
                 self.take_loads(&message.from, digest.workloads);
             }
             Payload::Demand(note) => {
-                if entry.fence().is_some() {
-                    entry.demand.borrow_mut().update(&message.from, note, now);
-                    entry.plan_due.notify_one();
+                if daemon.fence().is_some() {
+                    daemon.demand.borrow_mut().update(&message.from, note, now);
+                    daemon.plan_due.notify_one();
                 }
             }
             Payload::Inventories(fence, list) => self.take_holdings(&message.from, fence, list),
@@ -123,8 +123,8 @@
                 self.take_word(&message.from, addr, message.process, report)
             }
             Payload::Trials(notes) => {
-                if entry.trials.update_peer(&message.from, notes, now) {
-                    entry.model_waits.inventories_changed.notify_waiters();
+                if daemon.trials.update_peer(&message.from, notes, now) {
+                    daemon.model_waits.inventories_changed.notify_waiters();
                 }
             }
         }
@@ -132,57 +132,58 @@
 
     /// Takes in that a peer named a start of a server; returns whether its word on it counts.
     fn is_heard(&self, start: &ServerInstance, from: &DaemonId) -> bool {
-        apply_updates::apply_start(&self.entry, start, from) != InstanceOrder::Older
+        apply_updates::apply_start(&self.daemon, start, from) != InstanceOrder::Older
     }
 
     /// Takes in what engines hold; a reader passes the lease holder's word on to its data centre.
     fn take_holdings(&self, from: &DaemonId, fence: Fence, mut list: Vec<EngineInventory>) {
-        let entry = &self.entry;
-        let is_holder = entry.peers.borrow().holder(entry.now()).is_some_and(|(id, ..)| id == from);
-        if is_holder && entry.is_large_fleet() && entry.is_reader() {
+        let daemon = &self.daemon;
+        let is_holder =
+            daemon.peers.borrow().holder(daemon.now()).is_some_and(|(id, ..)| id == from);
+        if is_holder && daemon.is_large_fleet() && daemon.is_reader() {
             self.relay_holdings(fence, &list);
         }
         list.retain(|inventory| self.is_heard(&inventory.server, from));
-        entry.update_inventory(fence, list);
+        daemon.update_inventory(fence, list);
     }
 
     /// Takes in a peer's state but for its requests.
     fn take_state(&self, from: &DaemonId, addr: SocketAddr, process: ProcessId, digest: &Digest) {
-        let entry = &self.entry;
-        let now = entry.now();
-        let had_holder = entry.peers.borrow().holder(now).is_some();
-        let was_silent = entry.peers.borrow_mut().record_digest(from, addr, process, digest, now);
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let had_holder = daemon.peers.borrow().holder(now).is_some();
+        let was_silent = daemon.peers.borrow_mut().record_digest(from, addr, process, digest, now);
         if was_silent {
-            slog::info!(entry.log, "dependency-regained"; "dependency" => "peer", "peer" => %from,
+            slog::info!(daemon.log, "dependency-regained"; "dependency" => "peer", "peer" => %from,
                 "addr" => %addr, "config" => digest.config_version);
         }
-        if digest.config_version > entry.config_version() {
-            entry.newer_config.notify_one();
-            entry.fetch_due.notify_one();
+        if digest.config_version > daemon.config_version() {
+            daemon.newer_config.notify_one();
+            daemon.fetch_due.notify_one();
         }
         if !had_holder && digest.lease.is_some() {
             // Demand that nobody heard is told to the new holder at once.
-            entry.model_waits.wait_started.notify_one();
+            daemon.model_waits.wait_started.notify_one();
         }
         self.take_left(from, &digest.departures);
-        entry.apply_peer_limits(&digest.limits, from);
-        suspects::receive_note(entry, &digest.quarantine, from);
+        daemon.apply_peer_limits(&digest.limits, from);
+        suspects::receive_note(daemon, &digest.quarantine, from);
     }
 
     fn take_left(&self, from: &DaemonId, left: &[ServerDeparture]) {
-        let entry = &self.entry;
-        let now = entry.now();
+        let daemon = &self.daemon;
+        let now = daemon.now();
         let mut changed = false;
         for note in left {
-            if entry.directory.borrow_mut().apply_departure(note, now) != Change::None {
+            if daemon.directory.borrow_mut().apply_departure(note, now) != Change::None {
                 changed = true;
-                slog::info!(entry.log, "server"; "server" => %note.server, "change" => "Leaving",
+                slog::info!(daemon.log, "server"; "server" => %note.server, "change" => "Leaving",
                     "from" => %from, "beat" => note.heartbeat,
                     "born" => note.server.born.unwrap_or(0));
             }
         }
         if changed {
-            apply_updates::on_servers_changed(entry);
+            apply_updates::on_servers_changed(daemon);
         }
     }
 
@@ -194,7 +195,7 @@
                 Workload { running: note.running, prompt_tokens: note.prompt_tokens },
             )
         };
-        self.entry.workloads.set_peer(from, self.entry.now(), loads.map(work).collect());
+        self.daemon.workloads.set_peer(from, self.daemon.now(), loads.map(work).collect());
     }
 
     /// Takes in a reader's word.
@@ -205,29 +206,29 @@
         process: ProcessId,
         report: ReaderReport,
     ) {
-        let entry = &self.entry;
-        let now = entry.now();
+        let daemon = &self.daemon;
+        let now = daemon.now();
         let heard = ReaderStatus::new(&report, now);
         let ReaderReport { digest, changes_from, joined, checksum, scope, workloads, .. } = report;
         self.take_state(from, addr, process, &digest);
-        entry.peers.borrow_mut().set_reader_status(from, heard);
-        let is_near = digest.centre == entry.settings().centre;
+        daemon.peers.borrow_mut().set_reader_status(from, heard);
+        let is_near = digest.centre == daemon.settings().centre;
         match (scope, is_near) {
             (WorkloadScope::Centre, false) => {
-                entry.workloads.set_centre(&digest.centre, now, workloads)
+                daemon.workloads.set_centre(&digest.centre, now, workloads)
             }
-            (WorkloadScope::Centre, true) => entry.workloads.set_own_centre(now, workloads),
-            (WorkloadScope::Fleet, true) if !entry.is_reader() => {
-                entry.workloads.set_fleet(now, workloads)
+            (WorkloadScope::Centre, true) => daemon.workloads.set_own_centre(now, workloads),
+            (WorkloadScope::Fleet, true) if !daemon.is_reader() => {
+                daemon.workloads.set_fleet(now, workloads)
             }
             (WorkloadScope::Fleet, _) => {}
         }
-        if !is_near || entry.polls_servers() {
+        if !is_near || daemon.polls_servers() {
             return;
         }
-        if digest.config_version <= entry.config_version() {
+        if digest.config_version <= daemon.config_version() {
             let age = Duration::from_millis(digest.config_age.into());
-            let told = &entry.freshness.config_at;
+            let told = &daemon.freshness.config_at;
             told.set(told.get().max(now.saturating_sub(age)));
         }
         if self.take_changes(&heard, changes_from, digest.servers_end, joined) {
@@ -238,16 +239,16 @@
     /// Compares the picture with that of a reader after its word. Where they differ something was told wrong or not at
     /// all: it shows here long before requests go to a server that is gone.
     fn compare(&self, from: &DaemonId, end: Offset, checksum: u64) {
-        let entry = &self.entry;
-        let directory = entry.directory.borrow();
+        let daemon = &self.daemon;
+        let directory = daemon.directory.borrow();
         if directory.feed_end() != end {
             return;
         }
-        if entry.freshness.record_comparison(directory.checksum() == checksum, entry.now()) {
-            entry.metrics.record_reader_report("differs");
-            slog::warn!(entry.log, "picture-differs"; "reader" => %from, "feed_end" => end,
+        if daemon.freshness.record_comparison(directory.checksum() == checksum, daemon.now()) {
+            daemon.metrics.record_reader_report("differs");
+            slog::warn!(daemon.log, "picture-differs"; "reader" => %from, "feed_end" => end,
                 "servers" => directory.servers().count());
-            entry.fetch_due.notify_one();
+            daemon.fetch_due.notify_one();
         }
     }
 
@@ -260,11 +261,11 @@
         end: Offset,
         joined: Vec<(ServerId, Vec<u8>)>,
     ) -> bool {
-        let entry = &self.entry;
+        let daemon = &self.daemon;
         let mut changed = false;
         for (id, raw) in joined {
             let change = apply_updates::apply_server(
-                entry,
+                daemon,
                 &id,
                 Some(&Bytes::from(raw)),
                 apply_updates::FROM_PEER,
@@ -272,19 +273,19 @@
             changed |= change != Change::None;
         }
         if changed {
-            apply_updates::on_servers_changed(entry);
+            apply_updates::on_servers_changed(daemon);
         }
-        if from > entry.directory.borrow().feed_end() {
+        if from > daemon.directory.borrow().feed_end() {
             // Some changes were told while this daemon did not hear: the whole picture is fetched.
-            entry.metrics.record_reader_report("gap");
-            entry.freshness.has_gap.set(true);
-            entry.fetch_due.notify_one();
+            daemon.metrics.record_reader_report("gap");
+            daemon.freshness.has_gap.set(true);
+            daemon.fetch_due.notify_one();
             return false;
         }
-        entry.metrics.record_reader_report("taken");
-        entry.directory.borrow_mut().record_relayed_read(heard.read, end);
-        entry.freshness.advance_servers(heard.read);
-        entry.freshness.is_partial.set(true);
+        daemon.metrics.record_reader_report("taken");
+        daemon.directory.borrow_mut().record_relayed_read(heard.read, end);
+        daemon.freshness.advance_servers(heard.read);
+        daemon.freshness.is_partial.set(true);
         true
     }
 }
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -49,17 +49,17 @@
 
 /// Answers a request, which is in progress until its answer is written.
 pub async fn handle_request(
-    entry: Rc<DaemonState>,
+    daemon: Rc<DaemonState>,
     active: ActiveRequest,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
-    let arrived = entry.now();
+    let arrived = daemon.now();
     let (parts, body) = request.into_parts();
-    let mut response = match read(&entry, parts, body, arrived).await {
-        Ok(attempt) => answer(&entry, attempt).await,
-        Err((parts, refusal)) => refuse_unrouted(&entry, &parts, &refusal),
+    let mut response = match read(&daemon, parts, body, arrived).await {
+        Ok(attempt) => answer(&daemon, attempt).await,
+        Err((parts, refusal)) => refuse_unrouted(&daemon, &parts, &refusal),
     };
-    if entry.closes_connections() {
+    if daemon.closes_connections() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response.body_mut().attach_request(active);
@@ -67,17 +67,17 @@
 }
 
 fn refuse_unrouted(
-    entry: &DaemonState,
+    daemon: &DaemonState,
     parts: &request::Parts,
     refusal: &Refusal,
 ) -> Response<ReplyBody> {
-    let terms = entry.protocol.parse_caller_headers(&parts.headers);
-    let config = entry.config_version();
-    slog::info!(entry.log, "request-refused"; "attempt" => terms.attempt.as_deref().unwrap_or("-"),
+    let terms = daemon.protocol.parse_caller_headers(&parts.headers);
+    let config = daemon.config_version();
+    slog::info!(daemon.log, "request-refused"; "attempt" => terms.attempt.as_deref().unwrap_or("-"),
         "status" => refusal.status.as_u16(), "reason" => refusal.reason, "config" => config,
-        "config_age_ms" => entry.config_age(entry.now()).as_millis(),
+        "config_age_ms" => daemon.config_age(daemon.now()).as_millis(),
         "host" => host(parts), "path" => parts.uri.path());
-    entry.metrics.record_refusal(refusal.reason);
+    daemon.metrics.record_refusal(refusal.reason);
     refusal.response()
 }
 
@@ -88,28 +88,28 @@
 
 /// Reads the whole body and finds the route.
 async fn read(
-    entry: &DaemonState,
+    daemon: &DaemonState,
     parts: request::Parts,
     body: Incoming,
     arrived: Moment,
 ) -> Result<Attempt, (request::Parts, Refusal)> {
-    let Some(config) = entry.config() else {
+    let Some(config) = daemon.config() else {
         let refusal = Refusal::not_run("no configuration yet", LEARNING);
         return Err((parts, refusal));
     };
     let body = tokio::select! {
         biased;
         body = read_body(body, config.limits.max_body) => body,
-        () = entry.aborted() => Err(Refusal::not_run(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
+        () = daemon.aborted() => Err(Refusal::not_run(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
     };
     let body = match body {
         Ok(body) => body,
         Err(refusal) => return Err((parts, refusal)),
     };
     // The configuration may have changed while the body came.
-    let config = entry.config().unwrap_or(config);
+    let config = daemon.config().unwrap_or(config);
     let Some(route) = config.route(host(&parts), parts.uri.path()).cloned() else {
-        let refusal = if entry.is_config_stale(entry.now()) {
+        let refusal = if daemon.is_config_stale(daemon.now()) {
             Refusal::not_run("no such route, but the configuration may be old", LEARNING)
         } else {
             Refusal::client_error(StatusCode::NOT_FOUND, "no such route")
@@ -119,7 +119,7 @@
     let Some(service) = pick_service(&route) else {
         return Err((parts, Refusal::not_run("the route has no service", LEARNING)));
     };
-    let terms = entry.protocol.parse_caller_headers(&parts.headers);
+    let terms = daemon.protocol.parse_caller_headers(&parts.headers);
     let time = terms.timeout.map_or(route.timeout, |p| p.min(route.timeout));
     let target = parts.uri.path_and_query().map_or("/", PathAndQuery::as_str);
     let fingerprint = Fingerprint::new(&parts.method, host(&parts), target, &body);
@@ -203,68 +203,68 @@
     None
 }
 
-async fn answer(entry: &Rc<DaemonState>, mut attempt: Attempt) -> Response<ReplyBody> {
-    if let Some(refusal) = entry.quarantine_refusal(&attempt) {
-        return refuse(entry, &attempt, &refusal);
+async fn answer(daemon: &Rc<DaemonState>, mut attempt: Attempt) -> Response<ReplyBody> {
+    if let Some(refusal) = daemon.quarantine_refusal(&attempt) {
+        return refuse(daemon, &attempt, &refusal);
     }
     if let Some(item) = attempt.item() {
-        entry.model_waits.count_arrival(&item, attempt.arrived);
+        daemon.model_waits.count_arrival(&item, attempt.arrived);
     }
-    entry.retry_budgets.borrow_mut().record_first(&attempt.service, attempt.arrived);
-    if entry.now() > entry.latest_start(attempt.deadline) {
+    daemon.retry_budgets.borrow_mut().record_first(&attempt.service, attempt.arrived);
+    if daemon.now() > daemon.latest_start(attempt.deadline) {
         return refuse(
-            entry,
+            daemon,
             &attempt,
             &Refusal::not_run(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER),
         );
     }
     let result = tokio::select! {
         biased;
-        result = exchange(entry, &mut attempt) => result,
-        () = entry.aborted() => Err(attempt.give_up(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
+        result = exchange(daemon, &mut attempt) => result,
+        () = daemon.aborted() => Err(attempt.give_up(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
     };
     match result {
         Ok(OpenOutcome::Whole(head, body)) => {
             attempt.verdict = Verdict::Ran;
-            entry.record_passed(&attempt, RequestProgress::Complete);
-            log_request(entry, &attempt, head.status, "answered", None);
+            daemon.record_passed(&attempt, RequestProgress::Complete);
+            log_request(daemon, &attempt, head.status, "answered", None);
             forward_response(head, body)
         }
-        Ok(OpenOutcome::Stream(started)) => exchange_stream::spawn_relay(entry, attempt, *started),
-        Err(refusal) => refuse(entry, &attempt, &refusal),
+        Ok(OpenOutcome::Stream(started)) => exchange_stream::spawn_relay(daemon, attempt, *started),
+        Err(refusal) => refuse(daemon, &attempt, &refusal),
     }
 }
 
-async fn exchange(entry: &Rc<DaemonState>, attempt: &mut Attempt) -> Result<OpenOutcome, Refusal> {
+async fn exchange(daemon: &Rc<DaemonState>, attempt: &mut Attempt) -> Result<OpenOutcome, Refusal> {
     if attempt.route.kind == RouteKind::Streaming {
-        return exchange_stream::open_stream(entry, attempt).await;
+        return exchange_stream::open_stream(daemon, attempt).await;
     }
-    let (head, body) = exchange_plain::run(entry, attempt).await?;
+    let (head, body) = exchange_plain::run(daemon, attempt).await?;
     Ok(OpenOutcome::Whole(head, body))
 }
 
-fn refuse(entry: &DaemonState, attempt: &Attempt, refusal: &Refusal) -> Response<ReplyBody> {
-    log_request(entry, attempt, refusal.status, refusal.reason, None);
-    entry.metrics.record_refusal(refusal.reason);
+fn refuse(daemon: &DaemonState, attempt: &Attempt, refusal: &Refusal) -> Response<ReplyBody> {
+    log_request(daemon, attempt, refusal.status, refusal.reason, None);
+    daemon.metrics.record_refusal(refusal.reason);
     let mut response = refusal.response();
     if let Some(id) = &attempt.terms.attempt {
-        entry.protocol.set_attempt_id(response.headers_mut(), id);
+        daemon.protocol.set_attempt_id(response.headers_mut(), id);
     }
     response
 }
 
 /// Writes the one line that tells how a request ended.
 pub fn log_request(
-    entry: &DaemonState,
+    daemon: &DaemonState,
     attempt: &Attempt,
     status: StatusCode,
     reason: &str,
     first: Option<Moment>,
 ) {
-    let now = entry.now();
+    let now = daemon.now();
     let ms = |t: Moment| t.saturating_sub(attempt.arrived).as_millis();
-    entry.metrics.record_answer(&attempt.route.name, attempt.verdict);
-    slog::info!(entry.log, "request"; "attempt" => attempt.id(), "print" => %attempt.fingerprint,
+    daemon.metrics.record_answer(&attempt.route.name, attempt.verdict);
+    slog::info!(daemon.log, "request"; "attempt" => attempt.id(), "print" => %attempt.fingerprint,
         "route" => attempt.route.name.as_str(), "service" => attempt.service.as_str(),
         "model" => attempt.terms.model.as_deref().unwrap_or("-"),
         "adapter" => attempt.terms.adapter.as_deref().unwrap_or("-"),
--- a/lib/src/serve/lifecycle.rs
+++ b/lib/src/serve/lifecycle.rs
@@ -52,40 +52,40 @@
 /// # Errors
 ///
 /// An address cannot be used.
-pub fn start(entry: &Rc<DaemonState>) -> io::Result<Rc<LeaseManager>> {
-    let settings = entry.settings();
+pub fn start(daemon: &Rc<DaemonState>) -> io::Result<Rc<LeaseManager>> {
+    let settings = daemon.settings();
     let front = socket::listen(settings.front)?;
     let ready = socket::listen(settings.ready)?;
     let peers = socket::listen(settings.peer)?;
-    entry.lease.borrow_mut().set_address(settings.peer, entry.now());
-    let gossip = Gossip::new(Rc::clone(entry), socket::bind_udp(settings.peer)?);
-    let calls = Rc::new(PooledCalls::new(Rc::clone(entry)));
-    let orders = PlacementController::new(Rc::clone(entry), Rc::clone(&gossip), calls);
-    let lease = LeaseManager::new(Rc::clone(entry), Rc::clone(&gossip));
-    slog::info!(entry.log, "start"; "id" => settings.id.as_str(), "process" => entry.process,
+    daemon.lease.borrow_mut().set_address(settings.peer, daemon.now());
+    let gossip = Gossip::new(Rc::clone(daemon), socket::bind_udp(settings.peer)?);
+    let calls = Rc::new(PooledCalls::new(Rc::clone(daemon)));
+    let orders = PlacementController::new(Rc::clone(daemon), Rc::clone(&gossip), calls);
+    let lease = LeaseManager::new(Rc::clone(daemon), Rc::clone(&gossip));
+    slog::info!(daemon.log, "start"; "id" => settings.id.as_str(), "process" => daemon.process,
         "centre" => settings.centre.as_str(), "front" => %settings.front,
         "peer" => %settings.peer, "version" => env!("CARGO_PKG_VERSION"));
-    spawn_local(follow_config::follow_config(Rc::clone(entry)));
-    spawn_local(follow_servers::follow_servers(Rc::clone(entry)));
-    spawn_local(apply_updates::follow_daemons(Rc::clone(entry)));
-    spawn_local(suspects::load_quarantine(Rc::clone(entry)));
-    spawn_local(peer_transfer::serve_peers(Rc::clone(entry), peers));
+    spawn_local(follow_config::follow_config(Rc::clone(daemon)));
+    spawn_local(follow_servers::follow_servers(Rc::clone(daemon)));
+    spawn_local(apply_updates::follow_daemons(Rc::clone(daemon)));
+    spawn_local(suspects::load_quarantine(Rc::clone(daemon)));
+    spawn_local(peer_transfer::serve_peers(Rc::clone(daemon), peers));
     spawn_local(Rc::clone(&gossip).receive());
     spawn_local(Rc::clone(&gossip).publish_digests());
     spawn_local(Rc::clone(&gossip).publish_demand());
-    spawn_local(peer_sync::sync_from_peers(Rc::clone(entry)));
-    spawn_local(peer_sync::sync_from_readers(Rc::clone(entry)));
+    spawn_local(peer_sync::sync_from_peers(Rc::clone(daemon)));
+    spawn_local(peer_sync::sync_from_readers(Rc::clone(daemon)));
     spawn_local(Rc::clone(&lease).run());
     spawn_local(Rc::clone(&orders).run());
-    spawn_local(accept::serve_callers(Rc::clone(entry), front));
-    spawn_local(accept::serve_ready(Rc::clone(entry), ready));
+    spawn_local(accept::serve_callers(Rc::clone(daemon), front));
+    spawn_local(accept::serve_ready(Rc::clone(daemon), ready));
     match socket::listen(settings.metrics) {
         Ok(listener) => {
-            spawn_local(accept::serve_metrics(Rc::clone(entry), listener));
+            spawn_local(accept::serve_metrics(Rc::clone(daemon), listener));
         }
-        Err(error) => slog::warn!(entry.log, "metrics-unserved"; "error" => %error),
+        Err(error) => slog::warn!(daemon.log, "metrics-unserved"; "error" => %error),
     }
-    spawn_local(sweep(Rc::clone(entry)));
+    spawn_local(sweep(Rc::clone(daemon)));
     Ok(lease)
 }
 
@@ -94,85 +94,85 @@
 /// # Errors
 ///
 /// An address cannot be used, or the system gives no signals.
-pub async fn run(entry: Rc<DaemonState>, source: Rc<dyn SettingsSource>) -> io::Result<()> {
+pub async fn run(daemon: Rc<DaemonState>, source: Rc<dyn SettingsSource>) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let lease = start(&entry)?;
+    let lease = start(&daemon)?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => reload(&entry, &*source, "signal"),
-            () = sleep(RELOAD_EVERY) => reload(&entry, &*source, "look"),
+            _ = hangup.recv() => reload(&daemon, &*source, "signal"),
+            () = sleep(RELOAD_EVERY) => reload(&daemon, &*source, "look"),
         }
     }
-    stop(&entry, &lease).await;
+    stop(&daemon, &lease).await;
     Ok(())
 }
 
-fn reload(entry: &DaemonState, source: &dyn SettingsSource, cause: &str) {
+fn reload(daemon: &DaemonState, source: &dyn SettingsSource, cause: &str) {
     match source.reload() {
         Ok(None) if cause == "look" => {}
-        Ok(None) => slog::info!(entry.log, "reload"; "cause" => cause, "changed" => false),
+        Ok(None) => slog::info!(daemon.log, "reload"; "cause" => cause, "changed" => false),
         Ok(Some(settings)) => {
-            slog::info!(entry.log, "reload"; "cause" => cause, "changed" => true,
+            slog::info!(daemon.log, "reload"; "cause" => cause, "changed" => true,
                 "settings" => ?settings);
-            entry.retry_budgets.borrow_mut().set_limits(settings.budget);
-            *entry.settings.borrow_mut() = Rc::new(settings);
+            daemon.retry_budgets.borrow_mut().set_limits(settings.budget);
+            *daemon.settings.borrow_mut() = Rc::new(settings);
         }
         Err(error) => {
-            slog::error!(entry.log, "reload"; "cause" => cause, "changed" => false,
+            slog::error!(daemon.log, "reload"; "cause" => cause, "changed" => false,
                 "error" => error);
         }
     }
 }
 
-async fn sweep(entry: Rc<DaemonState>) {
+async fn sweep(daemon: Rc<DaemonState>) {
     loop {
         sleep(SWEEP_EVERY).await;
-        apply_updates::sweep_servers(&entry);
-        suspects::release_expired(&entry);
-        let directory = entry.directory.borrow();
-        entry.pool.evict_idle(|start| directory.is_current(start));
+        apply_updates::sweep_servers(&daemon);
+        suspects::release_expired(&daemon);
+        let directory = daemon.directory.borrow();
+        daemon.pool.evict_idle(|start| directory.is_current(start));
     }
 }
 
 /// Stops without cutting a request: new callers go elsewhere, those that are here are served, and those
 /// that cannot be served in the grace are told.
-pub async fn stop(entry: &Rc<DaemonState>, lease: &LeaseManager) {
-    let began = entry.now();
-    let stop = GracefulStop::new(began, entry.settings().grace);
-    entry.stopping.set(Some(stop));
-    slog::info!(entry.log, "stop"; "phase" => "begun", "active" => entry.active.get());
+pub async fn stop(daemon: &Rc<DaemonState>, lease: &LeaseManager) {
+    let began = daemon.now();
+    let stop = GracefulStop::new(began, daemon.settings().grace);
+    daemon.stopping.set(Some(stop));
+    slog::info!(daemon.log, "stop"; "phase" => "begun", "active" => daemon.active.get());
     let mut next_release = began;
     loop {
-        if entry.now() >= next_release {
+        if daemon.now() >= next_release {
             // A store that is out of reach holds the release up; the stop's end does not wait for it.
-            let left = stop.abort_at().saturating_sub(entry.now());
+            let left = stop.abort_at().saturating_sub(daemon.now());
             let _unanswered = timeout(left, lease.release()).await;
-            next_release = entry.now() + RELEASE_EVERY;
+            next_release = daemon.now() + RELEASE_EVERY;
         }
-        let now = entry.now();
-        let is_idle = now >= stop.deregistered_at() && entry.active.get() == 0;
+        let now = daemon.now();
+        let is_idle = now >= stop.deregistered_at() && daemon.active.get() == 0;
         if is_idle || now >= stop.abort_at() {
             break;
         }
         sleep(LOOK_EVERY.min(stop.abort_at().saturating_sub(now))).await;
     }
-    give_up(entry, stop).await;
-    slog::info!(entry.log, "stop"; "phase" => "ended", "active" => entry.active.get(),
-        "ms" => entry.now().saturating_sub(began).as_millis());
+    give_up(daemon, stop).await;
+    slog::info!(daemon.log, "stop"; "phase" => "ended", "active" => daemon.active.get(),
+        "ms" => daemon.now().saturating_sub(began).as_millis());
 }
 
 /// Tells the callers of what is still in progress that it ends here; streams break off.
 ///
 /// They would see a closed connection, and not know whether a request had run.
-async fn give_up(entry: &DaemonState, stop: GracefulStop) {
-    if entry.active.get() == 0 {
+async fn give_up(daemon: &DaemonState, stop: GracefulStop) {
+    if daemon.active.get() == 0 {
         return;
     }
-    slog::info!(entry.log, "stop"; "phase" => "given-up", "active" => entry.active.get());
-    entry.aborting.send_replace(true);
-    while entry.active.get() > 0 && entry.now() < stop.answers_until() {
+    slog::info!(daemon.log, "stop"; "phase" => "given-up", "active" => daemon.active.get());
+    daemon.aborting.send_replace(true);
+    while daemon.active.get() > 0 && daemon.now() < stop.answers_until() {
         sleep(LAST_LOOK_EVERY).await;
     }
 }
--- a/lib/src/serve/model_loading.rs
+++ b/lib/src/serve/model_loading.rs
@@ -52,13 +52,13 @@
         fence: Fence,
     ) {
         let result = self.carry_out(&server, &job, fence).await;
-        let entry = &self.entry;
-        let now = entry.now();
-        slog::info!(entry.log, "load-ended"; "server" => %server, "model" => job.model.as_str(),
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        slog::info!(daemon.log, "load-ended"; "server" => %server, "model" => job.model.as_str(),
             "source" => ?job.source, "result" => ?result,
             "ms" => now.saturating_sub(job.since).as_millis());
         let outcome = if result.is_ok() { "done" } else { "failed" };
-        entry.metrics.record_load(job.source.name(), outcome, now.saturating_sub(job.since));
+        daemon.metrics.record_load(job.source.name(), outcome, now.saturating_sub(job.since));
         self.state.borrow_mut().fetch_limiter.end(&server, result.is_ok(), now);
         self.with_engine(&server, |engine| {
             engine.job = None;
@@ -94,7 +94,7 @@
             return Ok(());
         }
         let time = self.plain_time(server, job);
-        let accepted = self.entry.now();
+        let accepted = self.daemon.now();
         let eta = accepted + time;
         self.with_engine(server, |engine| {
             if let Some(job) = &mut engine.job {
@@ -118,13 +118,13 @@
         let eta = self.with_engine(server, |e| e.job.as_ref().map(|job| job.eta)).flatten();
         let eta = eta.unwrap_or(job.eta);
         loop {
-            if self.entry.held_fence() != Some(fence) {
+            if self.daemon.held_fence() != Some(fence) {
                 return Err(OrderFailure::LeaseLost);
             }
             if let Some(known) = known
-                && self.state.borrow().eta_accuracy.is_reliable(self.entry.now())
+                && self.state.borrow().eta_accuracy.is_reliable(self.daemon.now())
             {
-                if self.entry.now() >= known {
+                if self.daemon.now() >= known {
                     self.verify(server, &job.model, known, fence);
                     return Ok(());
                 }
@@ -139,12 +139,12 @@
                 && holds(&report, &job.model)
             {
                 if job.source == Source::Disk {
-                    let now = self.entry.now();
+                    let now = self.daemon.now();
                     self.state.borrow_mut().eta_accuracy.record(now.saturating_sub(eta), now);
                 }
                 return Ok(());
             }
-            if self.entry.now() > eta + OVERDUE {
+            if self.daemon.now() > eta + OVERDUE {
                 return Err(OrderFailure::Silent);
             }
             self.engine_orders.check_instance(server)?;
@@ -164,9 +164,9 @@
         spawn_local(async move {
             let until = due + EtaAccuracy::tolerance();
             sleep(REPORT_LAG).await;
-            while orders.entry.held_fence() == Some(fence) {
+            while orders.daemon.held_fence() == Some(fence) {
                 let report = orders.engine_orders.fetch_report(&server).await;
-                let now = orders.entry.now();
+                let now = orders.daemon.now();
                 let is_there = report.as_ref().is_some_and(|r| holds(r, &model));
                 let is_wanted = orders.with_engine(&server, |e| e.holds(&model)).unwrap_or(false);
                 if is_there {
@@ -176,7 +176,7 @@
                     return;
                 }
                 if now > until && report.is_some() {
-                    slog::info!(orders.entry.log, "load-late"; "server" => %server,
+                    slog::info!(orders.daemon.log, "load-late"; "server" => %server,
                         "model" => model.as_str(), "ms" => now.saturating_sub(due).as_millis());
                     orders.state.borrow_mut().eta_accuracy.record(now.saturating_sub(due), now);
                     orders.with_engine(&server, |engine| {
@@ -201,12 +201,12 @@
             return;
         }
         sleep(UNLOAD_TIME).await;
-        let until = self.entry.now() + DRAIN_LIMIT;
+        let until = self.daemon.now() + DRAIN_LIMIT;
         let key = server_key(server);
         let is_used = |now: Moment| {
-            victims.iter().any(|v| self.entry.workloads.running(key, model_key(Some(v)), now) > 0)
+            victims.iter().any(|v| self.daemon.workloads.running(key, model_key(Some(v)), now) > 0)
         };
-        while self.entry.now() < until && is_used(self.entry.now()) {
+        while self.daemon.now() < until && is_used(self.daemon.now()) {
             sleep(DRAIN_LOOK).await;
         }
     }
@@ -215,7 +215,7 @@
     async fn doze(&self, server: &ServerInstance, until: Moment) -> Result<(), OrderFailure> {
         loop {
             self.engine_orders.check_instance(server)?;
-            let left = until.saturating_sub(self.entry.now());
+            let left = until.saturating_sub(self.daemon.now());
             if left.is_zero() {
                 return Ok(());
             }
@@ -225,7 +225,7 @@
 
     /// A model as the configuration describes it.
     fn model_spec(&self, service: &str, model: &str) -> Option<ModelSpec> {
-        let config = self.entry.config()?;
+        let config = self.daemon.config()?;
         let engine = config.services.get(service)?.engine.as_ref()?;
         engine.models.get(model).cloned()
     }
@@ -248,7 +248,7 @@
     fn fetching(&self) -> usize {
         let is_fetch =
             |e: &&Engine| e.job.as_ref().map_or(e.reported_busy, |j| j.source == Source::Store);
-        self.entry.engine_table.borrow().engines.values().filter(is_fetch).count()
+        self.daemon.engine_table.borrow().engines.values().filter(is_fetch).count()
     }
 
     /// The time of a load that shares the weight store with those under way.
--- a/lib/src/serve/orders_guard.rs
+++ b/lib/src/serve/orders_guard.rs
@@ -9,24 +9,24 @@
 /// Keeps an engine listed beside the lease while orders may be given to it; the orders end when this is dropped.
 #[derive(Debug)]
 pub struct OrdersGuard {
-    entry: Rc<DaemonState>,
+    daemon: Rc<DaemonState>,
     engine: EngineKey,
     fence: Fence,
 }
 
 impl OrdersGuard {
     /// Announces orders to an engine.
-    pub fn new(entry: &Rc<DaemonState>, engine: EngineKey, fence: Fence) -> Self {
-        if entry.lease.borrow_mut().begin_orders(fence, engine, entry.now()) {
-            entry.renewal_due.notify_one();
+    pub fn new(daemon: &Rc<DaemonState>, engine: EngineKey, fence: Fence) -> Self {
+        if daemon.lease.borrow_mut().begin_orders(fence, engine, daemon.now()) {
+            daemon.renewal_due.notify_one();
         }
-        Self { entry: Rc::clone(entry), engine, fence }
+        Self { daemon: Rc::clone(daemon), engine, fence }
     }
 }
 
 impl Drop for OrdersGuard {
     fn drop(&mut self) {
-        let now = self.entry.now();
-        self.entry.lease.borrow_mut().end_orders(self.fence, self.engine, now);
+        let now = self.daemon.now();
+        self.daemon.lease.borrow_mut().end_orders(self.fence, self.engine, now);
     }
 }
--- a/lib/src/serve/peer_sync.rs
+++ b/lib/src/serve/peer_sync.rs
@@ -29,14 +29,14 @@
 const WHOLE_EVERY: Duration = Duration::from_secs(30);
 
 /// Fetches from a peer what the store does not give, and notices when this daemon is cut off.
-pub async fn sync_from_peers(entry: Rc<DaemonState>) {
+pub async fn sync_from_peers(daemon: Rc<DaemonState>) {
     let mut behind_since = None;
     // Daemons begin with different peers.
-    let mut turn = entry.process as usize;
+    let mut turn = daemon.process as usize;
     loop {
         sleep(LOOK_EVERY).await;
-        look_around(&entry);
-        let Some(peer) = peer_ahead(&entry, turn) else {
+        look_around(&daemon);
+        let Some(peer) = peer_ahead(&daemon, turn) else {
             behind_since = None;
             continue;
         };
@@ -45,113 +45,114 @@
         }
         behind_since = None;
         turn = turn.wrapping_add(1);
-        fetch_from(&entry, peer, PeerRequest::Snapshot).await;
+        fetch_from(&daemon, peer, PeerRequest::Snapshot).await;
     }
 }
 
 /// Fetches from readers what their words tell of: a later configuration, or the picture behind a gap.
-pub async fn sync_from_readers(entry: Rc<DaemonState>) {
-    let mut turn = entry.process as usize;
-    let mut whole = entry.now() + first_whole(&entry);
+pub async fn sync_from_readers(daemon: Rc<DaemonState>) {
+    let mut turn = daemon.process as usize;
+    let mut whole = daemon.now() + first_whole(&daemon);
     loop {
-        let _told = timeout(LOOK_EVERY * 5, entry.fetch_due.notified()).await;
-        if !entry.relies_on_readers() {
+        let _told = timeout(LOOK_EVERY * 5, daemon.fetch_due.notified()).await;
+        if !daemon.relies_on_readers() {
             continue;
         }
         turn = turn.wrapping_add(1);
-        let now = entry.now();
-        let centre = entry.settings().centre.clone();
-        let version = entry.config_version();
-        let later = entry.peers.borrow().reader_ahead(&centre, version, turn, now);
+        let now = daemon.now();
+        let centre = daemon.settings().centre.clone();
+        let version = daemon.config_version();
+        let later = daemon.peers.borrow().reader_ahead(&centre, version, turn, now);
         if let Some(reader) = later {
-            sleep(Duration::from_millis(entry.process % FETCH_SPREAD)).await;
-            fetch_from(&entry, reader, PeerRequest::Configuration).await;
+            sleep(Duration::from_millis(daemon.process % FETCH_SPREAD)).await;
+            fetch_from(&daemon, reader, PeerRequest::Configuration).await;
         }
-        let has_gap = entry.freshness.has_gap.get();
+        let has_gap = daemon.freshness.has_gap.get();
         if has_gap || now >= whole {
             whole = now + WHOLE_EVERY;
-            fetch_whole(&entry, turn).await;
+            fetch_whole(&daemon, turn).await;
         }
     }
 }
 
-fn first_whole(entry: &DaemonState) -> Duration {
-    WHOLE_EVERY / 2 + Duration::from_millis(entry.process % WHOLE_EVERY.as_millis() as u64)
+fn first_whole(daemon: &DaemonState) -> Duration {
+    WHOLE_EVERY / 2 + Duration::from_millis(daemon.process % WHOLE_EVERY.as_millis() as u64)
 }
 
 /// Fetches the whole picture from a reader of the data centre.
-async fn fetch_whole(entry: &DaemonState, turn: usize) {
-    let now = entry.now();
-    let centre = entry.settings().centre.clone();
+async fn fetch_whole(daemon: &DaemonState, turn: usize) {
+    let now = daemon.now();
+    let centre = daemon.settings().centre.clone();
     let reader = {
-        let peers = entry.peers.borrow();
+        let peers = daemon.peers.borrow();
         let list: Vec<_> = peers.readers(&centre, now).collect();
         let chosen = list.get(turn % list.len().max(1));
         chosen.and_then(|(_, p)| Some((p.addr, p.fresh_reader_status(now)?.read)))
     };
     let Some((addr, read)) = reader else { return };
-    if fetch_from(entry, addr, PeerRequest::Snapshot).await {
-        entry.freshness.has_gap.set(false);
-        entry.freshness.advance_servers(read);
+    if fetch_from(daemon, addr, PeerRequest::Snapshot).await {
+        daemon.freshness.has_gap.set(false);
+        daemon.freshness.advance_servers(read);
     }
 }
 
-async fn fetch_from(entry: &DaemonState, peer: SocketAddr, request: PeerRequest) -> bool {
+async fn fetch_from(daemon: &DaemonState, peer: SocketAddr, request: PeerRequest) -> bool {
     let result = match timeout(FETCH_TIMEOUT, fetch_from_peer(peer, request)).await {
         Ok(result) => result.map_err(|error| error.to_string()),
         Err(_elapsed) => Err("timeout".to_owned()),
     };
     match result {
         Ok(picture) => {
-            adopt(entry, picture);
+            adopt(daemon, picture);
             true
         }
         Err(error) => {
-            slog::warn!(entry.log, "peer-fetch-failed"; "peer" => %peer, "error" => error);
+            slog::warn!(daemon.log, "peer-fetch-failed"; "peer" => %peer, "error" => error);
             false
         }
     }
 }
 
-fn look_around(entry: &DaemonState) {
-    let now = entry.now();
-    let centre = entry.settings().centre.clone();
-    let silence = entry.store_silence(now);
+fn look_around(daemon: &DaemonState) {
+    let now = daemon.now();
+    let centre = daemon.settings().centre.clone();
+    let silence = daemon.store_silence(now);
     // Neither alone is enough: all peers may have stopped, and the store may be away for all.
-    let isolated = silence > store_silent(entry) && entry.peers.borrow().is_isolated(&centre, now);
-    if entry.isolated.replace(isolated) != isolated {
-        slog::warn!(entry.log, "isolation"; "cut_off" => isolated,
+    let isolated =
+        silence > store_silent(daemon) && daemon.peers.borrow().is_isolated(&centre, now);
+    if daemon.isolated.replace(isolated) != isolated {
+        slog::warn!(daemon.log, "isolation"; "cut_off" => isolated,
             "store_seen_ms_ago" => silence.as_millis());
     }
 }
 
 /// Returns after which silence the store is taken as away. In a large fleet this daemon's own reads come rarely, and
 /// words a moment late.
-fn store_silent(entry: &DaemonState) -> Duration {
-    if entry.is_large_fleet() { STORE_SILENT.max(entry.settings().drain) } else { STORE_SILENT }
+fn store_silent(daemon: &DaemonState) -> Duration {
+    if daemon.is_large_fleet() { STORE_SILENT.max(daemon.settings().drain) } else { STORE_SILENT }
 }
 
 /// Returns a peer that knows more than this daemon, where the store does not help.
-fn peer_ahead(entry: &DaemonState, turn: usize) -> Option<SocketAddr> {
-    let now = entry.now();
-    let config = entry.config_version();
-    let servers = entry.directory.borrow().feed_end();
-    let is_silent = entry.store_silence(now) > store_silent(entry);
+fn peer_ahead(daemon: &DaemonState, turn: usize) -> Option<SocketAddr> {
+    let now = daemon.now();
+    let config = daemon.config_version();
+    let servers = daemon.directory.borrow().feed_end();
+    let is_silent = daemon.store_silence(now) > store_silent(daemon);
     let servers = is_silent.then_some(servers);
-    let centre = &entry.settings().centre;
-    entry.peers.borrow().snapshot_source(config, servers, centre, turn, now)
+    let centre = &daemon.settings().centre;
+    daemon.peers.borrow().snapshot_source(config, servers, centre, turn, now)
 }
 
-fn adopt(entry: &DaemonState, picture: SnapshotReply) {
+fn adopt(daemon: &DaemonState, picture: SnapshotReply) {
     if !picture.raw_config.is_empty() {
         apply_updates::apply_config(
-            entry,
+            daemon,
             &Bytes::from(picture.raw_config),
             apply_updates::FROM_PEER,
         );
     }
     // One of the same age may heal a difference.
-    let end = entry.directory.borrow().feed_end();
+    let end = daemon.directory.borrow().feed_end();
     if picture.servers_end < end || picture.raw_servers.is_empty() {
         return;
     }
@@ -160,7 +161,7 @@
     let mut listed = picture.awaited;
     for (id, raw) in picture.raw_servers {
         let change = apply_updates::apply_server(
-            entry,
+            daemon,
             &id,
             Some(&Bytes::from(raw)),
             apply_updates::FROM_PEER,
@@ -168,14 +169,14 @@
         changed |= change != Change::None;
         listed.push(id);
     }
-    let missing = entry.directory.borrow().missing(&listed);
+    let missing = daemon.directory.borrow().missing(&listed);
     for id in missing {
-        let change = entry.directory.borrow_mut().forget(&id);
+        let change = daemon.directory.borrow_mut().forget(&id);
         changed = true;
-        slog::info!(entry.log, "server"; "server" => %id, "change" => ?change, "from" => apply_updates::FROM_PEER);
+        slog::info!(daemon.log, "server"; "server" => %id, "change" => ?change, "from" => apply_updates::FROM_PEER);
     }
-    entry.directory.borrow_mut().advance(picture.servers_end);
+    daemon.directory.borrow_mut().advance(picture.servers_end);
     if changed {
-        apply_updates::on_servers_changed(entry);
+        apply_updates::on_servers_changed(daemon);
     }
 }
--- a/lib/src/serve/peer_transfer.rs
+++ b/lib/src/serve/peer_transfer.rs
@@ -52,32 +52,32 @@
 }
 
 /// Answers peers that ask for the picture.
-pub async fn serve_peers(entry: Rc<DaemonState>, listener: TcpListener) {
+pub async fn serve_peers(daemon: Rc<DaemonState>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let entry = Rc::clone(&entry);
+        let daemon = Rc::clone(&daemon);
         spawn_local(async move {
-            if let Ok(Err(error)) = timeout(FETCH_TIMEOUT, serve_peer(&entry, stream)).await {
-                slog::warn!(entry.log, "peer-call-failed"; "from" => %from, "error" => %error);
+            if let Ok(Err(error)) = timeout(FETCH_TIMEOUT, serve_peer(&daemon, stream)).await {
+                slog::warn!(daemon.log, "peer-call-failed"; "from" => %from, "error" => %error);
             }
         });
     }
 }
 
-async fn serve_peer(entry: &DaemonState, mut stream: TcpStream) -> io::Result<()> {
+async fn serve_peer(daemon: &DaemonState, mut stream: TcpStream) -> io::Result<()> {
     let request = read_frame(&mut stream, REQUEST_LIMIT).await?;
     let mut reply = SnapshotReply {
-        config_version: entry.config_version(),
-        raw_config: entry.raw_config.borrow().to_vec(),
+        config_version: daemon.config_version(),
+        raw_config: daemon.raw_config.borrow().to_vec(),
         ..SnapshotReply::default()
     };
     match postcard::from_bytes(&request).map_err(io::Error::other)? {
         PeerRequest::Configuration => {}
         PeerRequest::Snapshot => {
-            let directory = entry.directory.borrow();
+            let directory = daemon.directory.borrow();
             reply.servers_end = directory.feed_end();
             reply.raw_servers =
                 directory.raw_entries().map(|(id, raw)| (id.clone(), raw.to_vec())).collect();
@@ -85,7 +85,7 @@
         }
     }
     let bytes = postcard::to_stdvec(&reply).map_err(io::Error::other)?;
-    entry.metrics.record_control_bytes("picture", bytes.len());
+    daemon.metrics.record_control_bytes("picture", bytes.len());
     stream.write_u32(bytes.len() as u32).await?;
     stream.write_all(&bytes).await?;
     stream.flush().await
--- a/lib/src/serve/placement_controller.rs
+++ b/lib/src/serve/placement_controller.rs
@@ -74,7 +74,7 @@
 /// Plans and carries plans out.
 #[derive(Debug)]
 pub struct PlacementController {
-    pub(super) entry: Rc<DaemonState>,
+    pub(super) daemon: Rc<DaemonState>,
     gossip: Rc<Gossip>,
     pub(super) engine_orders: EngineOrders,
     pub(super) state: RefCell<ControllerState>,
@@ -83,7 +83,7 @@
 impl PlacementController {
     /// Starts without the lease.
     pub fn new(
-        entry: Rc<DaemonState>,
+        daemon: Rc<DaemonState>,
         gossip: Rc<Gossip>,
         calls: Rc<dyn EngineClient>,
     ) -> Rc<Self> {
@@ -95,35 +95,35 @@
             told: Moment::ZERO,
             reading: Vec::new(),
         };
-        let engines = EngineOrders::new(Rc::clone(&entry), calls);
-        Rc::new(Self { entry, gossip, engine_orders: engines, state: RefCell::new(state) })
+        let engines = EngineOrders::new(Rc::clone(&daemon), calls);
+        Rc::new(Self { daemon, gossip, engine_orders: engines, state: RefCell::new(state) })
     }
 
     /// Plans and begins steps while the lease is held.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let _woken = timeout(PLAN_EVERY, self.entry.plan_due.notified()).await;
-            let began = self.entry.now();
+            let _woken = timeout(PLAN_EVERY, self.daemon.plan_due.notified()).await;
+            let began = self.daemon.now();
             self.turn();
             // On a slow host plans must not crowd out requests.
-            sleep(self.entry.now().saturating_sub(began) * PLAN_PART).await;
+            sleep(self.daemon.now().saturating_sub(began) * PLAN_PART).await;
         }
     }
 
     fn turn(self: &Rc<Self>) {
-        let entry = &self.entry;
-        let Some(config) = entry.config() else { return };
+        let daemon = &self.daemon;
+        let Some(config) = daemon.config() else { return };
         {
             let mut state = self.state.borrow_mut();
-            let fence = entry.held_fence();
+            let fence = daemon.held_fence();
             if state.fence != fence {
                 state.fence = fence;
-                state.fetch_limiter.restart(entry.now(), entry.lease.borrow().share());
-                entry.engine_table.borrow_mut().invalidate_all();
-                *entry.demand.borrow_mut() = Demand::default();
+                state.fetch_limiter.restart(daemon.now(), daemon.lease.borrow().share());
+                daemon.engine_table.borrow_mut().invalidate_all();
+                *daemon.demand.borrow_mut() = Demand::default();
             }
         }
-        let Some(fence) = entry.fence() else { return };
+        let Some(fence) = daemon.fence() else { return };
         self.follow(&config);
         self.read_unconfirmed();
         self.look_at_store();
@@ -136,17 +136,18 @@
     /// Brings the engine table up to the directory. A load at an engine that is gone or has started again is
     /// over: it must not count among those that share the weight store.
     fn follow(&self, config: &Configuration) {
-        let entry = &self.entry;
-        let now = entry.now();
-        let ended = entry.engine_table.borrow_mut().follow(&entry.directory.borrow(), config, now);
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let ended =
+            daemon.engine_table.borrow_mut().follow(&daemon.directory.borrow(), config, now);
         let mut state = self.state.borrow_mut();
         for start in &ended {
             state.fetch_limiter.end(start, false, now);
         }
         drop(state);
         // Engines that the holder before ordered just now are left alone for a while.
-        let lease = entry.lease.borrow();
-        for engine in entry.engine_table.borrow_mut().engines.values_mut() {
+        let lease = daemon.lease.borrow();
+        for engine in daemon.engine_table.borrow_mut().engines.values_mut() {
             let free = lease.orderable_from(engine_key(&engine.server.id));
             engine.backoff_until = engine.backoff_until.max(free);
         }
@@ -154,43 +155,43 @@
 
     /// Learns how many loads the weight store serves at full speed, and hands that on.
     fn look_at_store(&self) {
-        let entry = &self.entry;
+        let daemon = &self.daemon;
         let mut state = self.state.borrow_mut();
-        let is_fewer = state.fetch_limiter.update_limit(entry.now());
+        let is_fewer = state.fetch_limiter.update_limit(daemon.now());
         let share = state.fetch_limiter.share();
         if is_fewer {
-            slog::info!(entry.log, "weight-store-shared"; "full_speed" => share.limit,
+            slog::info!(daemon.log, "weight-store-shared"; "full_speed" => share.limit,
                 "proven" => share.proven);
         }
-        entry.lease.borrow_mut().set_share(share);
+        daemon.lease.borrow_mut().set_share(share);
     }
 
     fn plan(&self, config: &Configuration) -> Vec<Action> {
-        let entry = &self.entry;
-        let now = entry.now();
-        let engine_table = entry.engine_table.borrow();
-        let demand = entry.demand.borrow();
-        let health = entry.health.borrow();
-        let directory = entry.directory.borrow();
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let engine_table = daemon.engine_table.borrow();
+        let demand = daemon.demand.borrow();
+        let health = daemon.health.borrow();
+        let directory = daemon.directory.borrow();
         let rates = config.services.values().filter_map(|s| s.engine.as_ref()).map(|e| e.load_rate);
         let rate = rates.fold(f64::INFINITY, f64::min);
         let avoided = engine_table.engines.values().map(|e| &e.server);
         let avoided =
             avoided.filter(|s| health.is_avoided(&s.instance(), now)).map(|s| s.id.clone());
-        let window = entry.settings().load_window;
+        let window = daemon.settings().load_window;
         let mut state = self.state.borrow_mut();
         let share = state.fetch_limiter.share();
         let store_room =
             if rate.is_finite() { state.fetch_limiter.fetches_left(rate, window, now) } else { 0 };
         drop(state);
-        let work = entry.workloads.fleet_table(now);
+        let work = daemon.workloads.fleet_table(now);
         let input = PlanInput {
             now,
             config,
             engine_table: &engine_table,
             demand: &demand,
             work: &work,
-            run_times: &entry.run_times,
+            run_times: &daemon.run_times,
             unreachable: avoided.chain(directory.suspended().cloned()).collect(),
             share,
             fetches_left: store_room,
@@ -200,9 +201,9 @@
 
     /// Reads the reports of engines whose state is in doubt, before any order to them.
     fn read_unconfirmed(self: &Rc<Self>) {
-        let entry = &self.entry;
-        let now = entry.now();
-        let engine_table = entry.engine_table.borrow();
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let engine_table = daemon.engine_table.borrow();
         let mut state = self.state.borrow_mut();
         for engine in engine_table.engines.values() {
             let start = engine.server.instance();
@@ -222,15 +223,15 @@
     }
 
     fn take_report(&self, start: &ServerInstance, report: Option<&EngineReport>) {
-        let entry = &self.entry;
-        let now = entry.now();
-        let mut engine_table = entry.engine_table.borrow_mut();
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let mut engine_table = daemon.engine_table.borrow_mut();
         let Some(engine) = engine_table.engine_mut(start) else { return };
         if engine.job.is_some() || !engine.adapter_jobs.is_empty() {
             return;
         }
         if let Some(report) = report {
-            slog::info!(entry.log, "engine-read"; "server" => %start, "sequence" => report.sequence,
+            slog::info!(daemon.log, "engine-read"; "server" => %start, "sequence" => report.sequence,
                 "believed" => engine.sequence, "busy" => report.busy,
                 "holds" => held_names(&report.models));
         }
@@ -239,7 +240,7 @@
                 engine.apply_report(report, now);
                 self.state.borrow_mut().untold.insert(start.id.clone(), TELLINGS);
                 drop(engine_table);
-                entry.plan_due.notify_one();
+                daemon.plan_due.notify_one();
             }
             _ => {
                 engine.backoff_until = now + FAILURE_BACKOFF;
@@ -249,18 +250,18 @@
     }
 
     fn begin(self: &Rc<Self>, action: Action, fence: Fence) {
-        let entry = &self.entry;
-        let now = entry.now();
-        let mut engine_table = entry.engine_table.borrow_mut();
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let mut engine_table = daemon.engine_table.borrow_mut();
         match action {
             Action::LoadModel { server, model, victims, source, time, reason } => {
                 let occupied = engine_table.engines.values().filter(|e| e.reported_busy).count();
                 let Some(engine) = engine_table.engines.get_mut(&server) else { return };
-                slog::info!(entry.log, "load"; "server" => %server, "model" => model.as_str(),
+                slog::info!(daemon.log, "load"; "server" => %server, "model" => model.as_str(),
                     "victims" => victims.join(","), "source" => ?source, "reason" => reason,
                     "expected_ms" => time.as_millis(), "fence" => fence,
                     "sequence" => engine.sequence,
-                    "waiting" => entry.demand.borrow().backlogs(now).values().map(|w| w.waiting).sum::<u32>());
+                    "waiting" => daemon.demand.borrow().backlogs(now).values().map(|w| w.waiting).sum::<u32>());
                 let job = LoadJob { model, victims, source, since: now, eta: now + time };
                 engine.job = Some(job.clone());
                 let start = engine.server.instance();
@@ -301,33 +302,33 @@
         model: &ModelName,
         fence: Fence,
     ) {
-        let entry = &self.entry;
-        let now = entry.now();
+        let daemon = &self.daemon;
+        let now = daemon.now();
         self.state.borrow_mut().untold.insert(server.id.clone(), TELLINGS);
         let told = self.with_engine(server, |e| (e.server.service.clone(), e.inventory(now)));
         if let Some((service, inventory)) = told {
-            let demand = entry.demand.borrow();
+            let demand = daemon.demand.borrow();
             let waiting = demand.waiting_daemons(&service, &[model.as_str()]);
             let waiting: Vec<_> = waiting.into_iter().cloned().collect();
             drop(demand);
             self.gossip.send_inventory(fence, &inventory, &waiting);
-            entry.update_inventory(fence, vec![inventory]);
+            daemon.update_inventory(fence, vec![inventory]);
         }
-        entry.plan_due.notify_one();
+        daemon.plan_due.notify_one();
     }
 
     /// Tells all daemons what changed, in a large fleet in batches.
     fn tell(&self, fence: Fence) {
-        let entry = &self.entry;
-        let now = entry.now();
-        let daemons = entry.peers.borrow().daemons();
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let daemons = daemon.peers.borrow().daemons();
         let gap = if daemons <= SMALL_FLEET { Duration::ZERO } else { BATCH_GAP * daemons as u32 };
         let mut state = self.state.borrow_mut();
         if state.untold.is_empty() || now < state.told + gap {
             return;
         }
         state.told = now;
-        let engine_table = entry.engine_table.borrow();
+        let engine_table = daemon.engine_table.borrow();
         let mut list = Vec::new();
         state.untold.retain(|id, left| {
             list.extend(engine_table.engines.get(id).map(|e| e.inventory(now)));
@@ -337,6 +338,6 @@
         drop(engine_table);
         drop(state);
         self.gossip.publish_inventories(fence, &list);
-        entry.update_inventory(fence, list);
+        daemon.update_inventory(fence, list);
     }
 }
--- a/lib/src/serve/pooled_client.rs
+++ b/lib/src/serve/pooled_client.rs
@@ -17,13 +17,13 @@
 /// Calls engines over the connections of a daemon.
 #[derive(Debug)]
 pub struct PooledCalls {
-    entry: Rc<DaemonState>,
+    daemon: Rc<DaemonState>,
 }
 
 impl PooledCalls {
     /// Uses the connections of a daemon.
-    pub fn new(entry: Rc<DaemonState>) -> Self {
-        Self { entry }
+    pub fn new(daemon: Rc<DaemonState>) -> Self {
+        Self { daemon }
     }
 }
 
@@ -35,6 +35,6 @@
         request: Request<Bytes>,
         limit: Duration,
     ) -> LocalFuture<'a, CallResult> {
-        Box::pin(call(&self.entry.pool, engine, addr, request, limit))
+        Box::pin(call(&self.daemon.pool, engine, addr, request, limit))
     }
 }
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -39,49 +39,49 @@
 
 impl Gossip {
     fn digest_gap(&self) -> Duration {
-        let peers = self.entry.peers.borrow();
-        let is_holder = self.entry.held_fence().is_some() && !peers.is_large_fleet();
+        let peers = self.daemon.peers.borrow();
+        let is_holder = self.daemon.held_fence().is_some() && !peers.is_large_fleet();
         if is_holder { peers.holder_interval() } else { peers.digest_interval() }
     }
 
     fn digest(&self, departures: Vec<ServerDeparture>) -> Digest {
-        let entry = &self.entry;
-        let now = entry.now();
-        let claim = entry.lease.borrow().claim(now);
-        let servers_end = entry.directory.borrow().feed_end();
-        let age = entry.config_age(now);
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let claim = daemon.lease.borrow().claim(now);
+        let servers_end = daemon.directory.borrow().feed_end();
+        let age = daemon.config_age(now);
         let note = |(place, work): (WorkloadKey, Workload)| WorkloadReport {
             server: place.server,
             model: place.model,
             running: work.running,
             prompt_tokens: work.prompt_tokens,
         };
-        let settings = entry.settings();
+        let settings = daemon.settings();
         Digest {
             centre: settings.centre.clone(),
-            config_version: entry.config_version(),
+            config_version: daemon.config_version(),
             config_age: millis(age),
             servers_end,
             departures,
-            ready: entry.is_ready(),
+            ready: daemon.is_ready(),
             is_small: settings.host.is_small(),
-            workloads: entry.workloads.snapshot_own().into_iter().map(note).collect(),
-            limits: entry.rate_limits.borrow().report(now, entry.is_reader()),
-            quarantine: entry.quarantine.borrow().report(now, entry.is_reader()),
+            workloads: daemon.workloads.snapshot_own().into_iter().map(note).collect(),
+            limits: daemon.rate_limits.borrow().report(now, daemon.is_reader()),
+            quarantine: daemon.quarantine.borrow().report(now, daemon.is_reader()),
             lease: claim.map(LeaseReport::from),
         }
     }
 
     fn digest_message(&self) -> Vec<u8> {
-        let left = self.entry.directory.borrow_mut().recent_departures(self.entry.now());
+        let left = self.daemon.directory.borrow_mut().recent_departures(self.daemon.now());
         self.encode(Payload::Digest(self.digest(left)))
     }
 
     fn word_message(&self, scope: WorkloadScope) -> Vec<u8> {
-        let entry = &self.entry;
-        let now = entry.now();
-        let centre = entry.settings().centre.clone();
-        let mut directory = entry.directory.borrow_mut();
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let centre = daemon.settings().centre.clone();
+        let mut directory = daemon.directory.borrow_mut();
         let departures = directory.all_departures(now);
         let mut changes_from = directory.history_start();
         let mut joined: Vec<_> = match scope {
@@ -95,14 +95,14 @@
         let checksum = directory.checksum();
         drop(directory);
         let workloads = match scope {
-            WorkloadScope::Fleet => entry.workloads.fleet_table(now).summaries(false),
-            WorkloadScope::Centre => entry.workloads.centre_table(now).summaries(true),
+            WorkloadScope::Fleet => daemon.workloads.fleet_table(now).summaries(false),
+            WorkloadScope::Centre => daemon.workloads.centre_table(now).summaries(true),
         };
-        let remote_heard = entry.peers.borrow().remote_heard(&centre, now);
+        let remote_heard = daemon.peers.borrow().remote_heard(&centre, now);
         let told = ReaderReport {
             digest: Digest { workloads: Vec::new(), ..self.digest(departures) },
             changes_from,
-            read_age: millis(now.saturating_sub(entry.freshness.servers_at.get())),
+            read_age: millis(now.saturating_sub(daemon.freshness.servers_at.get())),
             remote_age: millis(now.saturating_sub(remote_heard)),
             joined: joined.into_iter().map(|(id, raw)| (id, raw.to_vec())).collect(),
             checksum,
@@ -114,12 +114,12 @@
 
     /// Looks whether this daemon should read the store for its data centre.
     fn look_at_duty(&self, now: Moment) {
-        let entry = &self.entry;
-        let centre = entry.settings().centre.clone();
-        let before = entry.peers.borrow().higher_ranked(entry.reader_rank(), &centre, now);
+        let daemon = &self.daemon;
+        let centre = daemon.settings().centre.clone();
+        let before = daemon.peers.borrow().higher_ranked(daemon.reader_rank(), &centre, now);
         let is_needed =
-            entry.is_large_fleet() && entry.peers_known.get() && entry.stopping.get().is_none();
-        let mut role = entry.reader_role.borrow_mut();
+            daemon.is_large_fleet() && daemon.peers_known.get() && daemon.stopping.get().is_none();
+        let mut role = daemon.reader_role.borrow_mut();
         let did = role.is_reader();
         let does = if is_needed {
             role.update(before, now)
@@ -128,7 +128,7 @@
             false
         };
         if did != does {
-            slog::info!(entry.log, "reader"; "reads" => does, "before" => before.daemons,
+            slog::info!(daemon.log, "reader"; "reads" => does, "before" => before.daemons,
                 "readers" => before.readers, "blind" => before.blind);
         }
     }
@@ -137,7 +137,7 @@
     pub async fn publish_digests(self: Rc<Self>) {
         loop {
             let due = self.last_digest.get() + self.digest_gap();
-            let now = self.entry.now();
+            let now = self.daemon.now();
             if now >= due || self.last_digest.get().is_zero() {
                 self.tell_turn(false);
                 continue;
@@ -145,11 +145,11 @@
             let left = due.saturating_sub(now);
             tokio::select! {
                 () = sleep(left) => {}
-                () = self.entry.config_changed.notified() => self.tell_version(),
-                () = self.entry.report_due.notified() => self.tell_words(),
-                () = self.entry.quarantine_changed.notified() => self.tell_turn(false),
-                () = self.entry.trials.changed.notified() => {
-                    self.entry.model_waits.inventories_changed.notify_waiters();
+                () = self.daemon.config_changed.notified() => self.tell_version(),
+                () = self.daemon.report_due.notified() => self.tell_words(),
+                () = self.daemon.quarantine_changed.notified() => self.tell_turn(false),
+                () = self.daemon.trials.changed.notified() => {
+                    self.daemon.model_waits.inventories_changed.notify_waiters();
                     self.tell_trials();
                 }
             }
@@ -159,12 +159,12 @@
     /// Tells the data centre at once that a version has come into force, on the part of those who ask for it
     /// often: the others may not hear of it otherwise for seconds.
     fn tell_version(&self) {
-        if self.entry.is_large_fleet() || !self.entry.polls_config() {
+        if self.daemon.is_large_fleet() || !self.daemon.polls_config() {
             return;
         }
         let bytes = self.digest_message();
-        let centre = self.entry.settings().centre.clone();
-        for peer in self.entry.peers.borrow().in_centre(&centre) {
+        let centre = self.daemon.settings().centre.clone();
+        for peer in self.daemon.peers.borrow().in_centre(&centre) {
             self.send(peer.addr, &bytes, "digest");
         }
     }
@@ -176,42 +176,42 @@
 
     /// Tells this daemon's state to those whose turn it is, and words where it reads for others.
     fn tell_turn(&self, has_news: bool) {
-        let now = self.entry.now();
+        let now = self.daemon.now();
         self.last_digest.set(now);
         let round = self.round.replace(self.round.get().wrapping_add(1));
-        self.entry.peers.borrow_mut().sweep(now);
+        self.daemon.peers.borrow_mut().sweep(now);
         self.look_at_duty(now);
         let bytes = self.digest_message();
         let addrs = self.listeners(round, has_news, now);
         for addr in &addrs {
             self.send(*addr, &bytes, "digest");
         }
-        if self.entry.peers.borrow().reachable(now).next().is_none() {
-            for seed in &self.entry.settings().seeds {
-                if !addrs.contains(seed) && *seed != self.entry.settings().peer {
+        if self.daemon.peers.borrow().reachable(now).next().is_none() {
+            for seed in &self.daemon.settings().seeds {
+                if !addrs.contains(seed) && *seed != self.daemon.settings().peer {
                     self.send(*seed, &bytes, "digest");
                 }
             }
         }
         self.tell_words();
-        if !self.entry.trials.own().is_empty() {
+        if !self.daemon.trials.own().is_empty() {
             self.tell_trials();
         }
     }
 
     /// Tells all daemons which suspected requests are here: each must know before it sends a copy of one.
     fn tell_trials(&self) {
-        let bytes = self.encode(Payload::Trials(self.entry.trials.own()));
-        for (_, peer) in self.entry.peers.borrow().all() {
+        let bytes = self.encode(Payload::Trials(self.daemon.trials.own()));
+        for (_, peer) in self.daemon.peers.borrow().all() {
             self.send(peer.addr, &bytes, "trials");
         }
     }
 
     fn listeners(&self, round: u64, has_news: bool, now: Moment) -> Vec<SocketAddr> {
-        let peers = self.entry.peers.borrow();
-        let centre = self.entry.settings().centre.clone();
+        let peers = self.daemon.peers.borrow();
+        let centre = self.daemon.settings().centre.clone();
         let is_due = has_news || now >= self.last_broadcast.get() + peers.holder_interval();
-        if self.entry.held_fence().is_some() && is_due {
+        if self.daemon.held_fence().is_some() && is_due {
             self.last_broadcast.set(now);
             return peers.all().map(|(_, p)| p.addr).collect();
         }
@@ -220,15 +220,15 @@
 
     /// Tells the data centre, the readers of the others and the lease holder what a reader knows.
     fn tell_words(&self) {
-        let entry = &self.entry;
-        if !entry.is_large_fleet() || !entry.is_reader() {
+        let daemon = &self.daemon;
+        if !daemon.is_large_fleet() || !daemon.is_reader() {
             return;
         }
-        let now = entry.now();
-        let centre = entry.settings().centre.clone();
+        let now = daemon.now();
+        let centre = daemon.settings().centre.clone();
         let near = self.word_message(WorkloadScope::Fleet);
         let far = self.word_message(WorkloadScope::Centre);
-        let peers = entry.peers.borrow();
+        let peers = daemon.peers.borrow();
         for peer in peers.in_centre(&centre) {
             self.send(peer.addr, &near, "word");
         }
@@ -249,7 +249,7 @@
     /// waited for, then in steps.
     pub async fn publish_demand(self: Rc<Self>) {
         loop {
-            let begun = self.entry.model_waits.wait_started.notified();
+            let begun = self.daemon.model_waits.wait_started.notified();
             self.tell_demand_now();
             sleep(DEMAND_GAP).await;
             let _begun = timeout(DEMAND_EVERY, begun).await;
@@ -257,19 +257,19 @@
     }
 
     fn tell_demand_now(&self) {
-        let entry = &self.entry;
-        let now = entry.now();
-        let note = entry.model_waits.demand_note(now);
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        let note = daemon.model_waits.demand_note(now);
         if note == DemandReport::default() {
             return;
         }
-        if entry.fence().is_some() {
-            let id = entry.settings().id.clone();
-            entry.demand.borrow_mut().update(&id, note, now);
-            entry.plan_due.notify_one();
+        if daemon.fence().is_some() {
+            let id = daemon.settings().id.clone();
+            daemon.demand.borrow_mut().update(&id, note, now);
+            daemon.plan_due.notify_one();
             return;
         }
-        let holder = entry.peers.borrow().holder(now).map(|(_, peer, _)| peer.addr);
+        let holder = daemon.peers.borrow().holder(now).map(|(_, peer, _)| peer.addr);
         if let Some(addr) = holder {
             let bytes = self.encode(Payload::Demand(note));
             self.send(addr, &bytes, "demand");
@@ -288,12 +288,12 @@
     }
 
     fn holdings_listeners(&self) -> Vec<SocketAddr> {
-        let peers = self.entry.peers.borrow();
+        let peers = self.daemon.peers.borrow();
         if !peers.is_large_fleet() {
             return peers.all().map(|(_, p)| p.addr).collect();
         }
-        let now = self.entry.now();
-        let own = self.entry.settings().centre.clone();
+        let now = self.daemon.now();
+        let own = self.daemon.settings().centre.clone();
         let to_centre = |centre: &CentreId| -> Vec<SocketAddr> {
             let readers: Vec<_> = peers.readers(centre, now).map(|(_, p)| p.addr).collect();
             let is_told = *centre != own && !readers.is_empty();
@@ -305,8 +305,8 @@
     /// Passes the lease holder's word on to the data centre.
     pub(super) fn relay_holdings(&self, fence: Fence, list: &[EngineInventory]) {
         let bytes = self.encode(Payload::Inventories(fence, list.to_vec()));
-        let centre = self.entry.settings().centre.clone();
-        for peer in self.entry.peers.borrow().in_centre(&centre) {
+        let centre = self.daemon.settings().centre.clone();
+        for peer in self.daemon.peers.borrow().in_centre(&centre) {
             self.send(peer.addr, &bytes, "holdings");
         }
     }
@@ -314,7 +314,7 @@
     /// Tells some peers what an engine holds.
     pub fn send_inventory(&self, fence: Fence, inventory: &EngineInventory, daemons: &[DaemonId]) {
         let bytes = self.encode(Payload::Inventories(fence, vec![inventory.clone()]));
-        let peers = self.entry.peers.borrow();
+        let peers = self.daemon.peers.borrow();
         for (_, peer) in peers.all().filter(|(id, _)| daemons.contains(id)) {
             self.send(peer.addr, &bytes, "holdings");
         }
--- a/lib/src/serve/relay.rs
+++ b/lib/src/serve/relay.rs
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct Relay {
     /// The daemon.
-    pub entry: Rc<DaemonState>,
+    pub daemon: Rc<DaemonState>,
     /// The request.
     pub attempt: Attempt,
     /// Where its events go.
@@ -71,12 +71,12 @@
             self.note(&stop);
             let reason = match stop {
                 Stop::Complete => {
-                    let run = self.entry.now().saturating_sub(first_event);
-                    self.entry.run_times.record(&self.attempt.service, run);
+                    let run = self.daemon.now().saturating_sub(first_event);
+                    self.daemon.run_times.record(&self.attempt.service, run);
                     self.attempt.verdict = Verdict::Ran;
-                    self.entry.record_passed(&self.attempt, RequestProgress::Complete);
+                    self.daemon.record_passed(&self.attempt, RequestProgress::Complete);
                     self.log(head.status, "complete", first_event, stream.last_id());
-                    self.entry
+                    self.daemon
                         .pool
                         .release(stream.answer.connection, stream.answer.terms.keep_alive);
                     return;
@@ -108,7 +108,7 @@
 
     fn note(&self, stop: &Stop) {
         if let (Stop::Complete, Some(server)) = (stop, &self.attempt.last_server) {
-            self.entry.record_health(&self.attempt.service, server, Evidence::Sound);
+            self.daemon.record_health(&self.attempt.service, server, Evidence::Sound);
         }
     }
 
@@ -120,13 +120,13 @@
     }
 
     fn log(&self, status: StatusCode, reason: &str, first: Moment, last: Option<u64>) {
-        log_request(&self.entry, &self.attempt, status, reason, Some(first));
-        self.entry.metrics.record_events(last.unwrap_or(0));
+        log_request(&self.daemon, &self.attempt, status, reason, Some(first));
+        self.daemon.metrics.record_events(last.unwrap_or(0));
     }
 
     /// Notes the pause before events that have just come.
     fn note_pause(&mut self) {
-        let now = self.entry.now();
+        let now = self.daemon.now();
         let pause = now.saturating_sub(self.last_received);
         self.attempt.max_pause = self.attempt.max_pause.max(pause);
         self.last_received = now;
@@ -139,19 +139,19 @@
             if !chunk.is_empty() && self.sender.send(Ok(chunk)).await.is_err() {
                 return Stop::CallerLeft;
             }
-            if self.entry.now() >= self.attempt.deadline {
+            if self.daemon.now() >= self.attempt.deadline {
                 return Stop::OutOfTime;
             }
             let heard = tokio::select! {
                 biased;
                 () = self.sender.closed() => return Stop::CallerLeft,
-                () = self.entry.aborted() => return Stop::DaemonEnds,
-                heard = wait_answer(&self.entry, &self.attempt, gap * SILENT_GAPS, stream.next()) => heard,
+                () = self.daemon.aborted() => return Stop::DaemonEnds,
+                heard = wait_answer(&self.daemon, &self.attempt, gap * SILENT_GAPS, stream.next()) => heard,
             };
             match heard {
                 WaitOutcome::Answer(Ok(StreamItem::Events(events))) => {
                     self.note_pause();
-                    self.entry.record_events(&mut self.attempt);
+                    self.daemon.record_events(&mut self.attempt);
                     chunk = events;
                 }
                 WaitOutcome::Answer(Ok(StreamItem::End)) => return Stop::Complete,
@@ -167,8 +167,8 @@
                     let offered = tokio::select! {
                         biased;
                         () = self.sender.closed() => return Stop::CallerLeft,
-                        () = self.entry.aborted() => return Stop::DaemonEnds,
-                        offered = try_failover(&self.entry, &mut self.attempt, &next, again) => offered,
+                        () = self.daemon.aborted() => return Stop::DaemonEnds,
+                        offered = try_failover(&self.daemon, &mut self.attempt, &next, again) => offered,
                     };
                     match offered {
                         None => chunk = Bytes::new(),
@@ -182,26 +182,26 @@
 
     /// Takes in that the server failed.
     async fn failed(&mut self, failure: &SendFailure) {
-        self.attempt.record_failure(&self.entry, failure);
-        suspects::check_for_crash(&self.entry, &self.attempt, failure).await;
+        self.attempt.record_failure(&self.daemon, failure);
+        suspects::check_for_crash(&self.daemon, &self.attempt, failure).await;
     }
 
     /// Sends the request to another server, where that is allowed.
     async fn send_again(&mut self, last: Option<u64>) -> Option<SendFuture<OpenOutcome>> {
-        let now = self.entry.now();
+        let now = self.daemon.now();
         if !self.attempt.route.resumable || last.is_none() || !self.attempt.may_retry(now) {
             return None;
         }
         let chosen = tokio::select! {
             biased;
             () = self.sender.closed() => return None,
-            () = self.entry.aborted() => return None,
-            chosen = find_replacement(&self.entry, &mut self.attempt) => chosen?,
+            () = self.daemon.aborted() => return None,
+            chosen = find_replacement(&self.daemon, &mut self.attempt) => chosen?,
         };
-        if !self.entry.take_retry(&self.attempt.service) {
+        if !self.daemon.take_retry(&self.attempt.service) {
             return None;
         }
-        Some(start_stream(&self.entry, &mut self.attempt, &chosen, last))
+        Some(start_stream(&self.daemon, &mut self.attempt, &chosen, last))
     }
 
     /// Goes on with the stream at another server, one that has taken it or one to be found.
@@ -217,24 +217,24 @@
                 Some(taken) => taken,
                 None => self.send_again(last).await?,
             };
-            self.entry.metrics.record_retry();
+            self.daemon.metrics.record_retry();
             let opened = tokio::select! {
                 biased;
                 () = self.sender.closed() => return None,
-                () = self.entry.aborted() => return None,
-                opened = await_with_failover(&self.entry, &mut self.attempt, sent, again) => opened,
+                () = self.daemon.aborted() => return None,
+                opened = await_with_failover(&self.daemon, &mut self.attempt, sent, again) => opened,
             };
             match opened {
                 Ok(OpenOutcome::Stream(started)) => {
-                    self.attempt.record_first_event(&self.entry, started.first_event);
-                    slog::info!(self.entry.log, "stream-resumed"; "attempt" => self.attempt.id(),
+                    self.attempt.record_first_event(&self.daemon, started.first_event);
+                    slog::info!(self.daemon.log, "stream-resumed"; "attempt" => self.attempt.id(),
                         "server" => self.attempt.last_server.as_ref().map_or("-", |s| s.id.as_str()),
                         "after" => last.unwrap_or(0));
                     return Some((started.stream, started.first_events));
                 }
                 Ok(OpenOutcome::Whole(..)) => {
                     let failure = SendFailure::may_have_run("the server did not resume the stream");
-                    self.attempt.record_failure(&self.entry, &failure);
+                    self.attempt.record_failure(&self.daemon, &failure);
                 }
                 Err(failure) => self.failed(&failure).await,
             }
--- a/lib/src/serve/send.rs
+++ b/lib/src/serve/send.rs
@@ -123,13 +123,13 @@
 ///
 /// There is no answer to this request, or the server says that it did not run.
 pub async fn send(
-    entry: &DaemonState,
+    daemon: &DaemonState,
     server: &Server,
     attempt: Option<&AttemptId>,
     request: Request<Bytes>,
 ) -> Result<ServerResponse, SendFailure> {
     let mut request = request.map(Full::new);
-    let (start, pool, sent) = (server.instance(), &entry.pool, entry.now());
+    let (start, pool, sent) = (server.instance(), &daemon.pool, daemon.now());
     let mut connection = pool
         .acquire(&start, server.addr)
         .await
@@ -157,11 +157,11 @@
         }
     };
     let (head, body) = response.into_parts();
-    let terms = entry.protocol.parse_response_headers(&head);
+    let terms = daemon.protocol.parse_response_headers(&head);
     let is_own = terms.attempt.as_ref() == attempt;
     let is_other = terms.instance.as_ref().is_some_and(|id| *id != server.id);
     if is_own && !is_other {
-        entry.apply_server_feedback(&start, &terms, sent);
+        daemon.apply_server_feedback(&start, &terms, sent);
     }
     judge(server, ServerResponse { head, terms, body, connection }, attempt)
 }
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -82,29 +82,29 @@
 ///
 /// A server that crashed refuses connections; one that only lost this connection, gives wrong answers or is cut off
 /// does not, and one that is leaving ends as planned.
-pub async fn check_for_crash(entry: &Rc<DaemonState>, attempt: &Attempt, failure: &SendFailure) {
+pub async fn check_for_crash(daemon: &Rc<DaemonState>, attempt: &Attempt, failure: &SendFailure) {
     let (Some(broke), Some(server)) = (failure.disconnect, attempt.last_server.clone()) else {
         return;
     };
-    let Some(addr) = address(entry, &server) else { return };
-    let stage = stage(entry, attempt, broke);
-    let is_known = entry.quarantine.borrow().has_crashed(&server, attempt.sent_at);
-    if is_known || refuses(entry, &server, addr).await {
-        note_crash(entry, attempt, &server, stage);
+    let Some(addr) = address(daemon, &server) else { return };
+    let stage = stage(daemon, attempt, broke);
+    let is_known = daemon.quarantine.borrow().has_crashed(&server, attempt.sent_at);
+    if is_known || refuses(daemon, &server, addr).await {
+        note_crash(daemon, attempt, &server, stage);
     }
 }
 
 /// Where a server listens, unless it is known to be leaving or gone.
-fn address(entry: &DaemonState, server: &ServerInstance) -> Option<SocketAddr> {
-    let directory = entry.directory.borrow();
+fn address(daemon: &DaemonState, server: &ServerInstance) -> Option<SocketAddr> {
+    let directory = daemon.directory.borrow();
     let known = directory.get(&server.id).filter(|s| s.born == server.born && !s.leaving);
     known.map(|s| s.addr)
 }
 
-fn stage(entry: &DaemonState, attempt: &Attempt, broke: Disconnect) -> CrashStage {
+fn stage(daemon: &DaemonState, attempt: &Attempt, broke: Disconnect) -> CrashStage {
     match (broke, attempt.first_event) {
         (Disconnect::AfterHead, None) => CrashStage::BeforeEvents,
-        (Disconnect::AfterHead, Some(first)) if entry.now() < first + YOUNG => {
+        (Disconnect::AfterHead, Some(first)) if daemon.now() < first + YOUNG => {
             CrashStage::FirstEvent
         }
         _ => CrashStage::Other,
@@ -112,82 +112,83 @@
 }
 
 /// Returns whether a server refuses connections. One that takes this connection gets the next request on it.
-async fn refuses(entry: &DaemonState, server: &ServerInstance, addr: SocketAddr) -> bool {
-    match timeout(REFUSAL_TIME, entry.pool.open_idle(server, addr)).await {
+async fn refuses(daemon: &DaemonState, server: &ServerInstance, addr: SocketAddr) -> bool {
+    match timeout(REFUSAL_TIME, daemon.pool.open_idle(server, addr)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(())) | Err(_) => false,
     }
 }
 
 fn note_crash(
-    entry: &Rc<DaemonState>,
+    daemon: &Rc<DaemonState>,
     attempt: &Attempt,
     server: &ServerInstance,
     stage: CrashStage,
 ) {
     let fingerprint = attempt.fingerprint;
-    let mut quarantine = entry.quarantine.borrow_mut();
-    let is_held = quarantine.record_crash(server, attempt.sent_at, fingerprint, stage, entry.now());
+    let mut quarantine = daemon.quarantine.borrow_mut();
+    let is_held =
+        quarantine.record_crash(server, attempt.sent_at, fingerprint, stage, daemon.now());
     let crashes = quarantine.suspected_crashes(&fingerprint).len();
     drop(quarantine);
     if stage < CrashStage::Other || crashes > 1 {
-        slog::info!(entry.log, "request-suspected"; "print" => %fingerprint, "server" => %server,
+        slog::info!(daemon.log, "request-suspected"; "print" => %fingerprint, "server" => %server,
             "stage" => stage.name(), "crashes" => crashes);
     }
     if stage == CrashStage::BeforeEvents {
-        entry.quarantine_changed.notify_one();
+        daemon.quarantine_changed.notify_one();
     }
     if is_held {
-        hold(entry, fingerprint);
+        hold(daemon, fingerprint);
     }
 }
 
 /// Holds a request if what peers have told since is enough.
-fn judge(entry: &Rc<DaemonState>, fingerprint: Fingerprint) {
-    let is_held = entry.quarantine.borrow_mut().evaluate(fingerprint, entry.now());
+fn judge(daemon: &Rc<DaemonState>, fingerprint: Fingerprint) {
+    let is_held = daemon.quarantine.borrow_mut().evaluate(fingerprint, daemon.now());
     if is_held {
-        hold(entry, fingerprint);
+        hold(daemon, fingerprint);
     }
 }
 
 /// Tells everybody of a request that this daemon holds from now on.
-fn hold(entry: &Rc<DaemonState>, fingerprint: Fingerprint) {
-    entry.quarantine_changed.notify_one();
-    note_held(entry, fingerprint, "own");
-    spawn_local(store_held(Rc::clone(entry), fingerprint));
+fn hold(daemon: &Rc<DaemonState>, fingerprint: Fingerprint) {
+    daemon.quarantine_changed.notify_one();
+    note_held(daemon, fingerprint, "own");
+    spawn_local(store_held(Rc::clone(daemon), fingerprint));
 }
 
-fn note_held(entry: &DaemonState, fingerprint: Fingerprint, from: &str) {
-    let quarantine = entry.quarantine.borrow();
+fn note_held(daemon: &DaemonState, fingerprint: Fingerprint, from: &str) {
+    let quarantine = daemon.quarantine.borrow();
     let servers: Vec<_> =
         quarantine.suspected_crashes(&fingerprint).iter().map(|c| c.server.id.as_str()).collect();
-    slog::warn!(entry.log, "request-held"; "print" => %fingerprint, "from" => from,
+    slog::warn!(daemon.log, "request-held"; "print" => %fingerprint, "from" => from,
         "servers" => servers.join(","), "held" => quarantine.held().count());
-    entry.metrics.set_quarantined(quarantine.held().count());
+    daemon.metrics.set_quarantined(quarantine.held().count());
 }
 
 /// Takes in what a peer knows of such requests.
-pub fn receive_note(entry: &Rc<DaemonState>, note: &QuarantineReport, from: &str) {
-    let held = entry.quarantine.borrow_mut().merge(note, entry.now());
+pub fn receive_note(daemon: &Rc<DaemonState>, note: &QuarantineReport, from: &str) {
+    let held = daemon.quarantine.borrow_mut().merge(note, daemon.now());
     for fingerprint in held {
-        note_held(entry, fingerprint, from);
+        note_held(daemon, fingerprint, from);
         // It may be that no daemon holds it by what it saw itself. One record is enough.
-        if entry.fence().is_some() {
-            spawn_local(store_held(Rc::clone(entry), fingerprint));
+        if daemon.fence().is_some() {
+            spawn_local(store_held(Rc::clone(daemon), fingerprint));
         }
     }
 }
 
 /// Lets go of requests that nobody has asked for in a long time.
-pub fn release_expired(entry: &Rc<DaemonState>) {
-    let released = entry.quarantine.borrow_mut().sweep(entry.now());
+pub fn release_expired(daemon: &Rc<DaemonState>) {
+    let released = daemon.quarantine.borrow_mut().sweep(daemon.now());
     for fingerprint in released {
-        slog::info!(entry.log, "request-released"; "print" => %fingerprint);
-        entry.metrics.set_quarantined(entry.quarantine.borrow().held().count());
+        slog::info!(daemon.log, "request-released"; "print" => %fingerprint);
+        daemon.metrics.set_quarantined(daemon.quarantine.borrow().held().count());
         // One record is enough.
-        if entry.fence().is_some() {
+        if daemon.fence().is_some() {
             spawn_local(append(
-                Rc::clone(entry),
+                Rc::clone(daemon),
                 FeedRecord { key: fingerprint.key(), value: None },
             ));
         }
@@ -195,17 +196,18 @@
 }
 
 /// Writes a held request to the store, since all daemons may be replaced at once.
-async fn store_held(entry: Rc<DaemonState>, fingerprint: Fingerprint) {
+async fn store_held(daemon: Rc<DaemonState>, fingerprint: Fingerprint) {
     let crashes =
-        entry.quarantine.borrow().suspected_crashes(&fingerprint).into_iter().cloned().collect();
+        daemon.quarantine.borrow().suspected_crashes(&fingerprint).into_iter().cloned().collect();
     let held = HeldEntry { crashes };
-    append(entry, FeedRecord { key: fingerprint.key(), value: Some(entries::encode(&held)) }).await;
+    append(daemon, FeedRecord { key: fingerprint.key(), value: Some(entries::encode(&held)) })
+        .await;
 }
 
-async fn append(entry: Rc<DaemonState>, record: FeedRecord) {
+async fn append(daemon: Rc<DaemonState>, record: FeedRecord) {
     loop {
-        let call = entry.store.append(Feed::Quarantine, record.clone(), None);
-        if track_call(&entry, Feed::Quarantine, call).await.is_ok() {
+        let call = daemon.store.append(Feed::Quarantine, record.clone(), None);
+        if track_call(&daemon, Feed::Quarantine, call).await.is_ok() {
             return;
         }
         sleep(STORE_PAUSE).await;
@@ -213,24 +215,24 @@
 }
 
 /// Reads which requests were held before this daemon started.
-pub async fn load_quarantine(entry: Rc<DaemonState>) {
+pub async fn load_quarantine(daemon: Rc<DaemonState>) {
     loop {
-        let call = entry.store.list_latest(Feed::Quarantine);
-        let Ok(batch) = track_call(&entry, Feed::Quarantine, call).await else {
+        let call = daemon.store.list_latest(Feed::Quarantine);
+        let Ok(batch) = track_call(&daemon, Feed::Quarantine, call).await else {
             sleep(STORE_PAUSE).await;
             continue;
         };
-        entry.log_unreadable_records(Feed::Quarantine, &batch);
+        daemon.log_unreadable_records(Feed::Quarantine, &batch);
         for record in &batch.records {
             if record.value.is_none() {
                 continue;
             }
             match Fingerprint::try_from(record.key.as_str()) {
                 Ok(fingerprint) => {
-                    entry.quarantine.borrow_mut().hold(fingerprint, entry.now());
-                    note_held(&entry, fingerprint, "store");
+                    daemon.quarantine.borrow_mut().hold(fingerprint, daemon.now());
+                    note_held(&daemon, fingerprint, "store");
                 }
-                Err(error) => entry.log_unreadable(Feed::Quarantine, &record.key, &error.0),
+                Err(error) => daemon.log_unreadable(Feed::Quarantine, &record.key, &error.0),
             }
         }
         return;
--- a/lib/src/serve/trials.rs
+++ b/lib/src/serve/trials.rs
@@ -94,7 +94,7 @@
     ///
     /// The order of daemons differs from request to request. All work it out from what they hear, so that copies that
     /// waited for the same model do not go off together.
-    pub fn is_next(&self, trial: &Trial, daemon: &str, now: Moment) -> bool {
+    pub fn is_next(&self, trial: &Trial, daemon_id: &str, now: Moment) -> bool {
         let tables = self.tables.borrow();
         let Some(OwnTrial { since, note: TrialReport { fingerprint, .. } }) =
             tables.own.get(&trial.number)
@@ -103,7 +103,7 @@
         };
         let mut own = tables.own.iter().filter(|(_, own)| own.note.fingerprint == *fingerprint);
         let is_first = own.all(|(n, own)| *n >= trial.number && own.note.server.is_none());
-        let own_rank = rank(fingerprint, daemon);
+        let own_rank = rank(fingerprint, daemon_id);
         let mut copies = tables.fresh(now).filter(|(_, note)| note.fingerprint == *fingerprint);
         is_first
             && now >= *since + HEARD_WITHIN
@@ -121,10 +121,10 @@
 }
 
 /// A daemon's place among those that have copies of a request; the lowest comes first.
-fn rank(fingerprint: &Fingerprint, daemon: &str) -> u64 {
+fn rank(fingerprint: &Fingerprint, daemon_id: &str) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(fingerprint.key().as_bytes());
-    hasher.update(daemon.as_bytes());
+    hasher.update(daemon_id.as_bytes());
     hasher.digest()
 }
 
