--- a/lib/src/cluster/directory.rs
+++ b/lib/src/cluster/directory.rs
@@ -224,7 +224,8 @@
         self.joined.clear();
     }
 
-    /// Returns the place in the feed from which on [`Self::left`] and [`Self::joined`] have all changes.
+    /// Returns the place in the feed from which on [`Self::recent_departures`] and [`Self::recent_joins`]
+    /// have all changes.
     pub fn history_start(&self) -> Offset {
         self.reads.front().map_or(self.end, |(_, from)| *from)
     }
@@ -375,7 +376,7 @@
     /// Takes in a peer's word that a server left.
     ///
     /// It may only have been cut off until its entry ran out, and be back while the word still goes on;
-    /// [`Self::settle`] finds that out.
+    /// [`Self::confirm_returns`] finds that out.
     pub fn apply_departure(&mut self, note: &ServerDeparture, now: Moment) -> Change {
         if self.observe_instance(&note.server, now) == InstanceOrder::Older {
             return Change::None;
--- a/lib/src/cluster/reader_report.rs
+++ b/lib/src/cluster/reader_report.rs
@@ -21,7 +21,7 @@
 /// A reader's word.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReaderReport {
-    /// The reader's own state. `servers` is the place in the feed up to which this word tells of changes.
+    /// The reader's own state. `servers_end` is the place in the feed up to which this word tells of changes.
     pub digest: Digest,
     /// Place in the feed from which on this word tells of changes. Who has heard less must read the feed.
     pub changes_from: Offset,
@@ -33,7 +33,7 @@
     pub joined: Vec<(ServerId, Vec<u8>)>,
     /// A sum over the servers that may get requests, by which pictures are compared.
     pub checksum: u64,
-    /// Whose requests `work` counts.
+    /// Whose requests `workloads` counts.
     pub scope: WorkloadScope,
     /// Requests in progress.
     pub workloads: Vec<WorkloadSummary>,
--- a/lib/src/placement/lease_state.rs
+++ b/lib/src/placement/lease_state.rs
@@ -75,7 +75,7 @@
     Sleep(Moment),
 }
 
-/// One daemon's view of the lease. `lease_feed` takes in what it reads of the feed.
+/// One daemon's view of the lease. `lease_events` takes in what it reads of the feed.
 #[derive(Debug)]
 pub struct LeaseState {
     me: DaemonId,
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -136,14 +136,13 @@
         &self,
         daemon: &DaemonState,
         server: &Server,
-        resume: Option<u64>,
+        resume_after: Option<u64>,
     ) -> Request<Bytes> {
         let behind = if self.is_late { LATE_RANKS } else { 0 };
         let rank = self.route.priority.saturating_add(behind).min(LAST_PRIORITY);
         let priority = self.item().map(|_| rank);
         let time_left = self.deadline.saturating_sub(daemon.now());
-        let terms =
-            SendHeaders { server: server.id.clone(), time_left, priority, resume_after: resume };
+        let terms = SendHeaders { server: server.id.clone(), time_left, priority, resume_after };
         let mut request = Request::new(self.body.clone());
         *request.method_mut() = self.parts.method.clone();
         *request.uri_mut() = self.parts.uri.clone();
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -137,8 +137,8 @@
         match self.choose(&item.service, tried, holds, cost, self.load_uncertainty * PER_RUNNING) {
             Some(chosen) => {
                 let work = self.workloads.at(&chosen.server.instance(), self.now);
-                let wait = self.queue_wait(&chosen.server, work);
-                EngineChoice::Server(ChosenServer { queue_wait: wait, ..chosen })
+                let queue_wait = self.queue_wait(&chosen.server, work);
+                EngineChoice::Server(ChosenServer { queue_wait, ..chosen })
             }
             None if self.directory.all_servers().any(|s| s.service == item.service) => {
                 EngineChoice::NotLoaded
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -162,7 +162,7 @@
         daemon.record_health(&attempt.service, &server.instance(), Evidence::Unreachable);
         return None;
     }
-    // Nothing is awaited from here until the caller of `hear` has the server.
+    // Nothing is awaited from here until the caller of `wait_answer` has the server.
     daemon.take_retry(&attempt.service).then_some(chosen)
 }
 
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -120,7 +120,7 @@
             }
             Payload::Inventories(fence, list) => self.take_holdings(&message.from, fence, list),
             Payload::ReaderReport(report) => {
-                self.take_word(&message.from, addr, message.process, report)
+                self.take_word(&message.from, addr, message.process, report);
             }
             Payload::Trials(notes) => {
                 if daemon.trials.update_peer(&message.from, notes, now) {
@@ -215,11 +215,11 @@
         let is_near = digest.centre == daemon.settings().centre;
         match (scope, is_near) {
             (WorkloadScope::Centre, false) => {
-                daemon.workloads.set_centre(&digest.centre, now, workloads)
+                daemon.workloads.set_centre(&digest.centre, now, workloads);
             }
             (WorkloadScope::Centre, true) => daemon.workloads.set_own_centre(now, workloads),
             (WorkloadScope::Fleet, true) if !daemon.is_reader() => {
-                daemon.workloads.set_fleet(now, workloads)
+                daemon.workloads.set_fleet(now, workloads);
             }
             (WorkloadScope::Fleet, _) => {}
         }
