--- a/cli/src/entry.rs
+++ b/cli/src/entry.rs
@@ -5,10 +5,10 @@
 
 use comfreymux_lib::boot_clock::BootClock;
 use comfreymux_lib::logging;
-use comfreymux_lib::serve::daemon_state::Entry;
+use comfreymux_lib::serve::daemon_state::DaemonState;
 use comfreymux_lib::serve::daemon_state::EntrySettings;
 use comfreymux_lib::serve::lifecycle;
-use comfreymux_lib::serve::pool::Pool;
+use comfreymux_lib::serve::pool::ConnectionPool;
 use comfreymux_platform::PlatformProtocol;
 use comfreymux_platform::PlatformStore;
 use comfreymux_platform::SettingsFile;
@@ -19,7 +19,7 @@
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
-    let (file, settings) = match SettingsFile::open() {
+    let (file, settings) = match SettingsFile::from_env() {
         Ok(opened) => opened,
         Err(error) => {
             eprintln!("{error}");
@@ -37,14 +37,21 @@
 
 fn run(file: SettingsFile, settings: EntrySettings) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    let store = Rc::new(PlatformStore::new(file.store()));
+    let store = Rc::new(PlatformStore::new(file.store_addr()));
     let log = logging::to_stdout();
     let protocol = Rc::new(PlatformProtocol);
     let process = rand::random();
     let clock = Rc::new(BootClock);
-    let entry =
-        Entry::new(settings, process, protocol, store, Pool::default(), log.logger(), clock);
-    let result = LocalSet::new().block_on(&runtime, lifecycle::run(entry, Rc::new(file)));
+    let daemon = DaemonState::new(
+        settings,
+        process,
+        protocol,
+        store,
+        ConnectionPool::default(),
+        log.logger(),
+        clock,
+    );
+    let result = LocalSet::new().block_on(&runtime, lifecycle::run(daemon, Rc::new(file)));
     log.flush();
     result
 }
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -83,8 +83,8 @@
         (Method::Get, "/healthz") => reply::send_json(request, 200, &json!({"alive": true})),
         (Method::Get, "/readyz") => ready(node, request),
         (Method::Get, "/metrics") => {
-            node.metrics.load(node.waiting.len(), node.limits().total());
-            let text = node.metrics.text().into_bytes();
+            node.metrics.set_requests(node.waiting.len(), node.limits().total());
+            let text = node.metrics.to_text().into_bytes();
             reply::send(request, reply::with_body(200, "text/plain; version=0.0.4", text));
         }
         (Method::Get, "/v1/models") => models(node, request),
--- a/lib/src/serve/accept.rs
+++ b/lib/src/serve/accept.rs
@@ -22,16 +22,16 @@
 use crate::serve::active_requests::ActiveRequests;
 use crate::serve::body::ReplyBody;
 use crate::serve::caller_socket::CallerSocket;
-use crate::serve::daemon_state::Entry;
-use crate::serve::handle::handle;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::handle::handle_request;
 use crate::serve::socket;
 
 /// Limits before the first configuration.
 const FIRST_LIMITS: CallerLimits = CallerLimits {
-    head: 16 * 1024,
-    body: 1024 * 1024,
-    head_time: Duration::from_secs(5),
-    idle: Duration::from_mins(1),
+    max_head: 16 * 1024,
+    max_body: 1024 * 1024,
+    head_timeout: Duration::from_secs(5),
+    idle_timeout: Duration::from_mins(1),
 };
 /// Added to the idle time that callers rely on, for a request that is on its way when it ends.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
@@ -41,52 +41,52 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts callers for as long as the daemon runs.
-pub async fn serve_callers(entry: Rc<Entry>, listener: TcpListener) {
+pub async fn serve_callers(daemon: Rc<DaemonState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _peer)) => {
-                let entry = Rc::clone(&entry);
-                spawn_local(serve_caller(entry, stream));
+                let daemon = Rc::clone(&daemon);
+                spawn_local(serve_caller(daemon, stream));
             }
             Err(error) => {
-                slog::warn!(entry.log, "accept-failed"; "error" => %error);
+                slog::warn!(daemon.log, "accept-failed"; "error" => %error);
                 sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-async fn serve_caller(entry: Rc<Entry>, stream: TcpStream) {
-    if socket::accepted(&stream).is_err() {
+async fn serve_caller(daemon: Rc<DaemonState>, stream: TcpStream) {
+    if socket::configure_accepted(&stream).is_err() {
         return;
     }
-    let limits = entry.config().map_or(FIRST_LIMITS, |c| c.limits);
-    let requests = ActiveRequests::new(Rc::clone(&entry));
+    let limits = daemon.config().map_or(FIRST_LIMITS, |c| c.limits);
+    let requests = ActiveRequests::new(Rc::clone(&daemon));
     let socket = CallerSocket::new(stream, Rc::clone(&requests));
-    let for_requests = Rc::clone(&entry);
+    let for_requests = Rc::clone(&daemon);
     let service = service_fn(move |request: Request<Incoming>| {
-        let entry = Rc::clone(&for_requests);
+        let daemon = Rc::clone(&for_requests);
         let active = requests.begin();
-        async move { Ok::<_, Infallible>(handle(entry, active, request).await) }
+        async move { Ok::<_, Infallible>(handle_request(daemon, active, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle.max(limits.head_time) + IDLE_MARGIN)
-        .max_buf_size(limits.head.max(LEAST_HEAD))
+        .header_read_timeout(limits.idle_timeout.max(limits.head_timeout) + IDLE_MARGIN)
+        .max_buf_size(limits.max_head.max(LEAST_HEAD))
         .serve_connection(TokioIo::new(socket), service);
     if let Err(error) = connection.await {
-        slog::debug!(entry.log, "caller-connection-ended"; "error" => %error);
+        slog::debug!(daemon.log, "caller-connection-ended"; "error" => %error);
     }
 }
 
 /// Answers whether new callers are welcome.
-pub async fn serve_ready(entry: Rc<Entry>, listener: TcpListener) {
-    let path = entry.protocol.ready_path();
-    serve_small(entry, listener, move |entry, asked| {
+pub async fn serve_ready(daemon: Rc<DaemonState>, listener: TcpListener) {
+    let path = daemon.protocol.ready_path();
+    serve_small(daemon, listener, move |daemon, asked| {
         if asked != path {
             return (StatusCode::NOT_FOUND, String::new());
         }
-        if entry.is_ready() {
+        if daemon.is_ready() {
             (StatusCode::OK, String::from("ready\n"))
         } else {
             (StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
@@ -96,13 +96,13 @@
 }
 
 /// Serves metrics as text.
-pub async fn serve_metrics(entry: Rc<Entry>, listener: TcpListener) {
-    serve_small(entry, listener, |entry, asked| match asked {
+pub async fn serve_metrics(daemon: Rc<DaemonState>, listener: TcpListener) {
+    serve_small(daemon, listener, |daemon, asked| match asked {
         "/metrics" => {
-            entry.metrics.load(entry.waits.total(), entry.active.get());
-            let version = entry.config_version();
-            entry.metrics.configuration(version, entry.config_age(entry.now()));
-            (StatusCode::OK, entry.metrics.text())
+            daemon.metrics.set_requests(daemon.model_waits.total(), daemon.active.get());
+            let version = daemon.config_version();
+            daemon.metrics.configuration(version, daemon.config_age(daemon.now()));
+            (StatusCode::OK, daemon.metrics.to_text())
         }
         _ => (StatusCode::NOT_FOUND, String::new()),
     })
@@ -110,9 +110,9 @@
 }
 
 async fn serve_small(
-    entry: Rc<Entry>,
+    daemon: Rc<DaemonState>,
     listener: TcpListener,
-    answer: impl Fn(&Entry, &str) -> (StatusCode, String) + 'static,
+    answer: impl Fn(&DaemonState, &str) -> (StatusCode, String) + 'static,
 ) {
     let answer = Rc::new(answer);
     loop {
@@ -120,11 +120,11 @@
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let entry = Rc::clone(&entry);
+        let daemon = Rc::clone(&daemon);
         let answer = Rc::clone(&answer);
         spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
-                let (status, text) = answer(&entry, request.uri().path());
+                let (status, text) = answer(&daemon, request.uri().path());
                 let mut response = Response::new(ReplyBody::whole(Bytes::from(text)));
                 *response.status_mut() = status;
                 async move { Ok::<_, Infallible>(response) }
--- a/lib/src/serve/adapter_loading.rs
+++ b/lib/src/serve/adapter_loading.rs
@@ -5,31 +5,31 @@
 
 use tokio::time::sleep;
 
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::ids::Fence;
 use crate::placement::engine_table::AdapterJob;
 use crate::protocol::OrderKind;
 use crate::serve::engine_orders::OrderFailure;
-use crate::serve::placement_controller::ADAPTER_TIME;
-use crate::serve::placement_controller::Orders;
-use crate::serve::placement_controller::REST;
+use crate::serve::placement_controller::ADAPTER_LOAD_TIME;
+use crate::serve::placement_controller::FAILURE_BACKOFF;
+use crate::serve::placement_controller::PlacementController;
 
-impl Orders {
+impl PlacementController {
     /// Loads an adapter, and notes what came of it.
-    pub(super) async fn run_adapter(
+    pub(super) async fn run_adapter_load(
         self: Rc<Self>,
-        server: ServerStart,
+        server: ServerInstance,
         job: AdapterJob,
         fence: Fence,
     ) {
         let result = self.carry_out_adapter(&server, &job, fence).await;
-        let entry = &self.entry;
-        let now = entry.now();
-        slog::info!(entry.log, "adapter"; "server" => %server, "model" => job.model.as_str(),
+        let daemon = &self.daemon;
+        let now = daemon.now();
+        slog::info!(daemon.log, "adapter"; "server" => %server, "model" => job.model.as_str(),
             "adapter" => job.adapter.as_str(), "result" => ?result,
             "victim" => job.victim.as_ref().map_or("-", |(_, a)| a.as_str()));
         self.with_engine(&server, |engine| {
-            engine.adapters.retain(|a| *a != job);
+            engine.adapter_jobs.retain(|a| *a != job);
             match result {
                 Ok(()) => {
                     let held = engine.models.iter_mut().find(|m| m.name == job.model);
@@ -42,33 +42,37 @@
                 }
                 Err(_failure) => {
                     engine.confirmed = false;
-                    engine.rest_until = now + REST;
+                    engine.backoff_until = now + FAILURE_BACKOFF;
                 }
             }
         });
-        self.publish(&server, &job.model, fence);
+        self.publish_inventory(&server, &job.model, fence);
     }
 
     async fn carry_out_adapter(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         job: &AdapterJob,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
         // Orders to one engine go one after the other: each expects the number of those before.
         while self
-            .with_engine(server, |e| e.adapters.first().is_some_and(|first| first != job))
+            .with_engine(server, |e| e.adapter_jobs.first().is_some_and(|first| first != job))
             .unwrap_or(false)
         {
             sleep(Duration::from_millis(3)).await;
         }
-        let change = self.engines.announce(server, fence);
+        let change = self.engine_orders.begin_orders(server, fence);
         if let Some((model, adapter)) = &job.victim {
-            self.engines.order(server, OrderKind::Unload, model, Some(adapter), fence).await?;
+            self.engine_orders
+                .execute(server, OrderKind::Unload, model, Some(adapter), fence)
+                .await?;
         }
-        self.engines.order(server, OrderKind::Load, &job.model, Some(&job.adapter), fence).await?;
+        self.engine_orders
+            .execute(server, OrderKind::Load, &job.model, Some(&job.adapter), fence)
+            .await?;
         drop(change);
-        sleep(ADAPTER_TIME).await;
+        sleep(ADAPTER_LOAD_TIME).await;
         Ok(())
     }
 }
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -9,15 +9,15 @@
 use crate::cluster::configuration::RouteKind;
 use crate::cluster::server_health::Evidence;
 use crate::serve::attempt::Attempt;
-use crate::serve::choose::Choice;
-use crate::serve::choose::Chosen;
-use crate::serve::daemon_state::Entry;
-use crate::serve::failover::Exchange;
-use crate::serve::failover::ask;
+use crate::serve::choose::ChosenServer;
+use crate::serve::choose::EngineChoice;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::failover::SendFuture;
+use crate::serve::failover::await_with_failover;
 use crate::serve::reply::Refusal;
 use crate::serve::send;
-use crate::serve::server_feedback::LIMITED;
-use crate::serve::server_feedback::missed;
+use crate::serve::server_feedback::RATE_LIMITED;
+use crate::serve::server_feedback::retry_after;
 use crate::serve::suspects;
 use crate::verdict::Verdict;
 
@@ -34,23 +34,24 @@
 ///
 /// Returns the answer of our own that the caller gets.
 pub async fn run(
-    entry: &Rc<Entry>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Result<(response::Parts, Bytes), Refusal> {
     loop {
-        let now = entry.now();
+        let now = daemon.now();
         if now >= attempt.deadline {
             return Err(Refusal::timeout(attempt.verdict, "out of time", FULL));
         }
-        if let Some(refusal) = entry.held_refusal(attempt) {
+        if let Some(refusal) = daemon.quarantine_refusal(attempt) {
             return Err(refusal);
         }
-        let Some(chosen) = choose(entry, attempt) else {
-            let turn = entry.choose(|c| c.next_turn(&attempt.service, attempt.item().as_ref()));
-            if let Some(turn) = turn.filter(|_| !attempt.is_spent()) {
-                let left = (attempt.arrived + attempt.route.goal).saturating_sub(now);
-                if let Some(retry) = missed(turn, left) {
-                    return Err(Refusal::failed(attempt.verdict, LIMITED, retry));
+        let Some(chosen) = choose(daemon, attempt) else {
+            let turn =
+                daemon.with_chooser(|c| c.next_turn(&attempt.service, attempt.item().as_ref()));
+            if let Some(turn) = turn.filter(|_| !attempt.must_not_retry()) {
+                let left = (attempt.arrived + attempt.route.latency_goal).saturating_sub(now);
+                if let Some(retry) = retry_after(turn, left) {
+                    return Err(Refusal::failed(attempt.verdict, RATE_LIMITED, retry));
                 }
                 tokio::time::sleep(FULL_PAUSE).await;
                 continue;
@@ -58,34 +59,34 @@
             if attempt.tried.is_empty() {
                 return Err(Refusal::failed(attempt.verdict, "no server", FULL));
             }
-            if attempt.is_spent() || attempt.verdict != Verdict::DidNotRun {
+            if attempt.must_not_retry() || attempt.verdict != Verdict::DidNotRun {
                 return Err(Refusal::failed(attempt.verdict, attempt.reason, FULL));
             }
             // Each server refused it: they are asked once more after a pause, within the goal.
-            if now > attempt.arrived + attempt.route.goal {
-                return Err(Refusal::unrun("all servers are full", FULL));
+            if now > attempt.arrived + attempt.route.latency_goal {
+                return Err(Refusal::not_run("all servers are full", FULL));
             }
             tokio::time::sleep(FULL_PAUSE).await;
             attempt.tried.clear();
             continue;
         };
-        if attempt.arrivals > 0 && !entry.take_repeat(&attempt.service) {
+        if attempt.deliveries > 0 && !daemon.take_retry(&attempt.service) {
             return Err(Refusal::failed(attempt.verdict, "the retry budget is spent", FULL));
         }
-        let sent = send_once(entry, attempt, &chosen);
-        match ask(entry, attempt, sent, send_once).await {
+        let sent = send_once(daemon, attempt, &chosen);
+        match await_with_failover(daemon, attempt, sent, send_once).await {
             Ok((head, body)) => {
-                if is_retried(entry, attempt, &head) {
+                if is_retried(daemon, attempt, &head) {
                     continue;
                 }
-                entry.metrics.first_byte(entry.now().saturating_sub(attempt.arrived));
+                daemon.metrics.record_first_byte(daemon.now().saturating_sub(attempt.arrived));
                 return Ok((head, body));
             }
             Err(failure) => {
-                attempt.failed(entry, &failure);
-                suspects::note_failure(entry, attempt, &failure).await;
-                if !attempt.may_repeat(entry.now()) {
-                    let refusal = if entry.now() >= attempt.deadline {
+                attempt.record_failure(daemon, &failure);
+                suspects::check_for_crash(daemon, attempt, &failure).await;
+                if !attempt.may_retry(daemon.now()) {
+                    let refusal = if daemon.now() >= attempt.deadline {
                         Refusal::timeout(attempt.verdict, attempt.reason, FULL)
                     } else {
                         Refusal::failed(attempt.verdict, attempt.reason, FULL)
@@ -97,52 +98,52 @@
     }
 }
 
-fn choose(entry: &Entry, attempt: &Attempt) -> Option<Chosen> {
+fn choose(daemon: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
     match attempt.item() {
-        None => entry.choose(|c| c.plain(&attempt.service, &attempt.tried)),
-        Some(item) => match entry.choose(|c| c.engine(&item, &attempt.tried)) {
-            Choice::Server(chosen) => Some(chosen),
-            Choice::Missing | Choice::NoServer => None,
+        None => daemon.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried)),
+        Some(item) => match daemon.with_chooser(|c| c.choose_engine(&item, &attempt.tried)) {
+            EngineChoice::Server(chosen) => Some(chosen),
+            EngineChoice::NotLoaded | EngineChoice::NoServer => None,
         },
     }
 }
 
 /// Whether a failure of the server's own is worth another server: only where the request may run
 /// again and both limits allow it.
-fn is_retried(entry: &Entry, attempt: &mut Attempt, head: &response::Parts) -> bool {
+fn is_retried(daemon: &DaemonState, attempt: &mut Attempt, head: &response::Parts) -> bool {
     let failed = head.status.is_server_error();
-    let Some(server) = attempt.last.clone() else { return false };
+    let Some(server) = attempt.last_server.clone() else { return false };
     let evidence = if failed { Evidence::Failed } else { Evidence::Sound };
-    entry.note_health(&attempt.service, &server, evidence);
+    daemon.record_health(&attempt.service, &server, evidence);
     if !failed || attempt.route.kind != RouteKind::Idempotent {
         return false;
     }
-    attempt.runs += 1;
-    attempt.arrivals += 1;
+    attempt.possible_runs += 1;
+    attempt.deliveries += 1;
     attempt.verdict = Verdict::Ran;
     attempt.sending = false;
     attempt.tried.push(server);
-    let is_open = attempt.may_repeat(entry.now()) && choose(entry, attempt).is_some();
+    let is_open = attempt.may_retry(daemon.now()) && choose(daemon, attempt).is_some();
     // The next round takes the repeat out of the budget; a server's own answer is better than ours.
-    is_open && entry.has_repeat(&attempt.service)
+    is_open && daemon.has_retry(&attempt.service)
 }
 
 /// Sends the request; the answer is read whole.
 fn send_once(
-    entry: &Rc<Entry>,
+    daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
-    chosen: &Chosen,
-) -> Exchange<(response::Parts, Bytes)> {
+    chosen: &ChosenServer,
+) -> SendFuture<(response::Parts, Bytes)> {
     let server = Rc::clone(&chosen.server);
-    attempt.sent(chosen, entry.now());
-    entry.note_send(&server.start());
-    let request = attempt.request(entry, &server, None);
-    let work = entry.loads.begin(attempt.place(&server), attempt.terms.prompt);
+    attempt.record_send(chosen, daemon.now());
+    daemon.record_send(&server.instance());
+    let request = attempt.request(daemon, &server, None);
+    let work = daemon.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt_tokens);
     let id = attempt.terms.attempt.clone();
-    let entry = Rc::clone(entry);
+    let daemon = Rc::clone(daemon);
     Box::pin(async move {
         let _work = work;
-        let answer = send::send(&entry, &server, id.as_ref(), request).await?;
-        send::read_whole(&entry.pool, answer, ANSWER_LIMIT).await
+        let answer = send::send(&daemon, &server, id.as_ref(), request).await?;
+        send::read_whole(&daemon.pool, answer, ANSWER_LIMIT).await
     })
 }
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -9,23 +9,23 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::ModelSpec;
-use crate::cluster::server_instance::ServerStart;
-use crate::placement::demand::Item;
+use crate::cluster::server_instance::ServerInstance;
+use crate::placement::demand::ModelTarget;
 use crate::serve::admission::Admission;
-use crate::serve::admission::Outlook;
+use crate::serve::admission::AdmissionInput;
 use crate::serve::attempt::Attempt;
-use crate::serve::choose::Choice;
-use crate::serve::choose::Chosen;
-use crate::serve::daemon_state::Entry;
-use crate::serve::handle::ELSEWHERE;
+use crate::serve::choose::ChosenServer;
+use crate::serve::choose::EngineChoice;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::handle::OTHER_DAEMON_RETRY_AFTER;
 use crate::serve::reply::Refusal;
-use crate::serve::server_feedback::LIMITED;
-use crate::serve::server_feedback::missed;
-use crate::serve::suspects::HELD;
+use crate::serve::server_feedback::RATE_LIMITED;
+use crate::serve::server_feedback::retry_after;
+use crate::serve::suspects::QUARANTINED_REASON;
 use crate::verdict::Verdict;
 
 /// When a caller should come back where nothing better is known.
-pub const COME_BACK: Duration = Duration::from_secs(1);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Left of a caller's patience for the engine's first event, after a wait for a model.
 const FIRST_EVENT: Duration = Duration::from_millis(200);
 /// Time in which the holder of the placement lease says what it does about a wait.
@@ -35,61 +35,65 @@
 /// Time over which suspects of one crash are spread: some ways of a datagram between data centres.
 const SPREAD: Duration = Duration::from_millis(60);
 /// Time in which another engine must be found for a stream that broke off.
-pub const AGAIN: Duration = Duration::from_millis(1200);
+pub const RESUME_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Chooses a server, waiting for a model or adapter to be loaded where none has it.
 ///
 /// # Errors
 ///
 /// Returns the answer of our own where the wait is hopeless.
-pub async fn find_server(entry: &Rc<Entry>, attempt: &mut Attempt) -> Result<Chosen, Refusal> {
-    if let Some(refusal) = entry.held_refusal(attempt) {
+pub async fn find_server(
+    daemon: &Rc<DaemonState>,
+    attempt: &mut Attempt,
+) -> Result<ChosenServer, Refusal> {
+    if let Some(refusal) = daemon.quarantine_refusal(attempt) {
         return Err(refusal);
     }
     let Some(item) = attempt.item() else {
-        let chosen = entry.choose(|c| c.plain(&attempt.service, &attempt.tried));
-        return chosen.ok_or_else(|| Refusal::failed(attempt.verdict, "no server", COME_BACK));
+        let chosen = daemon.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried));
+        return chosen
+            .ok_or_else(|| Refusal::failed(attempt.verdict, "no server", DEFAULT_RETRY_AFTER));
     };
-    let began = entry.now();
+    let began = daemon.now();
     let mut guard = None;
-    take_turns(entry, attempt).await;
+    take_turns(daemon, attempt).await;
     loop {
-        let changed = entry.waits.changed.notified();
-        if let Some(refusal) = entry.held_refusal(attempt) {
+        let changed = daemon.model_waits.inventories_changed.notified();
+        if let Some(refusal) = daemon.quarantine_refusal(attempt) {
             return Err(refusal);
         }
-        match engine(entry, attempt, &item) {
-            Choice::Server(chosen) => {
-                attempt.waited += entry.now().saturating_sub(began);
-                return admit(entry, attempt, chosen);
+        match engine(daemon, attempt, &item) {
+            EngineChoice::Server(chosen) => {
+                attempt.model_wait += daemon.now().saturating_sub(began);
+                return admit(daemon, attempt, chosen);
             }
-            Choice::NoServer => {
-                return Err(Refusal::failed(attempt.verdict, "no server", COME_BACK));
+            EngineChoice::NoServer => {
+                return Err(Refusal::failed(attempt.verdict, "no server", DEFAULT_RETRY_AFTER));
             }
-            Choice::Missing => {}
+            EngineChoice::NotLoaded => {}
         }
-        let now = entry.now();
-        let patience = attempt.deadline.min(attempt.arrived + attempt.route.patience());
-        let give_up = patience.min(entry.last_start(attempt.deadline));
-        if let Some(refusal) = hopeless(entry, attempt, &item, began, give_up) {
-            attempt.waited += now.saturating_sub(began);
+        let now = daemon.now();
+        let patience = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
+        let give_up = patience.min(daemon.latest_start(attempt.deadline));
+        if let Some(refusal) = hopeless(daemon, attempt, &item, began, give_up) {
+            attempt.model_wait += now.saturating_sub(began);
             return Err(refusal);
         }
         if guard.is_none() {
-            slog::info!(entry.log, "request-waits"; "attempt" => attempt.id(),
+            slog::info!(daemon.log, "request-waits"; "attempt" => attempt.id(),
                 "model" => item.model.as_str(), "adapter" => item.adapter.as_deref().unwrap_or("-"),
-                "ahead" => entry.waits.waiting(&item),
+                "ahead" => daemon.model_waits.waiting_for(&item),
                 "give_up_ms" => give_up.saturating_sub(now).as_millis());
-            guard = Some(entry.waits.begin(
+            guard = Some(daemon.model_waits.begin(
                 item.clone(),
-                (attempt.arrived + attempt.route.goal).saturating_sub(FIRST_EVENT),
+                (attempt.arrived + attempt.route.latency_goal).saturating_sub(FIRST_EVENT),
                 give_up,
-                unusable(entry, &attempt.service, &attempt.tried),
+                unusable_engines(daemon, &attempt.service, &attempt.tried),
             ));
         }
         // Engines that refused it may have room again.
         let _notified = timeout(FULL_PAUSE * 2, changed).await;
-        if entry.now() > began + FULL_PAUSE && attempt.verdict == Verdict::DidNotRun {
+        if daemon.now() > began + FULL_PAUSE && attempt.verdict == Verdict::DidNotRun {
             attempt.tried.clear();
         }
     }
@@ -100,17 +104,18 @@
 /// All suspects of a crash would go to the next engine in the same moment, from every daemon, before any of these
 /// could tell that it has one there. Attempts at one request go one after the other over all daemons, and one that may
 /// crash one too many waits until the others of its last crash have had time to show that they did not do it.
-async fn take_turns(entry: &Rc<Entry>, attempt: &mut Attempt) {
+async fn take_turns(daemon: &Rc<DaemonState>, attempt: &mut Attempt) {
     attempt.trial = None;
-    if !entry.is_suspect(&attempt.print) {
+    if !daemon.is_suspect(&attempt.fingerprint) {
         return;
     }
-    attempt.trial = Some(entry.trials.wait(attempt.print, entry.now()));
+    attempt.trial = Some(daemon.trials.enqueue(attempt.fingerprint, daemon.now()));
     sleep(SPREAD.mul_f64(rand::rng().random_range(0.5..1.0))).await;
-    while entry.now() < attempt.deadline && entry.held_refusal(attempt).is_none() {
-        let changed = entry.waits.changed.notified();
-        let undecided = entry.quarantine.borrow().undecided(&attempt.print, entry.now());
-        if undecided.is_zero() && may_go(entry, attempt) {
+    while daemon.now() < attempt.deadline && daemon.quarantine_refusal(attempt).is_none() {
+        let changed = daemon.model_waits.inventories_changed.notified();
+        let undecided =
+            daemon.quarantine.borrow().decision_delay(&attempt.fingerprint, daemon.now());
+        if undecided.is_zero() && may_go(daemon, attempt) {
             return;
         }
         let _changed = timeout(undecided.max(FULL_PAUSE), changed).await;
@@ -118,48 +123,54 @@
 }
 
 /// Returns whether it is an attempt's turn, or it needs none.
-fn may_go(entry: &Entry, attempt: &mut Attempt) -> bool {
-    if !entry.is_suspect(&attempt.print) {
+fn may_go(daemon: &DaemonState, attempt: &mut Attempt) -> bool {
+    if !daemon.is_suspect(&attempt.fingerprint) {
         attempt.trial = None;
         return true;
     }
     // It may have become a suspect while it waited for a model.
-    let trial = attempt.trial.get_or_insert_with(|| entry.trials.wait(attempt.print, entry.now()));
-    entry.trials.is_next(trial, &entry.settings().id, entry.now())
+    let trial = attempt
+        .trial
+        .get_or_insert_with(|| daemon.trials.enqueue(attempt.fingerprint, daemon.now()));
+    daemon.trials.is_next(trial, &daemon.settings().id, daemon.now())
 }
 
 /// Chooses an engine; a suspect gets one to itself among suspects, when it is its turn.
-fn engine(entry: &Entry, attempt: &mut Attempt, item: &Item) -> Choice {
-    if !may_go(entry, attempt) {
-        return Choice::Missing;
+fn engine(daemon: &DaemonState, attempt: &mut Attempt, item: &ModelTarget) -> EngineChoice {
+    if !may_go(daemon, attempt) {
+        return EngineChoice::NotLoaded;
     }
     let Some(trial) = &attempt.trial else {
-        return entry.choose(|c| c.engine(item, &attempt.tried));
+        return daemon.with_chooser(|c| c.choose_engine(item, &attempt.tried));
     };
-    let mut closed = entry.trials.servers(entry.now());
+    let mut closed = daemon.trials.occupied_servers(daemon.now());
     closed.extend_from_slice(&attempt.tried);
-    let choice = entry.choose(|c| c.engine(item, &closed));
-    if let Choice::Server(chosen) = &choice {
-        trial.begin(chosen.server.start());
+    let choice = daemon.with_chooser(|c| c.choose_engine(item, &closed));
+    if let EngineChoice::Server(chosen) = &choice {
+        trial.assign(chosen.server.instance());
     }
     choice
 }
 
 /// Lets a request go to a chosen engine, unless its queue is too long for the caller.
-fn admit(entry: &Entry, attempt: &mut Attempt, chosen: Chosen) -> Result<Chosen, Refusal> {
-    let now = entry.now();
+fn admit(
+    daemon: &DaemonState,
+    attempt: &mut Attempt,
+    chosen: ChosenServer,
+) -> Result<ChosenServer, Refusal> {
+    let now = daemon.now();
     let left = |until: Moment| until.saturating_sub(now);
-    let leaves = attempt.deadline.min(attempt.arrived + attempt.route.patience());
-    let outlook = Outlook {
-        wait: chosen.wait,
-        due: left(attempt.arrived + attempt.route.goal),
+    let leaves = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
+    let outlook = AdmissionInput {
+        queue_wait: chosen.queue_wait,
+        due: left(attempt.arrived + attempt.route.latency_goal),
         patience: left(leaves),
     };
     match outlook.admit() {
         Admission::Now => attempt.is_late = false,
         Admission::Late => attempt.is_late = true,
         Admission::Refused(retry) => {
-            attempt.queued = chosen.wait;
+            attempt.queue_wait = chosen.queue_wait;
             return Err(Refusal::failed(
                 attempt.verdict,
                 "all engines with the model are full",
@@ -171,38 +182,46 @@
 }
 
 /// Engines that this request cannot use: those that failed it, and those out of reach.
-pub fn unusable(entry: &Entry, service: &str, tried: &[ServerStart]) -> Vec<ServerStart> {
-    let mut list = entry.choose(|c| c.dark(service));
-    list.extend(entry.choose(|c| c.held_back(service)));
+pub fn unusable_engines(
+    daemon: &DaemonState,
+    service: &str,
+    tried: &[ServerInstance],
+) -> Vec<ServerInstance> {
+    let mut list = daemon.with_chooser(|c| c.unreachable_servers(service));
+    list.extend(daemon.with_chooser(|c| c.rate_limited(service)));
     list.extend_from_slice(tried);
     list
 }
 
 /// Refuses a wait that cannot end in time, as soon as that is known.
 fn hopeless(
-    entry: &Entry,
+    daemon: &DaemonState,
     attempt: &Attempt,
-    item: &Item,
+    item: &ModelTarget,
     began: Moment,
     give_up: Moment,
 ) -> Option<Refusal> {
-    let now = entry.now();
-    let expected = entry.choose(|c| {
+    let now = daemon.now();
+    let expected = daemon.with_chooser(|c| {
         let servers = c.directory.servers().filter(|s| s.service == item.service && !s.leaving);
         let times = servers.filter_map(|s| {
-            c.holdings.expected(&s.start(), &item.model, item.adapter.as_deref(), now)
+            c.inventories.expected_at(&s.instance(), &item.model, item.adapter.as_deref(), now)
         });
         times.min()
     });
     let verdict = attempt.verdict;
     if expected.is_none() && now > began + WORD_TIME {
-        let turn = entry.choose(|c| c.next_turn(&item.service, Some(item)));
-        if let Some(retry) = turn.and_then(|turn| missed(turn, give_up.saturating_sub(now))) {
-            return Some(Refusal::failed(verdict, LIMITED, retry));
+        let turn = daemon.with_chooser(|c| c.next_turn(&item.service, Some(item)));
+        if let Some(retry) = turn.and_then(|turn| retry_after(turn, give_up.saturating_sub(now))) {
+            return Some(Refusal::failed(verdict, RATE_LIMITED, retry));
         }
     }
-    if expected.is_none() && nobody_loads(entry) {
-        return Some(Refusal::failed(verdict, "this data centre is cut off", ELSEWHERE));
+    if expected.is_none() && nobody_loads(daemon) {
+        return Some(Refusal::failed(
+            verdict,
+            "this data centre is cut off",
+            OTHER_DAEMON_RETRY_AFTER,
+        ));
     }
     match expected {
         Some(at) if at + FIRST_EVENT > give_up && now < give_up => {
@@ -210,68 +229,71 @@
             Some(Refusal::failed(verdict, "the model will be loaded too late", retry))
         }
         _ if now + FIRST_EVENT > give_up => {
-            Some(Refusal::failed(verdict, "the model was not loaded in time", COME_BACK))
+            Some(Refusal::failed(verdict, "the model was not loaded in time", DEFAULT_RETRY_AFTER))
         }
-        None if !entry.choose(|c| c.has_copy(item)) => {
+        None if !daemon.with_chooser(|c| c.has_copy(item)) => {
             let load = load_time(attempt, item);
             let is_silent = now > began + WORD_TIME;
             (is_silent || now + load > give_up)
                 .then(|| Refusal::failed(verdict, "no host has a copy of the model", load))
         }
-        None if give_up < now + soonest(attempt, item) && now > began + WORD_TIME => {
-            Some(Refusal::failed(verdict, "no engine can load the model in time", COME_BACK))
-        }
+        None if give_up < now + soonest(attempt, item) && now > began + WORD_TIME => Some(
+            Refusal::failed(verdict, "no engine can load the model in time", DEFAULT_RETRY_AFTER),
+        ),
         _ => None,
     }
 }
 
 /// Whether this daemon is cut off from the store and other data centres, and from whoever orders loads: callers are
 /// better off with another one, where the balancer takes them.
-fn nobody_loads(entry: &Entry) -> bool {
-    let has_holder = || entry.peers.borrow().holder(entry.now()).is_some();
-    entry.isolated.get() && entry.fence().is_none() && !has_holder()
+fn nobody_loads(daemon: &DaemonState) -> bool {
+    let has_holder = || daemon.peers.borrow().holder(daemon.now()).is_some();
+    daemon.isolated.get() && daemon.fence().is_none() && !has_holder()
 }
 
 /// What the configuration says of a model.
-fn model_spec<'a>(attempt: &'a Attempt, item: &Item) -> Option<&'a ModelSpec> {
+fn model_spec<'a>(attempt: &'a Attempt, item: &ModelTarget) -> Option<&'a ModelSpec> {
     let engine = attempt.config.services.get(&item.service)?.engine.as_ref()?;
     engine.models.get(&item.model)
 }
 
 /// Time of the model's load from the weight store.
-fn load_time(attempt: &Attempt, item: &Item) -> Duration {
-    model_spec(attempt, item).map_or(COME_BACK, |m| m.load)
+fn load_time(attempt: &Attempt, item: &ModelTarget) -> Duration {
+    model_spec(attempt, item).map_or(DEFAULT_RETRY_AFTER, |m| m.store_load)
 }
 
 /// Time that an item which is not on its way takes at least until its first event.
-fn soonest(attempt: &Attempt, item: &Item) -> Duration {
+fn soonest(attempt: &Attempt, item: &ModelTarget) -> Duration {
     let spec = model_spec(attempt, item).filter(|_| item.adapter.is_none());
-    spec.map_or(WORD_TIME, |m| m.warm.min(m.disk).min(m.load) + FIRST_EVENT)
+    spec.map_or(WORD_TIME, |m| m.memory_load.min(m.disk_load).min(m.store_load) + FIRST_EVENT)
 }
 
 /// Chooses another server for a stream that broke off; callers wait for events, so not for long.
-pub async fn find_again(entry: &Rc<Entry>, attempt: &mut Attempt) -> Option<Chosen> {
+pub async fn find_replacement(
+    daemon: &Rc<DaemonState>,
+    attempt: &mut Attempt,
+) -> Option<ChosenServer> {
     let item = attempt.item()?;
     // A stream that left a server by itself would still have one: it is not broken off before its time.
-    let until = if attempt.has_left { attempt.deadline } else { entry.now() + AGAIN };
+    let until = if attempt.failed_over { attempt.deadline } else { daemon.now() + RESUME_TIMEOUT };
     let mut guard = None;
-    take_turns(entry, attempt).await;
+    take_turns(daemon, attempt).await;
     loop {
-        let changed = entry.waits.changed.notified();
-        if entry.held_refusal(attempt).is_some() {
-            attempt.reason = HELD;
+        let changed = daemon.model_waits.inventories_changed.notified();
+        if daemon.quarantine_refusal(attempt).is_some() {
+            attempt.reason = QUARANTINED_REASON;
             return None;
         }
-        if let Choice::Server(chosen) = engine(entry, attempt, &item) {
+        if let EngineChoice::Server(chosen) = engine(daemon, attempt, &item) {
             return Some(chosen);
         }
-        let left = until.saturating_sub(entry.now());
+        let left = until.saturating_sub(daemon.now());
         if left.is_zero() {
             return None;
         }
         guard.get_or_insert_with(|| {
-            let avoid = unusable(entry, &attempt.service, &attempt.tried);
-            entry.waits.begin(item.clone(), until, until, avoid)
+            let avoid = unusable_engines(daemon, &attempt.service, &attempt.tried);
+            daemon.model_waits.begin(item.clone(), until, until, avoid)
         });
         let _notified = timeout(left.min(FULL_PAUSE * 2), changed).await;
     }
--- a/lib/src/serve/follow_servers.rs
+++ b/lib/src/serve/follow_servers.rs
@@ -6,11 +6,11 @@
 use tokio::time::sleep;
 
 use crate::boot_clock::Moment;
-use crate::serve::apply_updates::take_servers;
-use crate::serve::daemon_state::Entry;
-use crate::serve::store_calls::noted;
-use crate::serve::store_calls::noted_read;
-use crate::serve::store_calls::pause_after;
+use crate::serve::apply_updates::apply_server_batch;
+use crate::serve::daemon_state::DaemonState;
+use crate::serve::store_calls::backoff_after;
+use crate::serve::store_calls::track_call;
+use crate::serve::store_calls::track_read;
 use crate::store::Feed;
 use crate::store::StoreError;
 
@@ -29,40 +29,39 @@
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 
 /// Follows the list of servers.
-pub async fn follow_servers(entry: Rc<Entry>) {
+pub async fn follow_servers(daemon: Rc<DaemonState>) {
     // Whether the list was read once.
     let mut is_listed = false;
     let mut pause = PAUSE;
     loop {
         if is_listed {
-            wait_until_due(&entry).await;
+            wait_until_due(&daemon).await;
         }
-        let is_whole = !is_listed || must_list(&entry);
-        let sent = entry.now();
-        let end = entry.directory.borrow().end();
+        let is_whole = !is_listed || must_list(&daemon);
+        let sent = daemon.now();
+        let end = daemon.directory.borrow().feed_end();
         let result = if is_whole {
-            noted(&entry, Feed::Servers, entry.store.newest(Feed::Servers)).await
+            track_call(&daemon, Feed::Servers, daemon.store.list_latest(Feed::Servers)).await
         } else {
-            let call = entry.store.read(Feed::Servers, end, Duration::ZERO);
-            noted_read(&entry, Feed::Servers, call).await
+            let call = daemon.store.read(Feed::Servers, end, Duration::ZERO);
+            track_read(&daemon, Feed::Servers, call).await
         };
         match result {
             Ok(batch) => {
-                take_servers(&entry, &batch, is_whole);
+                apply_server_batch(&daemon, &batch, is_whole);
                 if is_whole {
-                    entry.coverage.is_partial.set(false);
+                    daemon.freshness.is_partial.set(false);
                 }
-                entry.coverage.has_gap.set(false);
-                entry.coverage.reached(sent);
+                daemon.freshness.has_gap.set(false);
+                daemon.freshness.advance_servers(sent);
                 is_listed = true;
                 pause = PAUSE;
             }
             Err(StoreError::Expired) => is_listed = false,
             Err(_failed) => {
                 // A call that was given up late was pause enough.
-                let is_back = pause_after(&entry, sent, pause).await;
-                let longest =
-                    if is_back || entry.follows_servers() { PAUSE } else { LONGEST_PAUSE };
+                let is_back = backoff_after(&daemon, sent, pause).await;
+                let longest = if is_back || daemon.polls_servers() { PAUSE } else { LONGEST_PAUSE };
                 pause = (pause * 2).min(longest);
             }
         }
@@ -70,15 +69,15 @@
 }
 
 /// Returns whether the list must be read anew: who gives orders must know what servers hold, which words leave out.
-fn must_list(entry: &Entry) -> bool {
-    entry.standing().is_some() && entry.coverage.is_partial.get()
+fn must_list(daemon: &DaemonState) -> bool {
+    daemon.held_fence().is_some() && daemon.freshness.is_partial.get()
 }
 
 /// Waits until the feed must be read.
-async fn wait_until_due(entry: &Entry) {
+async fn wait_until_due(daemon: &DaemonState) {
     loop {
-        let left = due(entry).saturating_sub(entry.now());
-        if left.is_zero() || must_list(entry) {
+        let left = due(daemon).saturating_sub(daemon.now());
+        if left.is_zero() || must_list(daemon) {
             return;
         }
         sleep(left.min(LOOK_EVERY)).await;
@@ -89,7 +88,7 @@
 ///
 /// A daemon that lives by words reads when they have told it nothing new for as long as its own pause would be, so
 /// that its picture is never older than if it read all the time, whatever becomes of readers.
-fn due(entry: &Entry) -> Moment {
-    let part = if entry.is_large() && entry.reads() { READER_PART } else { READ_PART };
-    entry.coverage.servers.get() + entry.settings().drain.mul_f64(part)
+fn due(daemon: &DaemonState) -> Moment {
+    let part = if daemon.is_large_fleet() && daemon.is_reader() { READER_PART } else { READ_PART };
+    daemon.freshness.servers_at.get() + daemon.settings().drain.mul_f64(part)
 }
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -23,16 +23,16 @@
 use crate::cluster::configuration::RouteKind;
 use crate::cluster::configuration::ServiceName;
 use crate::cluster::fingerprint::Fingerprint;
-use crate::cluster::quarantine_report::Passed;
+use crate::cluster::quarantine_report::RequestProgress;
 use crate::serve::active_request::ActiveRequest;
 use crate::serve::attempt::Attempt;
 use crate::serve::body::ReplyBody;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::exchange_plain;
 use crate::serve::exchange_stream;
-use crate::serve::exchange_stream::Opened;
+use crate::serve::exchange_stream::OpenOutcome;
 use crate::serve::reply::Refusal;
-use crate::serve::reply::pass_on;
+use crate::serve::reply::forward_response;
 use crate::verdict::Verdict;
 
 /// Bodies of requests that are held at once; more would not fit a small host's memory.
@@ -43,41 +43,41 @@
 const LEARNING: Duration = Duration::from_millis(500);
 
 /// When a caller should try another daemon in place of one that stops or is cut off.
-pub const ELSEWHERE: Duration = Duration::from_millis(50);
+pub const OTHER_DAEMON_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Why a request has no answer, where a stop is the cause.
-pub const STOPS: &str = "this daemon stops";
+pub const STOPPING_REASON: &str = "this daemon stops";
 
 /// Answers a request, which is in progress until its answer is written.
-pub async fn handle(
-    entry: Rc<Entry>,
+pub async fn handle_request(
+    daemon: Rc<DaemonState>,
     active: ActiveRequest,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
-    let arrived = entry.now();
+    let arrived = daemon.now();
     let (parts, body) = request.into_parts();
-    let mut response = match read(&entry, parts, body, arrived).await {
-        Ok(attempt) => answer(&entry, attempt).await,
-        Err((parts, refusal)) => refuse_unrouted(&entry, &parts, &refusal),
+    let mut response = match read(&daemon, parts, body, arrived).await {
+        Ok(attempt) => answer(&daemon, attempt).await,
+        Err((parts, refusal)) => refuse_unrouted(&daemon, &parts, &refusal),
     };
-    if entry.sends_away() {
+    if daemon.closes_connections() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    response.body_mut().hold(active);
+    response.body_mut().attach_request(active);
     response
 }
 
 fn refuse_unrouted(
-    entry: &Entry,
+    daemon: &DaemonState,
     parts: &request::Parts,
     refusal: &Refusal,
 ) -> Response<ReplyBody> {
-    let terms = entry.protocol.caller_terms(&parts.headers);
-    let config = entry.config_version();
-    slog::info!(entry.log, "request-refused"; "attempt" => terms.attempt.as_deref().unwrap_or("-"),
+    let terms = daemon.protocol.parse_caller_headers(&parts.headers);
+    let config = daemon.config_version();
+    slog::info!(daemon.log, "request-refused"; "attempt" => terms.attempt.as_deref().unwrap_or("-"),
         "status" => refusal.status.as_u16(), "reason" => refusal.reason, "config" => config,
-        "config_age_ms" => entry.config_age(entry.now()).as_millis(),
+        "config_age_ms" => daemon.config_age(daemon.now()).as_millis(),
         "host" => host(parts), "path" => parts.uri.path());
-    entry.metrics.refused(refusal.reason);
+    daemon.metrics.record_refusal(refusal.reason);
     refusal.response()
 }
 
@@ -88,45 +88,45 @@
 
 /// Reads the whole body and finds the route.
 async fn read(
-    entry: &Entry,
+    daemon: &DaemonState,
     parts: request::Parts,
     body: Incoming,
     arrived: Moment,
 ) -> Result<Attempt, (request::Parts, Refusal)> {
-    let Some(config) = entry.config() else {
-        let refusal = Refusal::unrun("no configuration yet", LEARNING);
+    let Some(config) = daemon.config() else {
+        let refusal = Refusal::not_run("no configuration yet", LEARNING);
         return Err((parts, refusal));
     };
     let body = tokio::select! {
         biased;
-        body = read_body(body, config.limits.body) => body,
-        () = entry.ended() => Err(Refusal::unrun(STOPS, ELSEWHERE)),
+        body = read_body(body, config.limits.max_body) => body,
+        () = daemon.aborted() => Err(Refusal::not_run(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
     };
     let body = match body {
         Ok(body) => body,
         Err(refusal) => return Err((parts, refusal)),
     };
     // The configuration may have changed while the body came.
-    let config = entry.config().unwrap_or(config);
+    let config = daemon.config().unwrap_or(config);
     let Some(route) = config.route(host(&parts), parts.uri.path()).cloned() else {
-        let refusal = if entry.is_unsure(entry.now()) {
-            Refusal::unrun("no such route, but the configuration may be old", LEARNING)
+        let refusal = if daemon.is_config_stale(daemon.now()) {
+            Refusal::not_run("no such route, but the configuration may be old", LEARNING)
         } else {
-            Refusal::wrong(StatusCode::NOT_FOUND, "no such route")
+            Refusal::client_error(StatusCode::NOT_FOUND, "no such route")
         };
         return Err((parts, refusal));
     };
     let Some(service) = pick_service(&route) else {
-        return Err((parts, Refusal::unrun("the route has no service", LEARNING)));
+        return Err((parts, Refusal::not_run("the route has no service", LEARNING)));
     };
-    let terms = entry.protocol.caller_terms(&parts.headers);
-    let time = terms.patience.map_or(route.timeout, |p| p.min(route.timeout));
+    let terms = daemon.protocol.parse_caller_headers(&parts.headers);
+    let time = terms.timeout.map_or(route.timeout, |p| p.min(route.timeout));
     let target = parts.uri.path_and_query().map_or("/", PathAndQuery::as_str);
-    let print = Fingerprint::new(&parts.method, host(&parts), target, &body);
+    let fingerprint = Fingerprint::new(&parts.method, host(&parts), target, &body);
     Ok(Attempt {
         parts,
         body,
-        print,
+        fingerprint,
         terms,
         config: Rc::clone(&config),
         route,
@@ -136,35 +136,37 @@
         verdict: Verdict::DidNotRun,
         sending: false,
         tried: Vec::new(),
-        has_left: false,
-        runs: 0,
+        failed_over: false,
+        possible_runs: 0,
         sends: 0,
-        arrivals: 0,
-        last: None,
+        deliveries: 0,
+        last_server: None,
         is_late: false,
-        queued: Duration::ZERO,
+        queue_wait: Duration::ZERO,
         cost: 0.0,
-        among: 0,
+        candidate_count: 0,
         reason: "",
-        waited: Duration::ZERO,
+        model_wait: Duration::ZERO,
         trial: None,
         young_since: None,
-        sent: arrived,
-        first: None,
-        pause: Duration::ZERO,
+        sent_at: arrived,
+        first_event: None,
+        max_pause: Duration::ZERO,
     })
 }
 
 async fn read_body(mut body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
-    let too_large = || Refusal::wrong(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+    let too_large =
+        || Refusal::client_error(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
     if body.size_hint().lower() > limit.min(HELD_BYTES) as u64 {
         return Err(too_large());
     }
     let mut bytes = BytesMut::new();
     let whole = async {
         while let Some(frame) = body.frame().await {
-            let frame = frame
-                .map_err(|_broken| Refusal::wrong(StatusCode::BAD_REQUEST, "the body broke off"))?;
+            let frame = frame.map_err(|_broken| {
+                Refusal::client_error(StatusCode::BAD_REQUEST, "the body broke off")
+            })?;
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
             }
@@ -177,7 +179,7 @@
     match timeout(BODY_TIME, whole).await {
         Ok(read) => read?,
         Err(_elapsed) => {
-            return Err(Refusal::wrong(
+            return Err(Refusal::client_error(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body did not come in time",
             ));
@@ -201,73 +203,77 @@
     None
 }
 
-async fn answer(entry: &Rc<Entry>, mut attempt: Attempt) -> Response<ReplyBody> {
-    if let Some(refusal) = entry.held_refusal(&attempt) {
-        return refuse(entry, &attempt, &refusal);
+async fn answer(daemon: &Rc<DaemonState>, mut attempt: Attempt) -> Response<ReplyBody> {
+    if let Some(refusal) = daemon.quarantine_refusal(&attempt) {
+        return refuse(daemon, &attempt, &refusal);
     }
     if let Some(item) = attempt.item() {
-        entry.waits.arrived(&item, attempt.arrived);
+        daemon.model_waits.count_arrival(&item, attempt.arrived);
     }
-    entry.budget.borrow_mut().first(&attempt.service, attempt.arrived);
-    if entry.now() > entry.last_start(attempt.deadline) {
-        return refuse(entry, &attempt, &Refusal::unrun(STOPS, ELSEWHERE));
+    daemon.retry_budgets.borrow_mut().record_first(&attempt.service, attempt.arrived);
+    if daemon.now() > daemon.latest_start(attempt.deadline) {
+        return refuse(
+            daemon,
+            &attempt,
+            &Refusal::not_run(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER),
+        );
     }
     let result = tokio::select! {
         biased;
-        result = exchange(entry, &mut attempt) => result,
-        () = entry.ended() => Err(attempt.give_up(STOPS, ELSEWHERE)),
+        result = exchange(daemon, &mut attempt) => result,
+        () = daemon.aborted() => Err(attempt.give_up(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
     };
     match result {
-        Ok(Opened::Other(head, body)) => {
+        Ok(OpenOutcome::Whole(head, body)) => {
             attempt.verdict = Verdict::Ran;
-            entry.note_passed(&attempt, Passed::Whole);
-            log_answer(entry, &attempt, head.status, "answered", None);
-            pass_on(head, body)
+            daemon.record_passed(&attempt, RequestProgress::Complete);
+            log_request(daemon, &attempt, head.status, "answered", None);
+            forward_response(head, body)
         }
-        Ok(Opened::Stream(started)) => exchange_stream::relay(entry, attempt, *started),
-        Err(refusal) => refuse(entry, &attempt, &refusal),
+        Ok(OpenOutcome::Stream(started)) => exchange_stream::spawn_relay(daemon, attempt, *started),
+        Err(refusal) => refuse(daemon, &attempt, &refusal),
     }
 }
 
-async fn exchange(entry: &Rc<Entry>, attempt: &mut Attempt) -> Result<Opened, Refusal> {
+async fn exchange(daemon: &Rc<DaemonState>, attempt: &mut Attempt) -> Result<OpenOutcome, Refusal> {
     if attempt.route.kind == RouteKind::Streaming {
-        return exchange_stream::open(entry, attempt).await;
+        return exchange_stream::open_stream(daemon, attempt).await;
     }
-    let (head, body) = exchange_plain::run(entry, attempt).await?;
-    Ok(Opened::Other(head, body))
+    let (head, body) = exchange_plain::run(daemon, attempt).await?;
+    Ok(OpenOutcome::Whole(head, body))
 }
 
-fn refuse(entry: &Entry, attempt: &Attempt, refusal: &Refusal) -> Response<ReplyBody> {
-    log_answer(entry, attempt, refusal.status, refusal.reason, None);
-    entry.metrics.refused(refusal.reason);
+fn refuse(daemon: &DaemonState, attempt: &Attempt, refusal: &Refusal) -> Response<ReplyBody> {
+    log_request(daemon, attempt, refusal.status, refusal.reason, None);
+    daemon.metrics.record_refusal(refusal.reason);
     let mut response = refusal.response();
     if let Some(id) = &attempt.terms.attempt {
-        entry.protocol.mark_answer(response.headers_mut(), id);
+        daemon.protocol.set_attempt_id(response.headers_mut(), id);
     }
     response
 }
 
 /// Writes the one line that tells how a request ended.
-pub fn log_answer(
-    entry: &Entry,
+pub fn log_request(
+    daemon: &DaemonState,
     attempt: &Attempt,
     status: StatusCode,
     reason: &str,
     first: Option<Moment>,
 ) {
-    let now = entry.now();
+    let now = daemon.now();
     let ms = |t: Moment| t.saturating_sub(attempt.arrived).as_millis();
-    entry.metrics.answered(&attempt.route.name, attempt.verdict);
-    slog::info!(entry.log, "request"; "attempt" => attempt.id(), "print" => %attempt.print,
+    daemon.metrics.record_answer(&attempt.route.name, attempt.verdict);
+    slog::info!(daemon.log, "request"; "attempt" => attempt.id(), "print" => %attempt.fingerprint,
         "route" => attempt.route.name.as_str(), "service" => attempt.service.as_str(),
         "model" => attempt.terms.model.as_deref().unwrap_or("-"),
         "adapter" => attempt.terms.adapter.as_deref().unwrap_or("-"),
-        "server" => attempt.last.as_ref().map_or("-", |s| s.id.as_str()),
-        "among" => attempt.among, "cost_ms" => attempt.cost.round() as i64,
+        "server" => attempt.last_server.as_ref().map_or("-", |s| s.id.as_str()),
+        "among" => attempt.candidate_count, "cost_ms" => attempt.cost.round() as i64,
         "status" => status.as_u16(), "verdict" => %attempt.verdict, "reason" => reason,
         "sends" => attempt.sends, "late" => attempt.is_late,
-        "queued_ms" => attempt.queued.as_millis(), "waited_ms" => attempt.waited.as_millis(),
-        "pause_ms" => attempt.pause.as_millis(), "first_ms" => first.map_or(-1, |t| ms(t) as i64), "ms" => ms(now),
+        "queued_ms" => attempt.queue_wait.as_millis(), "waited_ms" => attempt.model_wait.as_millis(),
+        "pause_ms" => attempt.max_pause.as_millis(), "first_ms" => first.map_or(-1, |t| ms(t) as i64), "ms" => ms(now),
         "left_ms" => attempt.deadline.saturating_sub(now).as_millis(),
         "config" => attempt.config.version);
 }
--- a/lib/src/serve/model_waits.rs
+++ b/lib/src/serve/model_waits.rs
@@ -8,11 +8,11 @@
 use tokio::sync::Notify;
 
 use crate::boot_clock::Moment;
-use crate::cluster::digest::CountNote;
-use crate::cluster::digest::DemandNote;
-use crate::cluster::digest::WantNote;
-use crate::cluster::server_instance::ServerStart;
-use crate::placement::demand::Item;
+use crate::cluster::digest::ArrivalCount;
+use crate::cluster::digest::DemandReport;
+use crate::cluster::digest::QueuedDemand;
+use crate::cluster::server_instance::ServerInstance;
+use crate::placement::demand::ModelTarget;
 
 /// Arrivals of an item are told for this long after the last one.
 const TOLD_FOR: Duration = Duration::from_secs(4);
@@ -21,37 +21,37 @@
 struct Waiting {
     due: Moment,
     until: Moment,
-    avoid: Vec<ServerStart>,
+    avoid: Vec<ServerInstance>,
 }
 
 #[derive(Debug, Default)]
 struct Tables {
-    waiting: BTreeMap<Item, BTreeMap<u64, Waiting>>,
-    counts: BTreeMap<Item, (Moment, u32)>,
+    waiting: BTreeMap<ModelTarget, BTreeMap<u64, Waiting>>,
+    counts: BTreeMap<ModelTarget, (Moment, u32)>,
     next: u64,
 }
 
 /// The waiting requests by what they wait for.
 #[derive(Clone, Debug, Default)]
-pub struct Waits {
+pub struct ModelWaits {
     tables: Rc<RefCell<Tables>>,
     /// Signalled when engines hold something else than before.
-    pub changed: Rc<Notify>,
+    pub inventories_changed: Rc<Notify>,
     /// Signalled when a request begins to wait for something new.
-    pub begun: Rc<Notify>,
+    pub wait_started: Rc<Notify>,
 }
 
 /// A waiting request; it ends when this is dropped.
 #[derive(Debug)]
 pub struct WaitGuard {
-    waits: Waits,
-    item: Item,
+    waits: ModelWaits,
+    item: ModelTarget,
     number: u64,
 }
 
-impl Waits {
+impl ModelWaits {
     /// Counts an arrival.
-    pub fn arrived(&self, item: &Item, now: Moment) {
+    pub fn count_arrival(&self, item: &ModelTarget, now: Moment) {
         let mut tables = self.tables.borrow_mut();
         let count = tables.counts.entry(item.clone()).or_insert((now, 0));
         *count = (now, count.1 + 1);
@@ -61,10 +61,10 @@
     /// any; `avoid` are engines that this request cannot use.
     pub fn begin(
         &self,
-        item: Item,
+        item: ModelTarget,
         due: Moment,
         until: Moment,
-        avoid: Vec<ServerStart>,
+        avoid: Vec<ServerInstance>,
     ) -> WaitGuard {
         let mut tables = self.tables.borrow_mut();
         let number = tables.next;
@@ -72,12 +72,12 @@
         let list = tables.waiting.entry(item.clone()).or_default();
         list.insert(number, Waiting { due, until, avoid });
         drop(tables);
-        self.begun.notify_one();
+        self.wait_started.notify_one();
         WaitGuard { waits: self.clone(), item, number }
     }
 
     /// Returns how many requests wait for an item.
-    pub fn waiting(&self, item: &Item) -> usize {
+    pub fn waiting_for(&self, item: &ModelTarget) -> usize {
         self.tables.borrow().waiting.get(item).map_or(0, BTreeMap::len)
     }
 
@@ -87,31 +87,31 @@
     }
 
     /// Returns the demand to be told.
-    pub fn note(&self, now: Moment) -> DemandNote {
+    pub fn demand_note(&self, now: Moment) -> DemandReport {
         let tables = self.tables.borrow();
-        let wants = tables.waiting.iter().map(|(item, list)| want(item, list, now)).collect();
+        let queued = tables.waiting.iter().map(|(item, list)| want(item, list, now)).collect();
         let fresh = tables.counts.iter().filter(|(_, (at, _))| now <= *at + TOLD_FOR);
-        let counts = fresh.map(|(item, (_, count))| CountNote {
+        let arrivals = fresh.map(|(item, (_, count))| ArrivalCount {
             service: item.service.clone(),
             model: item.model.clone(),
             adapter: item.adapter.clone(),
             count: *count,
         });
-        DemandNote { wants, counts: counts.collect() }
+        DemandReport { queued, arrivals: arrivals.collect() }
     }
 }
 
-fn want(item: &Item, list: &BTreeMap<u64, Waiting>, now: Moment) -> WantNote {
+fn want(item: &ModelTarget, list: &BTreeMap<u64, Waiting>, now: Moment) -> QueuedDemand {
     let until = list.values().map(|w| w.until).max().unwrap_or_default();
     let due = list.values().map(|w| w.due).max().unwrap_or_default();
     let mut avoid = list.values().next().map(|w| w.avoid.clone()).unwrap_or_default();
     avoid.retain(|id| list.values().all(|w| w.avoid.contains(id)));
-    WantNote {
+    QueuedDemand {
         service: item.service.clone(),
         model: item.model.clone(),
         adapter: item.adapter.clone(),
         waiting: list.len() as u32,
-        left_ms: until.saturating_sub(now).as_millis() as u32,
+        remaining_ms: until.saturating_sub(now).as_millis() as u32,
         due_ms: due.saturating_sub(now).as_millis() as u32,
         avoid,
     }
--- a/lib/src/serve/orders_guard.rs
+++ b/lib/src/serve/orders_guard.rs
@@ -4,29 +4,29 @@
 
 use crate::ids::Fence;
 use crate::placement::recent_orders::EngineKey;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 
 /// Keeps an engine listed beside the lease while orders may be given to it; the orders end when this is dropped.
 #[derive(Debug)]
-pub struct ChangeGuard {
-    entry: Rc<Entry>,
+pub struct OrdersGuard {
+    daemon: Rc<DaemonState>,
     engine: EngineKey,
     fence: Fence,
 }
 
-impl ChangeGuard {
+impl OrdersGuard {
     /// Announces orders to an engine.
-    pub fn new(entry: &Rc<Entry>, engine: EngineKey, fence: Fence) -> Self {
-        if entry.tenure.borrow_mut().begin_orders(fence, engine, entry.now()) {
-            entry.lease_due.notify_one();
+    pub fn new(daemon: &Rc<DaemonState>, engine: EngineKey, fence: Fence) -> Self {
+        if daemon.lease.borrow_mut().begin_orders(fence, engine, daemon.now()) {
+            daemon.renewal_due.notify_one();
         }
-        Self { entry: Rc::clone(entry), engine, fence }
+        Self { daemon: Rc::clone(daemon), engine, fence }
     }
 }
 
-impl Drop for ChangeGuard {
+impl Drop for OrdersGuard {
     fn drop(&mut self) {
-        let now = self.entry.now();
-        self.entry.tenure.borrow_mut().end_orders(self.fence, self.engine, now);
+        let now = self.daemon.now();
+        self.daemon.lease.borrow_mut().end_orders(self.fence, self.engine, now);
     }
 }
--- a/lib/src/serve/peer_transfer.rs
+++ b/lib/src/serve/peer_transfer.rs
@@ -14,12 +14,12 @@
 use tokio::time::timeout;
 
 use crate::cluster::digest::PeerRequest;
-use crate::cluster::digest::PictureReply;
-use crate::serve::daemon_state::Entry;
+use crate::cluster::digest::SnapshotReply;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::socket;
 
 /// Time for another daemon's picture.
-pub const FETCH_LIMIT: Duration = Duration::from_secs(1);
+pub const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Largest picture of another daemon, in bytes.
 const PICTURE_LIMIT: u32 = 16 * 1024 * 1024;
 /// Largest request of a peer, in bytes.
@@ -32,8 +32,8 @@
 /// # Errors
 ///
 /// The peer cannot be reached or answers nonsense.
-pub async fn fetch(peer: SocketAddr, request: PeerRequest) -> io::Result<PictureReply> {
-    let mut stream = socket::connect(peer, FETCH_LIMIT).await?;
+pub async fn fetch_from_peer(peer: SocketAddr, request: PeerRequest) -> io::Result<SnapshotReply> {
+    let mut stream = socket::connect(peer, FETCH_TIMEOUT).await?;
     let request = postcard::to_stdvec(&request).map_err(io::Error::other)?;
     stream.write_u32(request.len() as u32).await?;
     stream.write_all(&request).await?;
@@ -52,40 +52,40 @@
 }
 
 /// Answers peers that ask for the picture.
-pub async fn serve_peers(entry: Rc<Entry>, listener: TcpListener) {
+pub async fn serve_peers(daemon: Rc<DaemonState>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let entry = Rc::clone(&entry);
+        let daemon = Rc::clone(&daemon);
         spawn_local(async move {
-            if let Ok(Err(error)) = timeout(FETCH_LIMIT, serve_peer(&entry, stream)).await {
-                slog::warn!(entry.log, "peer-call-failed"; "from" => %from, "error" => %error);
+            if let Ok(Err(error)) = timeout(FETCH_TIMEOUT, serve_peer(&daemon, stream)).await {
+                slog::warn!(daemon.log, "peer-call-failed"; "from" => %from, "error" => %error);
             }
         });
     }
 }
 
-async fn serve_peer(entry: &Entry, mut stream: TcpStream) -> io::Result<()> {
+async fn serve_peer(daemon: &DaemonState, mut stream: TcpStream) -> io::Result<()> {
     let request = read_frame(&mut stream, REQUEST_LIMIT).await?;
-    let mut reply = PictureReply {
-        config: entry.config_version(),
-        raw_config: entry.raw_config.borrow().to_vec(),
-        ..PictureReply::default()
+    let mut reply = SnapshotReply {
+        config_version: daemon.config_version(),
+        raw_config: daemon.raw_config.borrow().to_vec(),
+        ..SnapshotReply::default()
     };
     match postcard::from_bytes(&request).map_err(io::Error::other)? {
         PeerRequest::Configuration => {}
-        PeerRequest::Picture => {
-            let directory = entry.directory.borrow();
-            reply.servers = directory.end();
+        PeerRequest::Snapshot => {
+            let directory = daemon.directory.borrow();
+            reply.servers_end = directory.feed_end();
             reply.raw_servers =
-                directory.raw().map(|(id, raw)| (id.clone(), raw.to_vec())).collect();
+                directory.raw_entries().map(|(id, raw)| (id.clone(), raw.to_vec())).collect();
             reply.awaited = directory.awaited().cloned().collect();
         }
     }
     let bytes = postcard::to_stdvec(&reply).map_err(io::Error::other)?;
-    entry.metrics.exchanged("picture", bytes.len());
+    daemon.metrics.record_control_bytes("picture", bytes.len());
     stream.write_u32(bytes.len() as u32).await?;
     stream.write_all(&bytes).await?;
     stream.flush().await
--- a/lib/src/serve/pool.rs
+++ b/lib/src/serve/pool.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::serve::socket;
 
 /// Time for a connection: some round trips between data centres, and less than a goal.
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    server: ServerStart,
+    server: ServerInstance,
 }
 
 #[derive(Debug)]
@@ -49,8 +49,8 @@
 
 /// Idle connections by start of a server: what was opened to the last start is never used for the next.
 #[derive(Clone, Debug, Default)]
-pub struct Pool {
-    idle: Rc<RefCell<HashMap<ServerStart, Vec<Idle>>>>,
+pub struct ConnectionPool {
+    idle: Rc<RefCell<HashMap<ServerInstance, Vec<Idle>>>>,
 }
 
 impl Connection {
@@ -60,9 +60,9 @@
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Returns an idle connection that is still sound.
-    fn take_idle(&self, server: &ServerStart) -> Option<Connection> {
+    fn take_idle(&self, server: &ServerInstance) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(server)?;
         let now = Instant::now();
@@ -79,15 +79,15 @@
     /// # Errors
     ///
     /// The server cannot be reached; nothing was sent.
-    pub async fn connection(
+    pub async fn acquire(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         addr: SocketAddr,
     ) -> std::io::Result<Connection> {
         if let Some(connection) = self.take_idle(server) {
             return Ok(connection);
         }
-        self.fresh(server, addr).await
+        self.connect(server, addr).await
     }
 
     /// Returns a new connection to a server.
@@ -95,9 +95,9 @@
     /// # Errors
     ///
     /// The server cannot be reached; nothing was sent.
-    pub async fn fresh(
+    pub async fn connect(
         &self,
-        server: &ServerStart,
+        server: &ServerInstance,
         addr: SocketAddr,
     ) -> std::io::Result<Connection> {
         let stream = socket::connect(addr, CONNECT_LIMIT).await?;
@@ -115,7 +115,11 @@
     /// # Errors
     ///
     /// The server cannot be reached.
-    pub async fn prepare(&self, server: &ServerStart, addr: SocketAddr) -> std::io::Result<()> {
+    pub async fn ensure_idle(
+        &self,
+        server: &ServerInstance,
+        addr: SocketAddr,
+    ) -> std::io::Result<()> {
         if self.has_idle(server) {
             return Ok(());
         }
@@ -127,15 +131,19 @@
     /// # Errors
     ///
     /// The server cannot be reached.
-    pub async fn open_idle(&self, server: &ServerStart, addr: SocketAddr) -> std::io::Result<()> {
-        let Connection { mut sender, server } = self.fresh(server, addr).await?;
+    pub async fn open_idle(
+        &self,
+        server: &ServerInstance,
+        addr: SocketAddr,
+    ) -> std::io::Result<()> {
+        let Connection { mut sender, server } = self.connect(server, addr).await?;
         sender.ready().await.map_err(std::io::Error::other)?;
         let until = Instant::now() + DEFAULT_KEEP.mul_f64(KEEP_PART);
         self.idle.borrow_mut().entry(server).or_default().push(Idle { sender, until });
         Ok(())
     }
 
-    fn has_idle(&self, server: &ServerStart) -> bool {
+    fn has_idle(&self, server: &ServerInstance) -> bool {
         let now = Instant::now();
         let idle = self.idle.borrow();
         idle.get(server).is_some_and(|l| l.iter().any(|i| now < i.until && i.sender.is_ready()))
@@ -145,7 +153,7 @@
     ///
     /// It is offered again only when its request, too, is written whole and nothing followed the
     /// answer: a server may answer early and read on.
-    pub fn give_back(&self, connection: Connection, keep: Option<Duration>) {
+    pub fn release(&self, connection: Connection, keep: Option<Duration>) {
         let Connection { mut sender, server, .. } = connection;
         if sender.is_closed() {
             return;
@@ -166,12 +174,12 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: &ServerStart) {
+    pub fn close_idle(&self, server: &ServerInstance) {
         self.idle.borrow_mut().remove(server);
     }
 
     /// Closes idle connections that are too old, and all to servers other than `known`.
-    pub fn sweep(&self, known: impl Fn(&ServerStart) -> bool) {
+    pub fn evict_idle(&self, known: impl Fn(&ServerInstance) -> bool) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
--- a/lib/src/serve/pooled_client.rs
+++ b/lib/src/serve/pooled_client.rs
@@ -7,34 +7,34 @@
 use bytes::Bytes;
 use http::Request;
 
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::server_instance::ServerInstance;
 use crate::serve::call::call;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::engine_client::CallResult;
-use crate::serve::engine_client::EngineCalls;
+use crate::serve::engine_client::EngineClient;
 use crate::store::LocalFuture;
 
 /// Calls engines over the connections of a daemon.
 #[derive(Debug)]
 pub struct PooledCalls {
-    entry: Rc<Entry>,
+    daemon: Rc<DaemonState>,
 }
 
 impl PooledCalls {
     /// Uses the connections of a daemon.
-    pub fn new(entry: Rc<Entry>) -> Self {
-        Self { entry }
+    pub fn new(daemon: Rc<DaemonState>) -> Self {
+        Self { daemon }
     }
 }
 
-impl EngineCalls for PooledCalls {
+impl EngineClient for PooledCalls {
     fn call<'a>(
         &'a self,
-        engine: &'a ServerStart,
+        engine: &'a ServerInstance,
         addr: SocketAddr,
         request: Request<Bytes>,
         limit: Duration,
     ) -> LocalFuture<'a, CallResult> {
-        Box::pin(call(&self.entry.pool, engine, addr, request, limit))
+        Box::pin(call(&self.daemon.pool, engine, addr, request, limit))
     }
 }
--- a/lib/src/serve/store_calls.rs
+++ b/lib/src/serve/store_calls.rs
@@ -5,7 +5,7 @@
 use tokio::time::timeout;
 
 use crate::boot_clock::Moment;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::store::Feed;
 use crate::store::LocalFuture;
 use crate::store::StoreError;
@@ -15,20 +15,20 @@
 /// # Errors
 ///
 /// As the call.
-pub async fn noted<T>(
-    entry: &Entry,
+pub async fn track_call<T>(
+    daemon: &DaemonState,
     feed: Feed,
     call: LocalFuture<'_, Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    let sent = entry.now();
+    let sent = daemon.now();
     let result = call.await;
     let outcome = result.as_ref().map_or_else(StoreError::name, |_| "done");
-    entry.metrics.called_store(feed.name(), outcome);
+    daemon.metrics.record_store_call(feed.name(), outcome);
     match &result {
-        Ok(_) => answered(entry, feed, sent),
+        Ok(_) => answered(daemon, feed, sent),
         // An answer as well, and no sign of trouble.
-        Err(StoreError::Expired | StoreError::Moved) => {}
-        Err(error) => failed(entry, feed, sent, error),
+        Err(StoreError::Expired | StoreError::EndMismatch) => {}
+        Err(error) => failed(daemon, feed, sent, error),
     }
     result
 }
@@ -41,33 +41,33 @@
 /// # Errors
 ///
 /// As the call, and where it was given up.
-pub async fn noted_read<T>(
-    entry: &Entry,
+pub async fn track_read<T>(
+    daemon: &DaemonState,
     feed: Feed,
     call: LocalFuture<'_, Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    let sent = entry.now();
+    let sent = daemon.now();
     tokio::select! {
         biased;
-        result = noted(entry, feed, call) => result,
-        () = silence_ended(entry, sent) => {
-            Err(give_up(entry, feed, sent, "a later call was answered"))
+        result = track_call(daemon, feed, call) => result,
+        () = silence_ended(daemon, sent) => {
+            Err(abandon_call(daemon, feed, sent, "a later call was answered"))
         }
     }
 }
 
 /// Waits before a call that failed is made again, until the time is over or a silence of the store ends; returns whether
 /// it was the latter.
-pub async fn pause_after(entry: &Entry, sent: Moment, pause: Duration) -> bool {
-    let left = (sent + pause).saturating_sub(entry.now());
-    timeout(left, silence_ended(entry, sent)).await.is_ok()
+pub async fn backoff_after(daemon: &DaemonState, sent: Moment, pause: Duration) -> bool {
+    let left = (sent + pause).saturating_sub(daemon.now());
+    timeout(left, silence_ended(daemon, sent)).await.is_ok()
 }
 
 /// Waits until the answer to a call that was sent later ends a silence of the store.
-async fn silence_ended(entry: &Entry, sent: Moment) {
+async fn silence_ended(daemon: &DaemonState, sent: Moment) {
     loop {
-        let back = entry.store_back.notified();
-        if sent < entry.contact.borrow().back() {
+        let back = daemon.store_recovered.notified();
+        if sent < daemon.store_health.borrow().recovered_at() {
             return;
         }
         back.await;
@@ -75,31 +75,36 @@
 }
 
 /// Notes that a call is given up.
-pub fn give_up(entry: &Entry, feed: Feed, sent: Moment, reason: &'static str) -> StoreError {
-    entry.metrics.called_store(feed.name(), "given up");
-    slog::info!(entry.log, "store-call-given-up"; "feed" => %feed, "reason" => reason,
-        "config" => entry.config_version(),
-        "call_ms" => entry.now().saturating_sub(sent).as_millis());
-    StoreError::Doubtful(reason.to_owned())
+pub fn abandon_call(
+    daemon: &DaemonState,
+    feed: Feed,
+    sent: Moment,
+    reason: &'static str,
+) -> StoreError {
+    daemon.metrics.record_store_call(feed.name(), "given up");
+    slog::info!(daemon.log, "store-call-given-up"; "feed" => %feed, "reason" => reason,
+        "config" => daemon.config_version(),
+        "call_ms" => daemon.now().saturating_sub(sent).as_millis());
+    StoreError::UnknownOutcome(reason.to_owned())
 }
 
-fn answered(entry: &Entry, feed: Feed, sent: Moment) {
-    let now = entry.now();
-    entry.store_seen.set(now);
-    if let Some(away) = entry.contact.borrow_mut().answered(feed, sent, now) {
-        entry.store_back.notify_waiters();
-        slog::info!(entry.log, "dependency-regained"; "dependency" => "store", "feed" => %feed,
+fn answered(daemon: &DaemonState, feed: Feed, sent: Moment) {
+    let now = daemon.now();
+    daemon.store_answered.set(now);
+    if let Some(away) = daemon.store_health.borrow_mut().record_answer(feed, sent, now) {
+        daemon.store_recovered.notify_waiters();
+        slog::info!(daemon.log, "dependency-regained"; "dependency" => "store", "feed" => %feed,
             "away_ms" => away.as_millis(), "call_ms" => now.saturating_sub(sent).as_millis());
     }
 }
 
-fn failed(entry: &Entry, feed: Feed, sent: Moment, error: &StoreError) {
-    let now = entry.now();
-    let mut contact = entry.contact.borrow_mut();
-    if contact.failed(feed, matches!(error, StoreError::Doubtful(_))) {
-        slog::warn!(entry.log, "dependency-lost"; "dependency" => "store", "feed" => %feed,
+fn failed(daemon: &DaemonState, feed: Feed, sent: Moment, error: &StoreError) {
+    let now = daemon.now();
+    let mut contact = daemon.store_health.borrow_mut();
+    if contact.record_failure(feed, matches!(error, StoreError::UnknownOutcome(_))) {
+        slog::warn!(daemon.log, "dependency-lost"; "dependency" => "store", "feed" => %feed,
             "error" => %error, "call_ms" => now.saturating_sub(sent).as_millis(),
             "feed_seen_ms_ago" => contact.silence(feed, now).as_millis(),
-            "seen_ms_ago" => now.saturating_sub(entry.store_seen.get()).as_millis());
+            "seen_ms_ago" => now.saturating_sub(daemon.store_answered.get()).as_millis());
     }
 }
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -12,24 +12,24 @@
 use tokio::time::timeout;
 
 use crate::cluster::fingerprint::Fingerprint;
-use crate::cluster::quarantine::HELD_FOR;
+use crate::cluster::quarantine::HOLD_TIME;
 use crate::cluster::quarantine_report::CrashId;
-use crate::cluster::quarantine_report::Passed;
-use crate::cluster::quarantine_report::QuarantineNote;
-use crate::cluster::quarantine_report::Stage;
-use crate::cluster::server_instance::ServerStart;
+use crate::cluster::quarantine_report::CrashStage;
+use crate::cluster::quarantine_report::QuarantineReport;
+use crate::cluster::quarantine_report::RequestProgress;
+use crate::cluster::server_instance::ServerInstance;
 use crate::placement::entries;
 use crate::serve::attempt::Attempt;
-use crate::serve::daemon_state::Entry;
+use crate::serve::daemon_state::DaemonState;
 use crate::serve::reply::Refusal;
-use crate::serve::send::Break;
+use crate::serve::send::Disconnect;
 use crate::serve::send::SendFailure;
-use crate::serve::store_calls::noted;
+use crate::serve::store_calls::track_call;
 use crate::store::Feed;
 use crate::store::FeedRecord;
 
 /// Why a request is held, for the log and its caller.
-pub const HELD: &str = "servers crash under this request";
+pub const QUARANTINED_REASON: &str = "servers crash under this request";
 /// Time in which a host says that nothing listens at a port: some round trips between data centres.
 const REFUSAL_TIME: Duration = Duration::from_millis(100);
 /// Events go on for a while once the first one is older than this.
@@ -44,37 +44,37 @@
     crashes: Vec<CrashId>,
 }
 
-impl Entry {
+impl DaemonState {
     /// Returns whether a request may go to no server; asking keeps it held.
-    pub fn is_held(&self, print: &Fingerprint) -> bool {
-        self.quarantine.borrow_mut().is_held(print, self.now())
+    pub fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
+        self.quarantine.borrow_mut().is_held(fingerprint, self.now())
     }
 
     /// Takes in how far a server came with a request.
-    pub fn note_passed(&self, attempt: &Attempt, passed: Passed) {
-        if self.quarantine.borrow_mut().passed(attempt.print, passed, self.now()) {
-            self.crash_news.notify_one();
+    pub fn record_passed(&self, attempt: &Attempt, passed: RequestProgress) {
+        if self.quarantine.borrow_mut().record_progress(attempt.fingerprint, passed, self.now()) {
+            self.quarantine_changed.notify_one();
         }
     }
 
     /// Takes in that events of a stream have just come.
-    pub fn note_events(&self, attempt: &mut Attempt) {
+    pub fn record_events(&self, attempt: &mut Attempt) {
         if attempt.young_since.is_some_and(|first| self.now() >= first + YOUNG) {
             attempt.young_since = None;
-            self.note_passed(attempt, Passed::Young);
+            self.record_passed(attempt, RequestProgress::Streaming);
         }
     }
 
     /// Returns the answer to a request that is held.
-    pub fn held_refusal(self: &Rc<Self>, attempt: &Attempt) -> Option<Refusal> {
-        judge(self, attempt.print);
-        let is_held = self.is_held(&attempt.print);
-        is_held.then(|| Refusal::failed(attempt.verdict, HELD, HELD_FOR))
+    pub fn quarantine_refusal(self: &Rc<Self>, attempt: &Attempt) -> Option<Refusal> {
+        judge(self, attempt.fingerprint);
+        let is_held = self.is_quarantined(&attempt.fingerprint);
+        is_held.then(|| Refusal::failed(attempt.verdict, QUARANTINED_REASON, HOLD_TIME))
     }
 
     /// Returns whether servers crashed under a request that nobody cleared of it.
-    pub fn is_suspect(&self, print: &Fingerprint) -> bool {
-        !self.quarantine.borrow().crashed_by(print).is_empty()
+    pub fn is_suspect(&self, fingerprint: &Fingerprint) -> bool {
+        !self.quarantine.borrow().suspected_crashes(fingerprint).is_empty()
     }
 }
 
@@ -82,117 +82,132 @@
 ///
 /// A server that crashed refuses connections; one that only lost this connection, gives wrong answers or is cut off
 /// does not, and one that is leaving ends as planned.
-pub async fn note_failure(entry: &Rc<Entry>, attempt: &Attempt, failure: &SendFailure) {
-    let (Some(broke), Some(server)) = (failure.broke, attempt.last.clone()) else { return };
-    let Some(addr) = address(entry, &server) else { return };
-    let stage = stage(entry, attempt, broke);
-    let is_known = entry.quarantine.borrow().has_crashed(&server, attempt.sent);
-    if is_known || refuses(entry, &server, addr).await {
-        note_crash(entry, attempt, &server, stage);
+pub async fn check_for_crash(daemon: &Rc<DaemonState>, attempt: &Attempt, failure: &SendFailure) {
+    let (Some(broke), Some(server)) = (failure.disconnect, attempt.last_server.clone()) else {
+        return;
+    };
+    let Some(addr) = address(daemon, &server) else { return };
+    let stage = stage(daemon, attempt, broke);
+    let is_known = daemon.quarantine.borrow().has_crashed(&server, attempt.sent_at);
+    if is_known || refuses(daemon, &server, addr).await {
+        note_crash(daemon, attempt, &server, stage);
     }
 }
 
 /// Where a server listens, unless it is known to be leaving or gone.
-fn address(entry: &Entry, server: &ServerStart) -> Option<SocketAddr> {
-    let directory = entry.directory.borrow();
+fn address(daemon: &DaemonState, server: &ServerInstance) -> Option<SocketAddr> {
+    let directory = daemon.directory.borrow();
     let known = directory.get(&server.id).filter(|s| s.born == server.born && !s.leaving);
     known.map(|s| s.addr)
 }
 
-fn stage(entry: &Entry, attempt: &Attempt, broke: Break) -> Stage {
-    match (broke, attempt.first) {
-        (Break::Answering, None) => Stage::Begun,
-        (Break::Answering, Some(first)) if entry.now() < first + YOUNG => Stage::Young,
-        _ => Stage::Other,
+fn stage(daemon: &DaemonState, attempt: &Attempt, broke: Disconnect) -> CrashStage {
+    match (broke, attempt.first_event) {
+        (Disconnect::AfterHead, None) => CrashStage::BeforeEvents,
+        (Disconnect::AfterHead, Some(first)) if daemon.now() < first + YOUNG => {
+            CrashStage::FirstEvent
+        }
+        _ => CrashStage::Other,
     }
 }
 
 /// Returns whether a server refuses connections. One that takes this connection gets the next request on it.
-async fn refuses(entry: &Entry, server: &ServerStart, addr: SocketAddr) -> bool {
-    match timeout(REFUSAL_TIME, entry.pool.open_idle(server, addr)).await {
+async fn refuses(daemon: &DaemonState, server: &ServerInstance, addr: SocketAddr) -> bool {
+    match timeout(REFUSAL_TIME, daemon.pool.open_idle(server, addr)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(())) | Err(_) => false,
     }
 }
 
-fn note_crash(entry: &Rc<Entry>, attempt: &Attempt, server: &ServerStart, stage: Stage) {
-    let print = attempt.print;
-    let mut quarantine = entry.quarantine.borrow_mut();
-    let is_held = quarantine.crashed(server, attempt.sent, print, stage, entry.now());
-    let crashes = quarantine.crashed_by(&print).len();
+fn note_crash(
+    daemon: &Rc<DaemonState>,
+    attempt: &Attempt,
+    server: &ServerInstance,
+    stage: CrashStage,
+) {
+    let fingerprint = attempt.fingerprint;
+    let mut quarantine = daemon.quarantine.borrow_mut();
+    let is_held =
+        quarantine.record_crash(server, attempt.sent_at, fingerprint, stage, daemon.now());
+    let crashes = quarantine.suspected_crashes(&fingerprint).len();
     drop(quarantine);
-    if stage < Stage::Other || crashes > 1 {
-        slog::info!(entry.log, "request-suspected"; "print" => %print, "server" => %server,
+    if stage < CrashStage::Other || crashes > 1 {
+        slog::info!(daemon.log, "request-suspected"; "print" => %fingerprint, "server" => %server,
             "stage" => stage.name(), "crashes" => crashes);
     }
-    if stage == Stage::Begun {
-        entry.crash_news.notify_one();
+    if stage == CrashStage::BeforeEvents {
+        daemon.quarantine_changed.notify_one();
     }
     if is_held {
-        hold(entry, print);
+        hold(daemon, fingerprint);
     }
 }
 
 /// Holds a request if what peers have told since is enough.
-fn judge(entry: &Rc<Entry>, print: Fingerprint) {
-    let is_held = entry.quarantine.borrow_mut().judge(print, entry.now());
+fn judge(daemon: &Rc<DaemonState>, fingerprint: Fingerprint) {
+    let is_held = daemon.quarantine.borrow_mut().evaluate(fingerprint, daemon.now());
     if is_held {
-        hold(entry, print);
+        hold(daemon, fingerprint);
     }
 }
 
 /// Tells everybody of a request that this daemon holds from now on.
-fn hold(entry: &Rc<Entry>, print: Fingerprint) {
-    entry.crash_news.notify_one();
-    note_held(entry, print, "own");
-    spawn_local(store_held(Rc::clone(entry), print));
+fn hold(daemon: &Rc<DaemonState>, fingerprint: Fingerprint) {
+    daemon.quarantine_changed.notify_one();
+    note_held(daemon, fingerprint, "own");
+    spawn_local(store_held(Rc::clone(daemon), fingerprint));
 }
 
-fn note_held(entry: &Entry, print: Fingerprint, from: &str) {
-    let quarantine = entry.quarantine.borrow();
+fn note_held(daemon: &DaemonState, fingerprint: Fingerprint, from: &str) {
+    let quarantine = daemon.quarantine.borrow();
     let servers: Vec<_> =
-        quarantine.crashed_by(&print).iter().map(|c| c.server.id.as_str()).collect();
-    slog::warn!(entry.log, "request-held"; "print" => %print, "from" => from,
+        quarantine.suspected_crashes(&fingerprint).iter().map(|c| c.server.id.as_str()).collect();
+    slog::warn!(daemon.log, "request-held"; "print" => %fingerprint, "from" => from,
         "servers" => servers.join(","), "held" => quarantine.held().count());
-    entry.metrics.held(quarantine.held().count());
+    daemon.metrics.set_quarantined(quarantine.held().count());
 }
 
 /// Takes in what a peer knows of such requests.
-pub fn hear(entry: &Rc<Entry>, note: &QuarantineNote, from: &str) {
-    let held = entry.quarantine.borrow_mut().hear(note, entry.now());
-    for print in held {
-        note_held(entry, print, from);
+pub fn receive_note(daemon: &Rc<DaemonState>, note: &QuarantineReport, from: &str) {
+    let held = daemon.quarantine.borrow_mut().merge(note, daemon.now());
+    for fingerprint in held {
+        note_held(daemon, fingerprint, from);
         // It may be that no daemon holds it by what it saw itself. One record is enough.
-        if entry.fence().is_some() {
-            spawn_local(store_held(Rc::clone(entry), print));
+        if daemon.fence().is_some() {
+            spawn_local(store_held(Rc::clone(daemon), fingerprint));
         }
     }
 }
 
 /// Lets go of requests that nobody has asked for in a long time.
-pub fn sweep(entry: &Rc<Entry>) {
-    let released = entry.quarantine.borrow_mut().sweep(entry.now());
-    for print in released {
-        slog::info!(entry.log, "request-released"; "print" => %print);
-        entry.metrics.held(entry.quarantine.borrow().held().count());
+pub fn release_expired(daemon: &Rc<DaemonState>) {
+    let released = daemon.quarantine.borrow_mut().sweep(daemon.now());
+    for fingerprint in released {
+        slog::info!(daemon.log, "request-released"; "print" => %fingerprint);
+        daemon.metrics.set_quarantined(daemon.quarantine.borrow().held().count());
         // One record is enough.
-        if entry.fence().is_some() {
-            spawn_local(append(Rc::clone(entry), FeedRecord { key: print.key(), value: None }));
+        if daemon.fence().is_some() {
+            spawn_local(append(
+                Rc::clone(daemon),
+                FeedRecord { key: fingerprint.key(), value: None },
+            ));
         }
     }
 }
 
 /// Writes a held request to the store, since all daemons may be replaced at once.
-async fn store_held(entry: Rc<Entry>, print: Fingerprint) {
-    let crashes = entry.quarantine.borrow().crashed_by(&print).into_iter().cloned().collect();
+async fn store_held(daemon: Rc<DaemonState>, fingerprint: Fingerprint) {
+    let crashes =
+        daemon.quarantine.borrow().suspected_crashes(&fingerprint).into_iter().cloned().collect();
     let held = HeldEntry { crashes };
-    append(entry, FeedRecord { key: print.key(), value: Some(entries::write(&held)) }).await;
+    append(daemon, FeedRecord { key: fingerprint.key(), value: Some(entries::encode(&held)) })
+        .await;
 }
 
-async fn append(entry: Rc<Entry>, record: FeedRecord) {
+async fn append(daemon: Rc<DaemonState>, record: FeedRecord) {
     loop {
-        let call = entry.store.append(Feed::Quarantine, record.clone(), None);
-        if noted(&entry, Feed::Quarantine, call).await.is_ok() {
+        let call = daemon.store.append(Feed::Quarantine, record.clone(), None);
+        if track_call(&daemon, Feed::Quarantine, call).await.is_ok() {
             return;
         }
         sleep(STORE_PAUSE).await;
@@ -200,24 +215,24 @@
 }
 
 /// Reads which requests were held before this daemon started.
-pub async fn recall(entry: Rc<Entry>) {
+pub async fn load_quarantine(daemon: Rc<DaemonState>) {
     loop {
-        let call = entry.store.newest(Feed::Quarantine);
-        let Ok(batch) = noted(&entry, Feed::Quarantine, call).await else {
+        let call = daemon.store.list_latest(Feed::Quarantine);
+        let Ok(batch) = track_call(&daemon, Feed::Quarantine, call).await else {
             sleep(STORE_PAUSE).await;
             continue;
         };
-        entry.note_batch(Feed::Quarantine, &batch);
+        daemon.log_unreadable_records(Feed::Quarantine, &batch);
         for record in &batch.records {
             if record.value.is_none() {
                 continue;
             }
             match Fingerprint::try_from(record.key.as_str()) {
-                Ok(print) => {
-                    entry.quarantine.borrow_mut().hold(print, entry.now());
-                    note_held(&entry, print, "store");
+                Ok(fingerprint) => {
+                    daemon.quarantine.borrow_mut().hold(fingerprint, daemon.now());
+                    note_held(&daemon, fingerprint, "store");
                 }
-                Err(error) => entry.note_unread(Feed::Quarantine, &record.key, &error.0),
+                Err(error) => daemon.log_unreadable(Feed::Quarantine, &record.key, &error.0),
             }
         }
         return;
--- a/lib/src/serve/trials.rs
+++ b/lib/src/serve/trials.rs
@@ -12,8 +12,8 @@
 
 use crate::boot_clock::Moment;
 use crate::cluster::fingerprint::Fingerprint;
-use crate::cluster::server_instance::ServerStart;
-use crate::cluster::trial_report::TrialNote;
+use crate::cluster::server_instance::ServerInstance;
+use crate::cluster::trial_report::TrialReport;
 use crate::ids::DaemonId;
 
 /// A peer's word on its suspects counts for this long: two digests.
@@ -28,14 +28,14 @@
 #[derive(Debug)]
 struct OwnTrial {
     since: Moment,
-    note: TrialNote,
+    note: TrialReport,
 }
 
 #[derive(Debug, Default)]
 struct Tables {
     begun: TrialNumber,
     own: BTreeMap<TrialNumber, OwnTrial>,
-    peers: HashMap<DaemonId, (Moment, Vec<TrialNote>)>,
+    peers: HashMap<DaemonId, (Moment, Vec<TrialReport>)>,
 }
 
 /// Suspects that wait for their turn, or that an engine has without an event yet.
@@ -55,23 +55,23 @@
 
 impl Trials {
     /// Begins the wait of a suspect for its turn.
-    pub fn wait(&self, print: Fingerprint, now: Moment) -> Trial {
+    pub fn enqueue(&self, fingerprint: Fingerprint, now: Moment) -> Trial {
         let mut tables = self.tables.borrow_mut();
         tables.begun += 1;
         let number = tables.begun;
-        let note = TrialNote { print, server: None };
+        let note = TrialReport { fingerprint, server: None };
         tables.own.insert(number, OwnTrial { since: now, note });
         self.changed.notify_one();
         Trial { trials: self.clone(), number }
     }
 
     /// Returns this daemon's, for peers.
-    pub fn own(&self) -> Vec<TrialNote> {
+    pub fn own(&self) -> Vec<TrialReport> {
         self.tables.borrow().own.values().map(|own| own.note.clone()).collect()
     }
 
     /// Takes in a peer's; returns whether it had others before.
-    pub fn heard(&self, peer: &DaemonId, notes: Vec<TrialNote>, now: Moment) -> bool {
+    pub fn update_peer(&self, peer: &DaemonId, notes: Vec<TrialReport>, now: Moment) -> bool {
         let mut tables = self.tables.borrow_mut();
         if notes.is_empty() {
             return tables.peers.remove(peer).is_some();
@@ -82,7 +82,7 @@
     }
 
     /// Returns the servers that should get no other suspect now.
-    pub fn servers(&self, now: Moment) -> Vec<ServerStart> {
+    pub fn occupied_servers(&self, now: Moment) -> Vec<ServerInstance> {
         let tables = self.tables.borrow();
         let peers = tables.fresh(now).map(|(_, note)| note);
         let own = tables.own.values().map(|own| &own.note);
@@ -94,41 +94,43 @@
     ///
     /// The order of daemons differs from request to request. All work it out from what they hear, so that copies that
     /// waited for the same model do not go off together.
-    pub fn is_next(&self, trial: &Trial, daemon: &str, now: Moment) -> bool {
+    pub fn is_next(&self, trial: &Trial, daemon_id: &str, now: Moment) -> bool {
         let tables = self.tables.borrow();
-        let Some(OwnTrial { since, note: TrialNote { print, .. } }) = tables.own.get(&trial.number)
+        let Some(OwnTrial { since, note: TrialReport { fingerprint, .. } }) =
+            tables.own.get(&trial.number)
         else {
             return false;
         };
-        let mut own = tables.own.iter().filter(|(_, own)| own.note.print == *print);
+        let mut own = tables.own.iter().filter(|(_, own)| own.note.fingerprint == *fingerprint);
         let is_first = own.all(|(n, own)| *n >= trial.number && own.note.server.is_none());
-        let own_rank = rank(print, daemon);
-        let mut copies = tables.fresh(now).filter(|(_, note)| note.print == *print);
+        let own_rank = rank(fingerprint, daemon_id);
+        let mut copies = tables.fresh(now).filter(|(_, note)| note.fingerprint == *fingerprint);
         is_first
             && now >= *since + HEARD_WITHIN
-            && copies.all(|(peer, note)| note.server.is_none() && rank(print, peer) > own_rank)
+            && copies
+                .all(|(peer, note)| note.server.is_none() && rank(fingerprint, peer) > own_rank)
     }
 }
 
 impl Tables {
     /// Returns peers' trials, as far as their word still counts.
-    fn fresh(&self, now: Moment) -> impl Iterator<Item = (&DaemonId, &TrialNote)> {
+    fn fresh(&self, now: Moment) -> impl Iterator<Item = (&DaemonId, &TrialReport)> {
         let fresh = self.peers.iter().filter(move |(_, (at, _))| now <= *at + PEER_FRESH);
         fresh.flat_map(|(peer, (_, notes))| notes.iter().map(move |note| (peer, note)))
     }
 }
 
 /// A daemon's place among those that have copies of a request; the lowest comes first.
-fn rank(print: &Fingerprint, daemon: &str) -> u64 {
+fn rank(fingerprint: &Fingerprint, daemon_id: &str) -> u64 {
     let mut hasher = Xxh3::new();
-    hasher.update(print.key().as_bytes());
-    hasher.update(daemon.as_bytes());
+    hasher.update(fingerprint.key().as_bytes());
+    hasher.update(daemon_id.as_bytes());
     hasher.digest()
 }
 
 impl Trial {
     /// Ends the wait: a server gets the request.
-    pub fn begin(&self, server: ServerStart) {
+    pub fn assign(&self, server: ServerInstance) {
         if let Some(own) = self.trials.tables.borrow_mut().own.get_mut(&self.number) {
             own.note.server = Some(server);
         }
--- a/lib/tests/test_starts.rs
+++ b/lib/tests/test_starts.rs
@@ -4,46 +4,46 @@
 
 use bytes::Bytes;
 use comfreymux_lib::boot_clock::Moment;
-use comfreymux_lib::cluster::digest::HeldNote;
-use comfreymux_lib::cluster::digest::LeftNote;
+use comfreymux_lib::cluster::digest::LoadedModelReport;
+use comfreymux_lib::cluster::digest::ServerDeparture;
 use comfreymux_lib::cluster::directory::Change;
-use comfreymux_lib::cluster::directory::Copies;
 use comfreymux_lib::cluster::directory::Directory;
-use comfreymux_lib::cluster::directory::HeldModel;
+use comfreymux_lib::cluster::directory::LoadedModel;
 use comfreymux_lib::cluster::directory::Server;
-use comfreymux_lib::cluster::engine_inventories::Holding;
-use comfreymux_lib::cluster::engine_inventories::Holdings;
-use comfreymux_lib::cluster::latest_instances::StartOrder;
+use comfreymux_lib::cluster::directory::WeightCopies;
+use comfreymux_lib::cluster::engine_inventories::EngineInventories;
+use comfreymux_lib::cluster::engine_inventories::EngineInventory;
+use comfreymux_lib::cluster::latest_instances::InstanceOrder;
 use comfreymux_lib::cluster::server_health::Evidence;
-use comfreymux_lib::cluster::server_health::Health;
-use comfreymux_lib::cluster::server_instance::ServerStart;
-use comfreymux_lib::cluster::workloads::Loads;
-use comfreymux_lib::cluster::workloads::Place;
-use comfreymux_lib::cluster::workloads::ServerWord;
-use comfreymux_lib::cluster::workloads::Work;
-use comfreymux_lib::ids::Birth;
+use comfreymux_lib::cluster::server_health::ServerHealth;
+use comfreymux_lib::cluster::server_instance::ServerInstance;
+use comfreymux_lib::cluster::workloads::ReportedWorkload;
+use comfreymux_lib::cluster::workloads::Workload;
+use comfreymux_lib::cluster::workloads::WorkloadKey;
+use comfreymux_lib::cluster::workloads::Workloads;
+use comfreymux_lib::ids::StartTime;
 use comfreymux_lib::placement::engine_table::AdapterJob;
-use comfreymux_lib::placement::engine_table::Job;
+use comfreymux_lib::placement::engine_table::LoadJob;
 use comfreymux_lib::placement::engine_table::Source;
-use comfreymux_lib::placement::fetch_limiter::StorePace;
+use comfreymux_lib::placement::fetch_limiter::FetchLimiter;
 use comfreymux_lib::protocol::EngineReport;
 use comfreymux_testutils::placing_site::NOW;
 use comfreymux_testutils::placing_site::SERVICE;
 use comfreymux_testutils::placing_site::Site;
 
-const FIRST: Birth = 1_000;
-const SECOND: Birth = 2_000;
-const THIRD: Birth = 3_000;
+const FIRST: StartTime = 1_000;
+const SECOND: StartTime = 2_000;
+const THIRD: StartTime = 3_000;
 
 const fn ms(ms: u64) -> Moment {
     Duration::from_millis(ms)
 }
 
-fn held(name: &str) -> HeldModel {
-    HeldModel { name: name.into(), adapters: Vec::new() }
+fn held(name: &str) -> LoadedModel {
+    LoadedModel { name: name.into(), adapters: Vec::new() }
 }
 
-fn server(born: Option<Birth>, beat: u64, models: &[&str]) -> Server {
+fn server(born: Option<StartTime>, beat: u64, models: &[&str]) -> Server {
     Server {
         id: "e1".into(),
         service: SERVICE.into(),
@@ -52,14 +52,17 @@
         slots: 8,
         leaving: false,
         models: models.iter().map(|m| held(m)).collect(),
-        copies: Copies { memory: models.iter().map(|m| (*m).into()).collect(), disk: Vec::new() },
-        beat,
+        copies: WeightCopies {
+            memory: models.iter().map(|m| (*m).into()).collect(),
+            disk: Vec::new(),
+        },
+        heartbeat: beat,
         born,
     }
 }
 
-fn start(born: Birth) -> ServerStart {
-    ServerStart { id: "e1".into(), born: Some(born) }
+fn start(born: StartTime) -> ServerInstance {
+    ServerInstance { id: "e1".into(), born: Some(born) }
 }
 
 fn put(directory: &mut Directory, server: Server, now: u64) -> Change {
@@ -80,7 +83,7 @@
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &[]), 9_000), Change::Restarted);
     assert!(models(&directory).is_empty());
-    assert_eq!(directory.get("e1").expect("listed").beat, 1);
+    assert_eq!(directory.get("e1").expect("listed").heartbeat, 1);
 }
 
 /// A peer that was cut off relays the entry that it last read. The engine has started again since; the
@@ -93,8 +96,8 @@
     assert_eq!(put(&mut directory, old, 100), Change::None);
     assert!(models(&directory).is_empty());
     let now = directory.get("e1").expect("listed");
-    assert_eq!((now.leaving, now.beat, now.born), (false, 1, Some(SECOND)));
-    assert!(directory.left(ms(100)).is_empty());
+    assert_eq!((now.leaving, now.heartbeat, now.born), (false, 1, Some(SECOND)));
+    assert!(directory.recent_departures(ms(100)).is_empty());
 }
 
 /// An engine crashes twice within a second. The entries arrive out of order: the last start's first,
@@ -107,7 +110,7 @@
     assert_eq!(put(&mut directory, server(Some(SECOND), 2, &["veil"]), 600), Change::None);
     assert_eq!(models(&directory), ["cuff"]);
     assert_eq!(put(&mut directory, server(Some(THIRD), 2, &["cuff"]), 700), Change::None);
-    assert_eq!(directory.get("e1").expect("listed").beat, 2);
+    assert_eq!(directory.get("e1").expect("listed").heartbeat, 2);
 }
 
 /// Only the heartbeat count starts anew while the start is the same: that is an old entry of this start,
@@ -118,7 +121,7 @@
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
     assert_eq!(put(&mut directory, server(Some(FIRST), 1, &[]), 100), Change::None);
     assert_eq!(models(&directory), ["hem"]);
-    assert_eq!(directory.get("e1").expect("listed").beat, 70);
+    assert_eq!(directory.get("e1").expect("listed").heartbeat, 70);
 }
 
 /// Servers that do not tell their start are judged by their heartbeats alone.
@@ -128,7 +131,7 @@
     put(&mut directory, server(None, 70, &["hem"]), 0);
     assert_eq!(put(&mut directory, server(None, 1, &[]), 100), Change::None);
     assert_eq!(
-        directory.leave(&LeftNote { server: "e1".into(), beat: 70 }, ms(100)),
+        directory.apply_departure(&ServerDeparture { server: "e1".into(), heartbeat: 70 }, ms(100)),
         Change::Leaving
     );
     assert_eq!(put(&mut directory, server(None, 71, &[]), 200), Change::None);
@@ -159,8 +162,8 @@
     put(&mut late, server(Some(FIRST), 70, &[]), 0);
     assert_eq!(late.remove("e1", ms(1_000)), Change::Removed);
     put(&mut early, server(Some(SECOND), 1, &[]), 1_500);
-    for left in late.left(ms(1_600)) {
-        assert_eq!(early.leave(&left, ms(1_600)), Change::None);
+    for left in late.recent_departures(ms(1_600)) {
+        assert_eq!(early.apply_departure(&left, ms(1_600)), Change::None);
     }
     assert!(!early.get("e1").expect("listed").leaving);
 }
@@ -171,8 +174,8 @@
 fn left_newer() {
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
-    let note = LeftNote { server: start(SECOND), beat: 1 };
-    assert_eq!(directory.leave(&note, ms(100)), Change::Leaving);
+    let note = ServerDeparture { server: start(SECOND), heartbeat: 1 };
+    assert_eq!(directory.apply_departure(&note, ms(100)), Change::Leaving);
     assert!(models(&directory).is_empty());
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &["hem"]), 200), Change::None);
     assert!(directory.get("e1").expect("listed").leaving);
@@ -199,13 +202,13 @@
 fn word_first() {
     let mut directory = Directory::default();
     put(&mut directory, Server { leaving: true, ..server(Some(FIRST), 70, &["hem"]) }, 0);
-    assert_eq!(directory.hear(&start(SECOND), ms(100)), StartOrder::Newer);
+    assert_eq!(directory.observe_instance(&start(SECOND), ms(100)), InstanceOrder::Newer);
     let now = directory.get("e1").expect("listed");
-    assert_eq!((now.leaving, now.beat, now.born), (false, 0, Some(SECOND)));
-    assert!(now.models.is_empty() && now.copies == Copies::default());
+    assert_eq!((now.leaving, now.heartbeat, now.born), (false, 0, Some(SECOND)));
+    assert!(now.models.is_empty() && now.copies == WeightCopies::default());
     assert!(!directory.is_current(&start(FIRST)));
-    assert_eq!(directory.hear(&start(FIRST), ms(200)), StartOrder::Older);
-    assert_eq!(directory.hear(&start(SECOND), ms(300)), StartOrder::Same);
+    assert_eq!(directory.observe_instance(&start(FIRST), ms(200)), InstanceOrder::Older);
+    assert_eq!(directory.observe_instance(&start(SECOND), ms(300)), InstanceOrder::Same);
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &["cuff"]), 400), Change::Updated);
     assert_eq!(models(&directory), ["cuff"]);
 }
@@ -215,11 +218,11 @@
 #[test]
 fn lapse_ended() {
     let mut directory = Directory::default();
-    directory.read(ms(0));
+    directory.record_read(ms(0));
     put(&mut directory, server(Some(FIRST), 70, &[]), 0);
-    directory.read(ms(9_000));
+    directory.record_read(ms(9_000));
     assert_eq!(directory.remove("e1", ms(9_000)), Change::Lapsed);
-    directory.hear(&start(SECOND), ms(9_500));
+    directory.observe_instance(&start(SECOND), ms(9_500));
     assert!(directory.sweep(ms(12_000)).is_empty());
     assert!(directory.is_current(&start(SECOND)));
 }
@@ -228,53 +231,54 @@
 /// sent there for what the last start held, whatever the number of orders that it had accepted.
 #[test]
 fn holding_older() {
-    let mut holdings = Holdings::default();
-    let note = |name: &str| HeldNote { name: name.into(), adapters: Vec::new() };
-    let holding = |born: Birth, sequence: u64, beat: u64, models: &[&str]| Holding {
-        server: start(born),
-        sequence,
-        beat,
-        models: models.iter().map(|m| note(m)).collect(),
-        coming: Vec::new(),
-    };
+    let mut inventories = EngineInventories::default();
+    let note = |name: &str| LoadedModelReport { name: name.into(), adapters: Vec::new() };
+    let inventory =
+        |born: StartTime, sequence: u64, heartbeat: u64, models: &[&str]| EngineInventory {
+            server: start(born),
+            sequence,
+            heartbeat,
+            models: models.iter().map(|m| note(m)).collect(),
+            pending: Vec::new(),
+        };
     let now = server(Some(SECOND), 1, &[]);
-    assert!(holdings.put(7, holding(FIRST, 12, 70, &["hem"]), ms(0)));
-    assert!(!holdings.holds(&now, "hem", None));
-    assert!(holdings.put(7, holding(SECOND, 1, 1, &["cuff"]), ms(100)));
-    assert!(holdings.put(7, holding(FIRST, 13, 1, &["hem"]), ms(200)));
-    assert!(holdings.holds(&now, "cuff", None) && !holdings.holds(&now, "hem", None));
+    assert!(inventories.put(7, inventory(FIRST, 12, 70, &["hem"]), ms(0)));
+    assert!(!inventories.holds(&now, "hem", None));
+    assert!(inventories.put(7, inventory(SECOND, 1, 1, &["cuff"]), ms(100)));
+    assert!(inventories.put(7, inventory(FIRST, 13, 1, &["hem"]), ms(200)));
+    assert!(inventories.holds(&now, "cuff", None) && !inventories.holds(&now, "hem", None));
 }
 
 /// A crashed server is avoided for up to four seconds. It starts again at once, and the pause of the last
 /// start, or a failure of it that shows late, would keep callers from a sound server.
 #[test]
 fn pause_gone() {
-    let mut health = Health::default();
+    let mut health = ServerHealth::default();
     let service = SERVICE.into();
     for n in 0..8 {
-        health.note(&service, &start(FIRST), ms(n * 5_000), Evidence::Unreachable);
+        health.record(&service, &start(FIRST), ms(n * 5_000), Evidence::Unreachable);
     }
     assert!(health.is_avoided(&start(FIRST), ms(35_100)));
     assert!(!health.is_avoided(&start(SECOND), ms(35_100)));
-    health.note(&service, &start(FIRST), ms(40_000), Evidence::Unreachable);
-    assert!(!health.is_dark(&start(SECOND), ms(40_100)));
+    health.record(&service, &start(FIRST), ms(40_000), Evidence::Unreachable);
+    assert!(!health.is_unreachable(&start(SECOND), ms(40_100)));
 }
 
 /// A server starts again while requests of this daemon and of its peers seem to run there, since their
 /// connections have not broken yet. New requests would avoid the idle server.
 #[test]
 fn loads_apart() {
-    let loads = Loads::default();
-    let place = |born: Birth| Place { server: start(born), model: None };
+    let loads = Workloads::default();
+    let place = |born: StartTime| WorkloadKey { server: start(born), model: None };
     let running = loads.begin(place(FIRST), 500);
-    let work = Work { running: 4, prompt: 900 };
-    loads.heard(&"d2".into(), ms(0), vec![(place(FIRST), work)]);
-    loads.told(&start(FIRST), ms(0), ServerWord { running: 9, waiting: 3, slots: 8 });
+    let work = Workload { running: 4, prompt_tokens: 900 };
+    loads.set_peer(&"d2".into(), ms(0), vec![(place(FIRST), work)]);
+    loads.set_reported(&start(FIRST), ms(0), ReportedWorkload { running: 9, waiting: 3, slots: 8 });
     assert_eq!(loads.at(&start(FIRST), ms(100)).running, 12);
-    assert_eq!(loads.at(&start(SECOND), ms(100)), Work::default());
+    assert_eq!(loads.at(&start(SECOND), ms(100)), Workload::default());
     let again = loads.begin(place(SECOND), 100);
     drop(running);
-    assert_eq!(loads.at(&start(SECOND), ms(200)), Work { running: 1, prompt: 100 });
+    assert_eq!(loads.at(&start(SECOND), ms(200)), Workload { running: 1, prompt_tokens: 100 });
     drop(again);
 }
 
@@ -285,19 +289,19 @@
     let mut site = Site::new(&[("hem", 60_000, 1), ("cuff", 60_000, 0)]);
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
-    assert!(site.ledger.follow(&directory, &site.config, NOW).is_empty());
-    let job = Job {
+    assert!(site.engine_table.follow(&directory, &site.config, NOW).is_empty());
+    let job = LoadJob {
         model: "cuff".into(),
         victims: Vec::new(),
         source: Source::Store,
         since: ms(0),
         eta: ms(6_000),
     };
-    let engine = site.ledger.engine_of(&start(FIRST)).expect("an engine");
+    let engine = site.engine_table.engine_mut(&start(FIRST)).expect("an engine");
     engine.sequence = 12;
     engine.confirmed = true;
     engine.job = Some(job);
-    engine.adapters = vec![AdapterJob {
+    engine.adapter_jobs = vec![AdapterJob {
         model: "hem".into(),
         adapter: "a1".into(),
         victim: None,
@@ -305,20 +309,20 @@
     }];
     engine.used.insert("hem".into(), ms(0));
     put(&mut directory, server(Some(SECOND), 1, &[]), 1_000);
-    assert_eq!(site.ledger.follow(&directory, &site.config, NOW), [start(FIRST)]);
-    assert!(site.ledger.engine_of(&start(FIRST)).is_none());
-    let engine = site.ledger.engine_of(&start(SECOND)).expect("an engine");
-    assert!(engine.models.is_empty() && engine.memory.is_empty() && engine.used.is_empty());
-    assert!(engine.job.is_none() && engine.adapters.is_empty());
+    assert_eq!(site.engine_table.follow(&directory, &site.config, NOW), [start(FIRST)]);
+    assert!(site.engine_table.engine_mut(&start(FIRST)).is_none());
+    let engine = site.engine_table.engine_mut(&start(SECOND)).expect("an engine");
+    assert!(engine.models.is_empty() && engine.memory_copies.is_empty() && engine.used.is_empty());
+    assert!(engine.job.is_none() && engine.adapter_jobs.is_empty());
     assert_eq!((engine.sequence, engine.confirmed), (0, false));
     let report = EngineReport {
         models: Vec::new(),
-        copies: Copies { memory: Vec::new(), disk: vec!["hem".into()] },
+        copies: WeightCopies { memory: Vec::new(), disk: vec!["hem".into()] },
         busy: false,
         sequence: 1,
         born: Some(SECOND),
     };
-    engine.confirm(&report, NOW);
+    engine.apply_report(&report, NOW);
     assert_eq!((engine.sequence, engine.source("hem")), (1, Source::Disk));
 }
 
@@ -329,19 +333,19 @@
     let mut site = Site::new(&[("hem", 60_000, 0)]);
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
-    site.ledger.follow(&directory, &site.config, NOW);
-    site.ledger.engine_of(&start(FIRST)).expect("an engine").sequence = 12;
+    site.engine_table.follow(&directory, &site.config, NOW);
+    site.engine_table.engine_mut(&start(FIRST)).expect("an engine").sequence = 12;
     put(&mut directory, server(Some(SECOND), 40, &["hem"]), 60_000);
-    site.ledger.doubt_all();
-    site.ledger.follow(&directory, &site.config, NOW);
-    assert_eq!(site.ledger.engine_of(&start(SECOND)).expect("an engine").sequence, 0);
+    site.engine_table.invalidate_all();
+    site.engine_table.follow(&directory, &site.config, NOW);
+    assert_eq!(site.engine_table.engine_mut(&start(SECOND)).expect("an engine").sequence, 0);
 }
 
 /// An engine starts again in the middle of a load from the weight store, and loads something else. The
 /// load that is over must neither count beside the new one nor be ended in its place.
 #[test]
 fn pace_apart() {
-    let mut pace = StorePace::new(ms(0));
+    let mut pace = FetchLimiter::new(ms(0));
     pace.begin(&start(FIRST), ms(6_000), 0, ms(0));
     pace.end(&start(FIRST), false, ms(1_000));
     pace.begin(&start(SECOND), ms(6_000), 0, ms(1_000));
@@ -370,14 +374,14 @@
 fn returned_usable() {
     let (mut early, mut late) = entry_ended();
     put(&mut early, server(Some(FIRST), 18, &[]), 13_000);
-    for left in late.left(ms(13_100)) {
-        early.leave(&left, ms(13_100));
+    for left in late.recent_departures(ms(13_100)) {
+        early.apply_departure(&left, ms(13_100));
     }
-    assert_eq!(early.settle(ms(19_200)), ["e1"]);
+    assert_eq!(early.confirm_returns(ms(19_200)), ["e1"]);
     assert!(!early.get("e1").expect("listed").leaving);
     put(&mut early, server(Some(FIRST), 19, &["hem"]), 19_300);
-    for left in late.left(ms(13_900)) {
-        assert_eq!(early.leave(&left, ms(19_400)), Change::None);
+    for left in late.recent_departures(ms(13_900)) {
+        assert_eq!(early.apply_departure(&left, ms(19_400)), Change::None);
     }
     assert!(!early.get("e1").expect("listed").leaving);
 }
@@ -388,11 +392,11 @@
 fn heartbeat_late() {
     let (mut early, mut late) = entry_ended();
     put(&mut early, server(Some(FIRST), 13, &[]), 12_000);
-    for left in late.left(ms(12_100)) {
-        assert_eq!(early.leave(&left, ms(12_100)), Change::Leaving);
+    for left in late.recent_departures(ms(12_100)) {
+        assert_eq!(early.apply_departure(&left, ms(12_100)), Change::Leaving);
     }
     assert_eq!(put(&mut early, server(Some(FIRST), 14, &[]), 12_500), Change::None);
-    assert!(early.settle(ms(17_000)).is_empty());
+    assert!(early.confirm_returns(ms(17_000)).is_empty());
     assert!(early.get("e1").expect("listed").leaving);
 }
 
@@ -403,9 +407,9 @@
     let mut early = Directory::default();
     let (_, mut late) = entry_ended();
     put(&mut early, server(Some(FIRST), 1, &[]), 0);
-    for left in late.left(ms(10_200)) {
-        assert_eq!(early.leave(&left, ms(10_200)), Change::Leaving);
+    for left in late.recent_departures(ms(10_200)) {
+        assert_eq!(early.apply_departure(&left, ms(10_200)), Change::Leaving);
     }
-    assert!(early.settle(ms(60_000)).is_empty());
+    assert!(early.confirm_returns(ms(60_000)).is_empty());
     assert!(early.get("e1").expect("listed").leaving);
 }
