--- a/lib/src/chat.rs
+++ b/lib/src/chat.rs
@@ -126,7 +126,7 @@
         let result = dispatch(node, caller_request, |route, server_request| {
             self.attempt(route, server_request)
         });
-        node.metrics.relayed(self.sent);
+        node.metrics.record_events(self.sent);
         match result {
             Ok(whole) => self.finish(whole),
             Err(DispatchError::Refused(refused)) => self.refuse(&refused),
@@ -177,7 +177,7 @@
     fn start(&mut self) -> Result<StreamWriter, AttemptError> {
         let request = self.request.take().ok_or(AttemptError::CallerGone)?;
         let now = self.node.now();
-        self.node.metrics.first_byte(now.saturating_sub(self.caller_request.arrived));
+        self.node.metrics.record_first_byte(now.saturating_sub(self.caller_request.arrived));
         let headers = [format!("{REQUEST_ID_HEADER}: {}", self.caller_request.id)];
         StreamWriter::start(request.into_writer(), &headers)
             .map_err(|_gone| AttemptError::CallerGone)
@@ -185,7 +185,7 @@
 
     fn finish(mut self, whole: Whole) {
         let (node, caller_request) = (self.node, self.caller_request);
-        node.metrics.answered(caller_request.model(), Verdict::Ran);
+        node.metrics.record_answer(caller_request.model(), Verdict::Ran);
         match (whole, self.request.take(), self.writer.take()) {
             (Whole::Answered(answer), Some(request), _) => {
                 unary::send_response(request, caller_request, &answer, false);
@@ -243,8 +243,8 @@
 
 /// Logs and counts a refusal.
 pub fn record_refusal(node: &Node, caller_request: &CallerRequest, refused: &RequestRefusal) {
-    node.metrics.refused(refused.code);
-    node.metrics.answered(caller_request.model(), refused.verdict);
+    node.metrics.record_refusal(refused.code);
+    node.metrics.record_answer(caller_request.model(), refused.verdict);
     let reason = format!("{} {}: {}", refused.verdict, refused.code, refused.message);
     node.log_routing(&caller_request.id, caller_request.model(), "refuse", "", reason);
 }
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -91,11 +91,11 @@
             Err(AttemptError::Failed(failure)) => failure,
         };
         note_failure(node, caller_request, &route, &failure);
-        history.verdict = history.verdict.and(failure.verdict);
+        history.verdict = history.verdict.combine(failure.verdict);
         history.failures += u32::from(failure.verdict != Verdict::DidNotRun);
         history.tried.push(route.server);
         may_retry(node, caller_request, &history, &failure).map_err(DispatchError::Refused)?;
-        node.metrics.retried();
+        node.metrics.record_retry();
     }
 }
 
@@ -190,7 +190,7 @@
                     caller_request.model(),
                     caller_request.priority,
                 );
-                node.metrics.waited(caller_request.model(), now.saturating_sub(began));
+                node.metrics.record_wait(caller_request.model(), now.saturating_sub(began));
             }
             return Ok(route);
         }
--- a/lib/src/gateway.rs
+++ b/lib/src/gateway.rs
@@ -125,7 +125,7 @@
     if node.is_stopping() {
         let message = "this daemon is stopping; another one will answer";
         let refused = RequestRefusal::retryable(503, "stopping", message, LIMIT_RETRY);
-        node.metrics.refused(refused.code);
+        node.metrics.record_refusal(refused.code);
         reply::send_refusal(request, &id, &refused);
         return;
     }
@@ -134,7 +134,7 @@
         let status = if limit == RequestLimit::Caller { 429 } else { 503 };
         let message = "too many requests are in progress";
         let refused = RequestRefusal::retryable(status, limit.as_str(), message, LIMIT_RETRY);
-        node.metrics.refused(refused.code);
+        node.metrics.record_refusal(refused.code);
         reply::send_refusal(request, &id, &refused);
         return;
     }
@@ -165,7 +165,7 @@
 }
 
 fn refuse(node: &Node, id: &SmolStr, request: Request, refused: &RequestRefusal) {
-    node.metrics.refused(refused.code);
+    node.metrics.record_refusal(refused.code);
     node.log_routing(id, "", "refuse", "", refused.message.clone());
     reply::send_refusal(request, id, refused);
 }
--- a/lib/src/unary.rs
+++ b/lib/src/unary.rs
@@ -51,8 +51,8 @@
     };
     match result {
         Ok(given) => {
-            node.metrics.answered(caller_request.model(), Verdict::Ran);
-            node.metrics.first_byte(node.now().saturating_sub(caller_request.arrived));
+            node.metrics.record_answer(caller_request.model(), Verdict::Ran);
+            node.metrics.record_first_byte(node.now().saturating_sub(caller_request.arrived));
             let reason = if given.replayed { "replayed" } else { "answered" };
             node.log_routing(&caller_request.id, caller_request.model(), "done", "", reason);
             send_response(request, caller_request, &given.answer, given.replayed);
