--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,5 +1,5 @@
-//! Which engine holds which model: demand, the plan, the lease of the one daemon that orders, and
-//! what the engines have accepted.
+//! Decides which engine holds which model: tracks demand and the engines' contents, plans loads,
+//! and manages the lease that lets one daemon order the engines.
 
 pub mod bid_delay;
 pub mod demand;
--- a/lib/src/placement/demand.rs
+++ b/lib/src/placement/demand.rs
@@ -1,4 +1,4 @@
-//! What callers of all daemons ask for, as the holder of the placement lease hears it.
+//! Aggregates the demand that all daemons report to the holder of the placement lease.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,44 +13,46 @@
 use crate::ids::DaemonId;
 use crate::ids::ModelName;
 
-/// Arrivals count for this long in a rate: demand moves to other models within seconds.
-const MEMORY: f64 = 6.0;
-/// The same for a peak, which must show while its first callers are being served. Over two seconds the
-/// arrivals of a model that needs a second replica (four a second) scatter by a third.
-const PEAK_MEMORY: f64 = 2.0;
-/// A daemon's wants count for this long after it told them; it repeats them five times meanwhile.
-const WANT_FRESH: Duration = Duration::from_millis(1200);
-
-/// A model, or an adapter of it, of a service.
+/// Time constant of arrival rates, in seconds; short, since demand moves to other models within
+/// seconds.
+const RATE_WINDOW_S: f64 = 6.0;
+/// Time constant of peak rates, in seconds. A peak must show while its first callers are being served.
+/// Over two seconds, the arrivals of a model that needs a second replica (four a second) vary by a
+/// third.
+const PEAK_WINDOW_S: f64 = 2.0;
+/// How long a daemon's report of queued requests is valid; it is sent five times within this time.
+const REPORT_TTL: Duration = Duration::from_millis(1200);
+
+/// A model of a service, or one of its adapters.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ModelTarget {
     /// The service.
     pub service: ServiceName,
     /// The model.
     pub model: ModelName,
-    /// The adapter, where it is about one.
+    /// The adapter; `None` if the target is the model itself.
     pub adapter: Option<SmolStr>,
 }
 
-/// Requests that wait for an item, over all daemons.
+/// Requests queued for a target, over all daemons.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backlog {
-    /// Waiting requests.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// When the first of them was heard of.
+    /// When the first of them was reported.
     pub since: Moment,
-    /// When the last of them gives up.
+    /// When the last of them times out.
     pub deadline: Moment,
     /// When the last of them becomes late.
     pub due: Moment,
-    /// Engines that some daemon with a waiting request cannot use.
+    /// Engines that no daemon with a queued request can use.
     pub avoid: Vec<ServerInstance>,
 }
 
-/// Items whose times are kept before old ones are cleared.
-const MOST_WANTED: usize = 4096;
+/// When this many targets are tracked, those that are no longer queued are removed.
+const MAX_TARGETS: usize = 4096;
 
-/// Arrivals a second, fading over two times.
+/// Arrivals per second, decaying exponentially with a long and a short time constant.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     value: f64,
@@ -60,29 +62,29 @@
 
 impl Rate {
     fn add(&mut self, now: Moment, count: f64) {
-        self.value = self.get(now) + count / MEMORY;
-        self.peak = self.get_peak(now) + count / PEAK_MEMORY;
+        self.value = self.get(now) + count / RATE_WINDOW_S;
+        self.peak = self.get_peak(now) + count / PEAK_WINDOW_S;
         self.at = now;
     }
 
     fn get(self, now: Moment) -> f64 {
-        self.value * self.faded(now, MEMORY)
+        self.value * self.decay(now, RATE_WINDOW_S)
     }
 
     fn get_peak(self, now: Moment) -> f64 {
-        self.peak * self.faded(now, PEAK_MEMORY)
+        self.peak * self.decay(now, PEAK_WINDOW_S)
     }
 
-    fn faded(self, now: Moment, memory: f64) -> f64 {
+    fn decay(self, now: Moment, window_s: f64) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        (-age / memory).exp()
+        (-age / window_s).exp()
     }
 }
 
 #[derive(Debug)]
-struct Told {
+struct ReportedBacklogs {
     at: Moment,
-    waits: BTreeMap<ModelTarget, Backlog>,
+    backlogs: BTreeMap<ModelTarget, Backlog>,
 }
 
 /// Demand over all daemons.
@@ -90,103 +92,110 @@
 pub struct Demand {
     counts: HashMap<(DaemonId, ModelTarget), u32>,
     rates: BTreeMap<ModelTarget, Rate>,
-    told: HashMap<DaemonId, Told>,
-    /// When each item was first and last wanted; looked through only now and then, as hundreds of
-    /// notes come in a second.
-    wanted: HashMap<ModelTarget, (Moment, Moment)>,
+    reported: HashMap<DaemonId, ReportedBacklogs>,
+    /// When each target was first and last reported as queued. Expired entries are removed only when
+    /// the map is full, as hundreds of reports arrive per second.
+    queued_times: HashMap<ModelTarget, (Moment, Moment)>,
 }
 
 impl Demand {
-    /// Takes in what a daemon says.
-    pub fn update(&mut self, from: &DaemonId, note: DemandReport, now: Moment) {
-        for count in note.arrivals {
-            let item =
+    /// Applies a daemon's report.
+    pub fn update(&mut self, from: &DaemonId, report: DemandReport, now: Moment) {
+        for count in report.arrivals {
+            let target =
                 ModelTarget { service: count.service, model: count.model, adapter: count.adapter };
-            let old = self.counts.insert((from.clone(), item.clone()), count.count);
-            // A daemon that started anew counts from zero; one not heard of before may tell of
-            // arrivals that are long past.
-            let more = match old {
+            let old = self.counts.insert((from.clone(), target.clone()), count.count);
+            // A restarted daemon counts from zero. The first report of an unknown daemon may include
+            // arrivals long past, so at most one of them is counted.
+            let added = match old {
                 Some(old) if count.count >= old => count.count - old,
                 Some(_) => count.count,
                 None => count.count.min(1),
             };
-            if more > 0 {
-                self.rates.entry(item).or_default().add(now, more.into());
+            if added > 0 {
+                self.rates.entry(target).or_default().add(now, added.into());
             }
         }
-        let mut waits = BTreeMap::new();
-        for want in note.queued {
-            let item =
-                ModelTarget { service: want.service, model: want.model, adapter: want.adapter };
-            let since = self.since(&item, now);
-            let deadline = now + Duration::from_millis(want.remaining_ms.into());
-            let due = now + Duration::from_millis(want.due_ms.into());
-            let (waiting, avoid) = (want.waiting, want.avoid);
-            waits.insert(item, Backlog { waiting, since, deadline, due, avoid });
+        let mut backlogs = BTreeMap::new();
+        for queued_item in report.queued {
+            let target = ModelTarget {
+                service: queued_item.service,
+                model: queued_item.model,
+                adapter: queued_item.adapter,
+            };
+            let since = self.queued_since(&target, now);
+            let deadline = now + Duration::from_millis(queued_item.remaining_ms.into());
+            let due = now + Duration::from_millis(queued_item.due_ms.into());
+            let (waiting, avoid) = (queued_item.waiting, queued_item.avoid);
+            backlogs.insert(target, Backlog { waiting, since, deadline, due, avoid });
         }
-        self.told.insert(from.clone(), Told { at: now, waits });
+        self.reported.insert(from.clone(), ReportedBacklogs { at: now, backlogs });
     }
 
-    /// Returns since when an item has been wanted without a pause.
-    fn since(&mut self, item: &ModelTarget, now: Moment) -> Moment {
-        if let Some((first, last)) = self.wanted.get_mut(item) {
-            if now > *last + WANT_FRESH {
+    /// Returns since when a target has been queued without interruption.
+    fn queued_since(&mut self, target: &ModelTarget, now: Moment) -> Moment {
+        if let Some((first, last)) = self.queued_times.get_mut(target) {
+            if now > *last + REPORT_TTL {
                 *first = now;
             }
             *last = now;
             return *first;
         }
-        if self.wanted.len() >= MOST_WANTED {
-            self.wanted.retain(|_, (_, last)| now <= *last + WANT_FRESH);
+        if self.queued_times.len() >= MAX_TARGETS {
+            self.queued_times.retain(|_, (_, last)| now <= *last + REPORT_TTL);
         }
-        self.wanted.insert(item.clone(), (now, now));
+        self.queued_times.insert(target.clone(), (now, now));
         now
     }
 
-    /// Returns what is waited for now.
+    /// Returns the requests queued now, by target.
     pub fn backlogs(&self, now: Moment) -> BTreeMap<ModelTarget, Backlog> {
         let mut all: BTreeMap<ModelTarget, Backlog> = BTreeMap::new();
-        for told in self.told.values().filter(|t| now <= t.at + WANT_FRESH) {
-            for (item, wait) in told.waits.iter().filter(|(_, w)| now < w.deadline) {
-                let sum = all.entry(item.clone()).or_insert_with(|| Backlog {
-                    since: wait.since,
-                    avoid: wait.avoid.clone(),
+        for reported in self.reported.values().filter(|r| now <= r.at + REPORT_TTL) {
+            for (target, backlog) in reported.backlogs.iter().filter(|(_, b)| now < b.deadline) {
+                let sum = all.entry(target.clone()).or_insert_with(|| Backlog {
+                    since: backlog.since,
+                    avoid: backlog.avoid.clone(),
                     ..Backlog::default()
                 });
-                sum.waiting += wait.waiting;
-                sum.since = sum.since.min(wait.since);
-                sum.deadline = sum.deadline.max(wait.deadline);
-                sum.due = sum.due.max(wait.due);
+                sum.waiting += backlog.waiting;
+                sum.since = sum.since.min(backlog.since);
+                sum.deadline = sum.deadline.max(backlog.deadline);
+                sum.due = sum.due.max(backlog.due);
                 // An engine that one daemon cannot use may still serve the others.
-                sum.avoid.retain(|id| wait.avoid.contains(id));
+                sum.avoid.retain(|id| backlog.avoid.contains(id));
             }
         }
         all
     }
 
-    /// Returns arrivals a second of each item.
+    /// Returns each target's arrivals per second.
     pub fn rates(&self, now: Moment) -> impl Iterator<Item = (&ModelTarget, f64)> {
-        self.rates.iter().map(move |(item, rate)| (item, rate.get(now)))
+        self.rates.iter().map(move |(target, rate)| (target, rate.get(now)))
     }
 
-    /// Returns arrivals a second of each item over the last two seconds or so.
+    /// Returns each target's arrivals per second over about the last two seconds.
     pub fn peaks(&self, now: Moment) -> impl Iterator<Item = (&ModelTarget, f64)> {
-        self.rates.iter().map(move |(item, rate)| (item, rate.get_peak(now)))
+        self.rates.iter().map(move |(target, rate)| (target, rate.get_peak(now)))
     }
 
-    /// Returns the daemons with requests that wait for a model or an adapter of it.
+    /// Returns the daemons with requests queued for any of the models or their adapters.
     pub fn waiting_daemons(&self, service: &str, models: &[&str]) -> Vec<&DaemonId> {
-        let is_it = |i: &ModelTarget| i.service == service && models.contains(&i.model.as_str());
-        let waits = |told: &Told| told.waits.keys().any(is_it);
-        self.told.iter().filter(|(_, told)| waits(told)).map(|(id, _)| id).collect()
+        let matches = |t: &ModelTarget| t.service == service && models.contains(&t.model.as_str());
+        let is_waiting = |reported: &ReportedBacklogs| reported.backlogs.keys().any(matches);
+        self.reported
+            .iter()
+            .filter(|(_, reported)| is_waiting(reported))
+            .map(|(id, _)| id)
+            .collect()
     }
 
-    /// Returns arrivals a second of an item.
-    pub fn item_rate(&self, item: &ModelTarget, now: Moment) -> f64 {
-        self.rates.get(item).map_or(0.0, |r| r.get(now))
+    /// Returns a target's arrivals per second.
+    pub fn target_rate(&self, target: &ModelTarget, now: Moment) -> f64 {
+        self.rates.get(target).map_or(0.0, |r| r.get(now))
     }
 
-    /// Returns whether anything was ever asked for.
+    /// Returns whether no arrival was ever reported.
     pub fn is_empty(&self) -> bool {
         self.rates.is_empty()
     }
--- a/lib/src/placement/engine_table.rs
+++ b/lib/src/placement/engine_table.rs
@@ -1,4 +1,4 @@
-//! What the engines hold, by their own word and by the orders that they accepted.
+//! Tracks what the engines hold, from their reports and the orders that they accepted.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -34,7 +34,7 @@
 }
 
 impl Source {
-    /// Returns its name in metrics.
+    /// Returns the name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Memory => "memory",
@@ -44,76 +44,77 @@
     }
 }
 
-/// Time after a change at an engine within which its entry may still be of the time before.
+/// After a change at an engine, its directory entry may be outdated for this long.
 const ENTRY_LAG: Duration = Duration::from_secs(2);
-/// Reports in a row that count fewer orders than believed after which they are taken in: their age is many times less
-/// than the time between so many.
-const REPORTS_BEHIND: u8 = 4;
+/// A report that counts fewer orders than this daemon is applied if it is at least the fourth such report in a row: a
+/// report's age is many times less than the time between four of them.
+const STALE_REPORT_LIMIT: u8 = 4;
 
-/// A change of models that is under way at an engine.
+/// A load in progress at an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadJob {
-    /// The model that comes.
+    /// The model being loaded.
     pub model: ModelName,
-    /// Models that make way.
+    /// Models that are evicted.
     pub victims: Vec<ModelName>,
     /// Where the weights come from.
     pub source: Source,
-    /// When it began.
+    /// When the load began.
     pub since: Moment,
-    /// When it should be done.
+    /// When the load is expected to end.
     pub eta: Moment,
 }
 
-/// An adapter that is under way to an engine.
+/// An adapter that is being loaded into an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdapterJob {
-    /// Its model.
+    /// The adapter's model.
     pub model: ModelName,
     /// The adapter.
     pub adapter: SmolStr,
-    /// Model and adapter that make way.
+    /// Model and adapter that are evicted.
     pub victim: Option<(ModelName, SmolStr)>,
-    /// When it should be done.
+    /// When the load is expected to end.
     pub eta: Moment,
 }
 
-/// One engine.
+/// State of one engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Its newest entry.
+    /// Its newest directory entry.
     pub server: Rc<Server>,
     /// Models that it holds.
     pub models: Vec<LoadedModel>,
-    /// Orders that it accepted. While it is `confirmed`, `models` and what is under way are what it holds after exactly
-    /// these, now or at an earlier time: an order that expects this number and fits can never overfill it.
+    /// Number of orders that it accepted. While `confirmed` is set, `models` and the loads in progress describe the
+    /// engine after exactly these orders, now or at an earlier time. An order that expects this number and fits can
+    /// therefore never exceed the engine's memory.
     pub sequence: u64,
     /// Models with copies in the host's memory.
     pub memory_copies: Vec<ModelName>,
     /// Models with copies on the host's disk.
     pub disk_copies: Vec<ModelName>,
-    /// Whether `sequence` and `models` stand together by its report and by answers that followed it. No order is
-    /// given without that.
+    /// Whether `sequence` and `models` match, by the engine's report and the responses after it. No order is sent
+    /// otherwise.
     pub confirmed: bool,
-    /// Whether orders that expect `sequence` may still be on their way: of a change that was given up, or of an earlier
-    /// lease holder. Once the engine has accepted an order that expects it, they are in vain.
+    /// Whether orders that expect `sequence` may still arrive, from a cancelled change or an earlier lease holder. Once
+    /// the engine has accepted an order that expects `sequence`, it refuses these.
     pub orders_inflight: bool,
-    /// Reports in a row that counted fewer orders.
+    /// Number of consecutive reports that counted fewer orders.
     pub stale_reports: u8,
     /// When `models` was last changed or confirmed.
     pub changed: Moment,
-    /// The newest heartbeat whose entry `models` was compared with.
+    /// Newest heartbeat whose directory entry was compared with `models`.
     pub compared: u64,
-    /// A change of models under way.
+    /// The load in progress.
     pub job: Option<LoadJob>,
-    /// Whether its last report told of a change that this daemon did not order: the lease holder before did, and it
-    /// may be a load from the weight store.
+    /// Whether the last report showed a change that this daemon did not order. The previous lease holder ordered it,
+    /// and it may be a load from the weight store.
     pub reported_busy: bool,
-    /// Adapters under way.
+    /// Adapters being loaded.
     pub adapter_jobs: Vec<AdapterJob>,
-    /// When each model was last put to use or loaded.
+    /// When each model was last used or loaded.
     pub used: BTreeMap<ModelName, Moment>,
-    /// No new change before this, after one that failed.
+    /// No new change is ordered before this time, after a failed one.
     pub backoff_until: Moment,
 }
 
@@ -156,12 +157,12 @@
         held.is_some_and(|m| m.adapters.iter().any(|a| a == adapter))
     }
 
-    /// Returns whether it holds a model, or an adapter of it where one is named.
+    /// Returns whether it holds a model or, if one is given, an adapter of it.
     pub fn has(&self, model: &str, adapter: Option<&SmolStr>) -> bool {
         adapter.map_or_else(|| self.holds(model), |adapter| self.holds_adapter(model, adapter))
     }
 
-    /// Returns whether a model, or an adapter of a model that it holds, fits beside what it holds.
+    /// Returns whether a model, or an adapter of a model that it holds, fits beside its current models.
     pub fn has_room(&self, spec: &EngineSpec, model: &str, adapter: Option<&SmolStr>) -> bool {
         let held: Mebibytes = self.models.iter().map(|m| self.model_memory(spec, m)).sum();
         if adapter.is_none() {
@@ -173,18 +174,18 @@
             && held + adapters_size(spec, model, 1) <= spec.memory
     }
 
-    /// Returns whether an adapter is under way to it.
+    /// Returns whether an adapter is being loaded into it.
     pub fn is_loading_adapter(&self, model: &str, adapter: &str) -> bool {
         self.adapter_jobs.iter().any(|a| a.model == model && a.adapter == adapter)
     }
 
-    /// Returns whether an adapter makes way for one that is under way.
+    /// Returns whether an adapter is being evicted for another one.
     pub fn is_evicting(&self, model: &str, adapter: &str) -> bool {
         let mut victims = self.adapter_jobs.iter().filter_map(|job| job.victim.as_ref());
         victims.any(|(m, a)| m == model && a == adapter)
     }
 
-    /// Returns where it would load a model from.
+    /// Returns the source from which it would load a model.
     pub fn source(&self, model: &str) -> Source {
         if self.memory_copies.iter().any(|m| m == model) {
             Source::Memory
@@ -195,22 +196,22 @@
         }
     }
 
-    /// Returns whether the host keeps a copy of a model's weights beside a loaded one.
+    /// Returns whether the host has a copy of a model's weights, apart from a loaded one.
     pub fn has_copy(&self, model: &str) -> bool {
         self.source(model) != Source::Store
     }
 
-    /// Returns how many adapters it holds or awaits.
+    /// Returns the number of adapters that it holds or is loading.
     pub fn adapter_count(&self) -> usize {
         self.models.iter().map(|m| m.adapters.len()).sum::<usize>() + self.adapter_jobs.len()
     }
 
-    /// Returns the memory that a model that it holds takes with its adapters.
+    /// Returns the memory used by one of its models including adapters.
     pub fn model_memory(&self, spec: &EngineSpec, held: &LoadedModel) -> Mebibytes {
         size(spec, &held.name) + adapters_size(spec, &held.name, held.adapters.len())
     }
 
-    /// Returns the memory that models and adapters take, those under way included.
+    /// Returns the memory used by models and adapters, including those being loaded.
     pub fn memory_used(&self, spec: &EngineSpec) -> Mebibytes {
         let held: Mebibytes = self.models.iter().map(|m| self.model_memory(spec, m)).sum();
         let coming: Mebibytes =
@@ -219,7 +220,7 @@
         held + coming + loading.map_or(0, |j| size(spec, &j.model))
     }
 
-    /// Takes in its report. One of an earlier time does no harm: orders that expect its number are refused.
+    /// Applies the engine's report. An outdated report does no harm: the engine refuses orders that expect its number.
     pub fn apply_report(&mut self, report: &EngineReport, now: Moment) {
         self.models.clone_from(&report.models);
         self.sequence = report.sequence;
@@ -231,20 +232,20 @@
         self.reported_busy = false;
     }
 
-    /// Returns whether a report may be taken in. One that counts fewer orders than were answered is of an earlier
-    /// time, unless the next ones count no more: then the engine has started again under its id.
+    /// Returns whether a report may be applied. A report that counts fewer orders than were acknowledged is outdated,
+    /// unless the following ones do so as well: then the engine has restarted under its id.
     pub fn accepts_report(&mut self, report: &EngineReport) -> bool {
         if report.sequence >= self.sequence {
             return true;
         }
         self.stale_reports += 1;
-        self.stale_reports >= REPORTS_BEHIND
+        self.stale_reports >= STALE_REPORT_LIMIT
     }
 
-    /// Compares an idle engine with its entry; doubts it where that shows something else.
+    /// Compares an idle engine with its directory entry and marks it as unconfirmed if they differ.
     ///
-    /// An order that was given up may be carried out long after the report that followed it. Without this a model that
-    /// left so would count as loaded for ever, and callers would wait for it in vain.
+    /// An order that timed out may be carried out long after the report that followed it. Without this check, a model
+    /// evicted by such an order would count as loaded forever, and callers would wait for it until they time out.
     fn compare(&mut self, now: Moment) {
         if !self.confirmed
             || self.server.heartbeat <= self.compared
@@ -256,7 +257,8 @@
         self.confirmed = !self.differs(&self.server.models);
     }
 
-    /// Returns whether an entry shows other models, or other adapters where an order may have changed them unseen.
+    /// Returns whether an entry shows different models, or different adapters if orders in flight may have changed
+    /// them.
     fn differs(&self, entry: &[LoadedModel]) -> bool {
         let adapters = |m: &LoadedModel| -> BTreeSet<SmolStr> {
             if self.orders_inflight {
@@ -271,7 +273,7 @@
         all(&self.models) != all(entry)
     }
 
-    /// Notes that the engine holds a model now.
+    /// Records that the engine now holds a model.
     pub fn add_model(&mut self, model: &ModelName, now: Moment) {
         if !self.holds(model) {
             self.models.push(LoadedModel { name: model.clone(), adapters: Vec::new() });
@@ -285,12 +287,12 @@
         self.changed = now;
     }
 
-    /// Notes that the engine dropped a model.
+    /// Records that the engine unloaded a model.
     pub fn remove_model(&mut self, model: &str) {
         self.models.retain(|m| m.name != model);
     }
 
-    /// Notes that the engine dropped a model with its adapters, or an adapter.
+    /// Records that the engine unloaded an adapter, or a model with all its adapters.
     pub fn remove_target(&mut self, model: &str, adapter: Option<&SmolStr>) {
         let Some(adapter) = adapter else { return self.remove_model(model) };
         for held in self.models.iter_mut().filter(|m| m.name == model) {
@@ -298,7 +300,7 @@
         }
     }
 
-    /// Returns what callers' requests may rely on, for all daemons.
+    /// Returns the contents that requests of all daemons may rely on.
     pub fn inventory(&self, now: Moment) -> EngineInventory {
         let job = self.job.as_ref();
         let is_victim = |name: &ModelName| job.is_some_and(|j| j.victims.contains(name));
@@ -330,16 +332,16 @@
 }
 
 fn size(spec: &EngineSpec, model: &str) -> Mebibytes {
-    // A model that the configuration does not name may be of any size: nothing fits beside it.
+    // A model that is missing from the configuration may have any size: nothing fits beside it.
     spec.models.get(model).map_or(spec.memory, |m| m.size)
 }
 
 impl EngineTable {
-    /// Follows the directory: servers come, go and start again, and entries tell what idle engines hold.
-    /// Returns the starts that are over.
+    /// Updates the engines from the directory, which shows new, removed and restarted servers and what idle engines
+    /// hold. Returns the instances that have ended.
     ///
-    /// The engine of a newer start begins empty and unconfirmed, with no order open and no order
-    /// expected: whatever the last start had accepted would keep the next one out for ever.
+    /// The engine of a new instance starts empty and unconfirmed, with no load in progress and order number zero:
+    /// whatever the previous instance had accepted would keep the new one out of use forever.
     pub fn follow(
         &mut self,
         directory: &Directory,
@@ -350,10 +352,10 @@
             |s: &Server| config.services.get(&s.service).is_some_and(|s| s.engine.is_some());
         let mut ended = Vec::new();
         self.engines.retain(|_, engine| {
-            let start = engine.server.instance();
-            let is_current = directory.is_current(&start);
+            let instance = engine.server.instance();
+            let is_current = directory.is_current(&instance);
             if !is_current {
-                ended.push(start);
+                ended.push(instance);
             }
             is_current
         });
@@ -374,12 +376,12 @@
         ended
     }
 
-    /// Returns the engine of one start of a server.
-    pub fn engine_mut(&mut self, start: &ServerInstance) -> Option<&mut Engine> {
-        self.engines.get_mut(&start.id).filter(|e| e.server.born == start.born)
+    /// Returns the engine of a server instance.
+    pub fn engine_mut(&mut self, instance: &ServerInstance) -> Option<&mut Engine> {
+        self.engines.get_mut(&instance.id).filter(|e| e.server.born == instance.born)
     }
 
-    /// Forgets what orders under an older lease led to believe.
+    /// Marks all engines as unconfirmed: their state followed from orders under an older lease.
     pub fn invalidate_all(&mut self) {
         for engine in self.engines.values_mut() {
             engine.confirmed = false;
--- a/lib/src/placement/entries.rs
+++ b/lib/src/placement/entries.rs
@@ -1,4 +1,4 @@
-//! Records that daemons keep in the store for each other, as JSON that operators can read.
+//! Records that daemons store for each other, as JSON that operators can read.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
 /// Key of the record of the placement lease.
 pub const PLACEMENT_KEY: &str = "placement";
 
-/// Where a daemon takes messages from other daemons.
+/// Address, process and data centre of a daemon.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DaemonEntry {
     /// Its address for datagrams and connections.
@@ -33,45 +33,45 @@
     pub small: bool,
 }
 
-/// A record of the placement lease. The newest one counts.
+/// A record of the placement lease. Only the newest one is valid.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseEntry {
-    /// The holder.
+    /// The lease holder.
     pub holder: DaemonId,
-    /// The holder's process.
+    /// The lease holder's process.
     pub process: ProcessId,
-    /// Where the holder takes messages; no two processes can do so at one address.
+    /// Address at which the holder receives messages; no two processes can use the same one.
     #[serde(default)]
     pub addr: Option<SocketAddr>,
-    /// Fencing number of a renewal; the first record of a tenure has none, its own offset gives it.
+    /// Fencing number; `None` in the first record of a lease, whose offset determines it.
     pub fence: Option<Fence>,
-    /// Whether the holder gave the lease up.
+    /// Whether the holder released the lease.
     pub released: bool,
-    /// Its own offset, which its append named. Records of other keys make the feed grow as well.
+    /// Offset of this record, as given in its append. The feed also contains records of other keys.
     #[serde(default)]
     pub at: Option<Offset>,
-    /// What the holder knew of the weight store.
+    /// What the holder knew about the weight store.
     #[serde(default)]
     pub share: StoreShare,
-    /// Engines that the holder ordered lately or may order from now on; none where it does not say.
+    /// Engines that the holder ordered recently or may still order; `None` if unknown.
     #[serde(default)]
     pub orders: Option<Vec<OrderNote>>,
 }
 
-/// Writes a record.
+/// Serializes a record.
 ///
 /// # Panics
 ///
-/// Never: these types have no map with keys other than text.
+/// Never: these types have no map with non-string keys.
 pub fn encode<T: Serialize>(entry: &T) -> Bytes {
     Bytes::from(serde_json::to_vec(entry).expect("plain fields become JSON"))
 }
 
-/// Reads a record.
+/// Parses a record.
 ///
 /// # Errors
 ///
-/// The text is not such a record.
+/// Returns an error if the text is not a valid record.
 pub fn decode<'a, T: Deserialize<'a>>(raw: &'a [u8]) -> Result<T, FormatError> {
     serde_json::from_slice(raw).map_err(|e| FormatError(e.to_string()))
 }
--- a/lib/src/placement/fetch_limiter.rs
+++ b/lib/src/placement/fetch_limiter.rs
@@ -1,8 +1,8 @@
-//! How fast models may come from the weight store, and how many at once it serves at full speed.
+//! Limits how often and how many models are fetched from the weight store at once.
 //!
-//! The store does not say how many loads it serves at full speed; one that begins beside more takes
-//! longer in proportion, for all of its time. Loads show the number by their time: one that ends sooner
-//! than it should by a number proves that the store serves more, and one that goes on for longer proves
+//! The store does not report how many fetches it serves at full speed. A fetch that starts beside more than that
+//! takes longer in proportion, for its whole duration. The number is inferred from the duration of fetches: one that
+//! ends sooner than it would with a given number proves that the store serves more, and one that runs longer proves
 //! that it serves fewer, long before it ends.
 
 use std::collections::VecDeque;
@@ -14,160 +14,177 @@
 use crate::boot_clock::Moment;
 use crate::cluster::server_instance::ServerInstance;
 
-/// Loads at once at most: more would take engines out of service for callers who wait elsewhere.
-const MOST: usize = 4;
-/// Loads at once beside those that are proven, to find out whether the store serves more: each further one would make
-/// all of them longer where it does not.
-const TRIAL: usize = 1;
-/// Part of a load's time after which an end counts as punctual: loads of one size differ a little.
-const DONE: f64 = 0.85;
-/// A load that has not ended after this many times its time shows that the store serves fewer.
-const LATE: f64 = 1.3;
-/// Part of the ceiling that a new holder of the lease uses for one window: it does not know what the
-/// one before ordered.
-const FIRST_PART: f64 = 0.5;
-/// After this time a limit is doubted: a slow phase of the store may have passed.
-const DOUBT_AFTER: Duration = Duration::from_mins(1);
-
-/// What is known of the weight store, handed on from holder to holder of the placement lease.
+/// Most concurrent fetches: more would take engines out of service that requests for other models need.
+const MAX_CONCURRENCY: usize = 4;
+/// Concurrent fetches beyond the proven number, to find out whether the store serves more at full speed. If it does
+/// not, each further one slows down all of them.
+const TRIAL_FETCHES: usize = 1;
+/// A fetch that takes at least this part of an expected duration matches it: fetches of one size vary a little.
+const ON_TIME_RATIO: f64 = 0.85;
+/// A fetch that runs longer than this multiple of an expected duration shows that the store serves fewer.
+const LATE_RATIO: f64 = 1.3;
+/// Part of the ceiling that a new lease holder uses for one window, as it does not know what the previous holder
+/// ordered.
+const INITIAL_CEILING_PART: f64 = 0.5;
+/// After this time a limit is raised by one: a slow phase of the store may have passed.
+const LIMIT_RETRY_AFTER: Duration = Duration::from_mins(1);
+
+/// Capacity of the weight store, passed from one holder of the placement lease to the next.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoreShare {
-    /// Loads at once that were seen at full speed.
+    /// Concurrent fetches observed at full speed.
     pub proven: usize,
-    /// Most loads at once that may be at full speed.
+    /// Most concurrent fetches that the store may serve at full speed.
     pub limit: usize,
 }
 
 impl Default for StoreShare {
     fn default() -> Self {
-        Self { proven: 1, limit: MOST }
+        Self { proven: 1, limit: MAX_CONCURRENCY }
     }
 }
 
 impl StoreShare {
-    /// Returns how many loads at once to run: all that are proven, and one more to find out.
+    /// Returns how many fetches to run at once: the proven number and one more as a trial, up to the limit.
     pub fn concurrency(self) -> usize {
-        (self.proven + TRIAL).min(self.limit).max(1)
+        (self.proven + TRIAL_FETCHES).min(self.limit).max(1)
     }
 
-    /// Returns the time of a load that begins beside others, `count` in all.
-    pub fn time(self, alone: Duration, count: usize) -> Duration {
-        shared_time(alone, count, self.concurrency())
+    /// Returns the duration of a fetch that starts as one of `concurrent`; `alone_time` is its duration on its own.
+    pub fn time(self, alone_time: Duration, concurrent: usize) -> Duration {
+        concurrent_time(alone_time, concurrent, self.concurrency())
     }
 }
 
-/// The time of a load that began as one of `count` at a store that serves `full` at full speed.
-fn shared_time(alone: Duration, count: usize, full: usize) -> Duration {
-    alone.mul_f64((count as f64 / full as f64).max(1.0))
+/// Returns the duration of a fetch that starts as one of `concurrent` at a store that serves `full_speed` of them at
+/// full speed.
+fn concurrent_time(alone_time: Duration, concurrent: usize, full_speed: usize) -> Duration {
+    alone_time.mul_f64((concurrent as f64 / full_speed as f64).max(1.0))
 }
 
-/// A load from the weight store that is under way.
+/// A fetch in progress.
 #[derive(Debug)]
-struct Running {
+struct RunningFetch {
     server: ServerInstance,
     since: Moment,
-    /// Its time where it has the store for itself.
-    alone: Duration,
-    /// Loads under way when it began, itself included.
-    count: usize,
+    /// Its duration if no other fetch runs.
+    alone_time: Duration,
+    /// Fetches in progress when it started, including itself.
+    concurrent: usize,
 }
 
-impl Running {
-    /// Its time, were `full` loads at once served at full speed.
-    fn time(&self, full: usize) -> Duration {
-        shared_time(self.alone, self.count, full)
+impl RunningFetch {
+    /// Returns its duration if the store serves `full_speed` fetches at full speed.
+    fn time(&self, full_speed: usize) -> Duration {
+        concurrent_time(self.alone_time, self.concurrent, full_speed)
     }
 }
 
-/// Loads from the weight store.
+/// Tracks fetches from the weight store and limits new ones.
 #[derive(Debug)]
 pub struct FetchLimiter {
-    /// When this daemon began to order.
+    /// When this daemon began to give orders.
     since: Moment,
-    /// When loads of the last window began.
-    begun: VecDeque<Moment>,
-    running: Vec<Running>,
+    /// When the fetches of the last window started.
+    recent_starts: VecDeque<Moment>,
+    running: Vec<RunningFetch>,
     share: StoreShare,
-    limited: Moment,
+    limit_changed: Moment,
 }
 
 impl FetchLimiter {
-    /// Begins with nothing ordered.
+    /// Starts without any fetch.
     pub fn new(since: Moment) -> Self {
         Self {
             since,
-            begun: VecDeque::new(),
+            recent_starts: VecDeque::new(),
             running: Vec::new(),
             share: StoreShare::default(),
-            limited: since,
+            limit_changed: since,
         }
     }
 
-    /// Begins anew, as a new holder of the lease, with what the one before knew.
+    /// Restarts for a new lease holder, with what the previous holder knew about the store.
     pub fn restart(&mut self, now: Moment, share: StoreShare) {
         self.since = now;
         self.running.clear();
-        self.limited = now;
-        self.share =
-            StoreShare { proven: share.proven.clamp(1, MOST), limit: share.limit.clamp(1, MOST) };
+        self.limit_changed = now;
+        self.share = StoreShare {
+            proven: share.proven.clamp(1, MAX_CONCURRENCY),
+            limit: share.limit.clamp(1, MAX_CONCURRENCY),
+        };
     }
 
-    /// Notes that an engine begins a load that takes `alone` by itself, beside `others` that are not known here.
+    /// Records the start of a fetch that takes `alone_time` on its own, beside `others` fetches not recorded here.
     ///
-    /// A new holder of the lease knows nothing of the loads of the one before. Two begun beside two of those took 20
-    /// and 27 s in place of 13, and the store was taken to serve one at a time for the rest of the day.
-    pub fn begin(&mut self, server: &ServerInstance, alone: Duration, others: usize, now: Moment) {
-        self.begun.push_back(now);
-        let count = self.running.len() + others + 1;
-        self.running.push(Running { server: server.clone(), since: now, alone, count });
+    /// A new lease holder does not know the previous holder's fetches. Two that were started beside two of those took
+    /// 20 and 27 s instead of 13 s, and the store was assumed to serve one at a time for the rest of the day.
+    pub fn begin(
+        &mut self,
+        server: &ServerInstance,
+        alone_time: Duration,
+        others: usize,
+        now: Moment,
+    ) {
+        self.recent_starts.push_back(now);
+        let concurrent = self.running.len() + others + 1;
+        self.running.push(RunningFetch {
+            server: server.clone(),
+            since: now,
+            alone_time,
+            concurrent,
+        });
     }
 
-    /// Notes that an engine's load is over; learns from one that succeeded.
+    /// Records the end of an engine's fetch; a successful one may raise the proven number.
     pub fn end(&mut self, server: &ServerInstance, succeeded: bool, now: Moment) {
-        let Some(at) = self.running.iter().position(|r| r.server == *server) else { return };
-        let load = self.running.remove(at);
+        let Some(at) = self.running.iter().position(|f| f.server == *server) else { return };
+        let fetch = self.running.remove(at);
         if !succeeded {
             return;
         }
-        let took = now.saturating_sub(load.since);
-        let proven = (1..=MOST).find(|full| took >= load.time(*full).mul_f64(DONE)).unwrap_or(1);
+        let elapsed = now.saturating_sub(fetch.since);
+        let proven = (1..=MAX_CONCURRENCY)
+            .find(|full_speed| elapsed >= fetch.time(*full_speed).mul_f64(ON_TIME_RATIO))
+            .unwrap_or(1);
         self.share.proven = self.share.proven.max(proven.min(self.share.limit));
     }
 
-    /// Looks for loads that are late; returns whether the store turned out to serve fewer at once.
+    /// Checks for late fetches; returns whether they showed that the store serves fewer at once than assumed.
     pub fn update_limit(&mut self, now: Moment) -> bool {
-        if now > self.limited + DOUBT_AFTER && self.share.limit < MOST {
-            self.limited = now;
+        if now > self.limit_changed + LIMIT_RETRY_AFTER && self.share.limit < MAX_CONCURRENCY {
+            self.limit_changed = now;
             self.share.limit += 1;
         }
-        let is_late = |load: &Running, full: usize| {
-            now.saturating_sub(load.since) > load.time(full).mul_f64(LATE)
+        let is_late = |fetch: &RunningFetch, full_speed: usize| {
+            now.saturating_sub(fetch.since) > fetch.time(full_speed).mul_f64(LATE_RATIO)
         };
-        // A load that is late even with the store shared by all says nothing of it: its engine may be
-        // at fault.
-        let lates = self.running.iter().filter(|load| !is_late(load, 1));
-        let fewest = lates.filter_map(|load| (2..=MOST).find(|full| is_late(load, *full))).min();
-        let Some(limit) = fewest.map(|n| n - 1).filter(|limit| *limit < self.share.limit) else {
+        // A fetch that is late even for a store that serves one at full speed shows nothing about the store: its
+        // engine may have failed.
+        let candidates = self.running.iter().filter(|fetch| !is_late(fetch, 1));
+        let exceeded =
+            candidates.filter_map(|f| (2..=MAX_CONCURRENCY).find(|count| is_late(f, *count))).min();
+        let Some(limit) = exceeded.map(|n| n - 1).filter(|limit| *limit < self.share.limit) else {
             return false;
         };
         self.share = StoreShare { proven: self.share.proven.min(limit), limit };
-        self.limited = now;
+        self.limit_changed = now;
         true
     }
 
-    /// Returns how many loads may begin, where `rate` a second are allowed in each `window`.
+    /// Returns how many fetches may start now, if `rate` per second are allowed in each `window`.
     ///
-    /// The ceiling is kept with room to spare, as loads begin some time after their orders.
+    /// The number is rounded down to stay below the ceiling, as fetches start some time after their orders.
     pub fn fetches_left(&mut self, rate: f64, window: Duration, now: Moment) -> usize {
-        while self.begun.front().is_some_and(|t| now > *t + window) {
-            self.begun.pop_front();
+        while self.recent_starts.front().is_some_and(|t| now > *t + window) {
+            self.recent_starts.pop_front();
         }
-        let part = if now < self.since + window { FIRST_PART } else { 1.0 };
-        let most = (rate * window.as_secs_f64() * part).floor().max(1.0) as usize;
-        most.saturating_sub(self.begun.len())
+        let part = if now < self.since + window { INITIAL_CEILING_PART } else { 1.0 };
+        let allowed = (rate * window.as_secs_f64() * part).floor().max(1.0) as usize;
+        allowed.saturating_sub(self.recent_starts.len())
     }
 
-    /// Returns what is known of the store.
+    /// Returns what is known about the store.
     pub fn share(&self) -> StoreShare {
         self.share
     }
--- a/lib/src/placement/fetching.rs
+++ b/lib/src/placement/fetching.rs
@@ -1,4 +1,4 @@
-//! Loads from the weight store: what lies on no host.
+//! Plans fetches of models that have no usable copy on any host.
 
 use std::time::Duration;
 
@@ -13,56 +13,61 @@
 use crate::placement::load_options::WaitStats;
 use crate::placement::planner::Planner;
 
-/// Loads from the weight store under way at once, those that nobody waits for.
-const FETCHES: usize = 4;
-/// The same once there is traffic: engines that fetch cannot serve other loads meanwhile.
-const FETCHES_BUSY: usize = 3;
-/// Longest load that is tried beside others while nobody waits for it. Where the store serves fewer at
-/// once it takes twice as long or more, and what callers ask for meanwhile waits behind it.
-const TRIAL_LOAD: Duration = Duration::from_secs(8);
+/// Most concurrent fetches of models that no request waits for.
+const MAX_SPARE_FETCHES: usize = 4;
+/// The same once there is traffic: an engine cannot run other loads during a fetch.
+const MAX_SPARE_FETCHES_BUSY: usize = 3;
+/// Models that take longer to fetch than this are not used to test the store's capacity while no request waits for
+/// them. If the store serves fewer at once, the fetch takes at least twice as long and delays the loads that
+/// callers need meanwhile.
+const MAX_TRIAL_LOAD: Duration = Duration::from_secs(8);
 
 impl Planner<'_> {
-    /// Loads models from the weight store that no host has ready, those first for which most callers have nowhere
-    /// to go: without a copy on any usable engine, or with more callers than its replicas can serve and no further
-    /// copy. In spare time all others without a copy, so that one lies on a disk.
+    /// Fetches models from the weight store that no host can provide. Those with the most requests that cannot be
+    /// served come first: models without a copy at any usable engine, or with more requests than their replicas
+    /// can serve and no further copy. If `is_urgent` is not set, all other models without a copy are fetched, so
+    /// that one is stored on a disk.
     ///
-    /// The store is slow, and slower where loads share it: a rare model that asked first must not take
-    /// the place of one that many callers come for.
+    /// The store is slow, and slower for concurrent fetches: a rare model that was requested first must not delay
+    /// one that many callers request.
     pub(super) fn fetch_missing(&mut self, is_urgent: bool) {
         for service in self.input.config.services.values() {
             let Some(spec) = &service.engine else { continue };
-            let most = if is_urgent { self.input.share.concurrency() } else { self.spare(spec) };
+            let max_fetches = if is_urgent {
+                self.input.share.concurrency()
+            } else {
+                self.max_spare_fetches(spec)
+            };
             let mut missing: Vec<(f64, &ModelName)> = spec
                 .models
                 .keys()
                 .filter_map(|model| Some((self.unserved(&service.name, model, is_urgent)?, model)))
-                .filter(|(pull, _)| !is_urgent || *pull >= BUSY_RATE)
+                .filter(|(demand_rate, _)| !is_urgent || *demand_rate >= BUSY_RATE)
                 .collect();
             missing.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(b.1)));
             for (rate, model) in missing {
-                if self.options.fetching >= most || self.options.fetches_left == 0 {
+                if self.options.fetching >= max_fetches || self.options.fetches_left == 0 {
                     return;
                 }
-                let wanted = is_urgent.then_some(WaitStats { rate, waited: Duration::ZERO });
+                let stats = is_urgent.then_some(WaitStats { rate, waited: Duration::ZERO });
                 let avoid = self.avoid(&service.name, model);
                 let options = self
                     .options
                     .engines(&service.name)
                     .filter(|e| !avoid.contains(&e.server.instance()))
                     .filter(|e| is_urgent || e.models.iter().all(|m| e.has_copy(&m.name)))
-                    .filter_map(|e| self.options.load_option(e, spec, model, wanted));
-                let open = options.filter(|o| o.can_start);
-                let Some(best) = open.min_by(|a, b| a.cost.total_cmp(&b.cost)) else { continue };
+                    .filter_map(|e| self.options.load_option(e, spec, model, stats));
+                let ready = options.filter(|o| o.can_start);
+                let Some(best) = ready.min_by(|a, b| a.cost.total_cmp(&b.cost)) else { continue };
                 self.start_load(best, model, "no copy on any host");
             }
         }
     }
 
-    /// Arrivals a second of a model that a load from the weight store would serve; none where a host has what it
-    /// takes.
+    /// Returns the arrivals per second that a fetch of a model would serve; `None` if local copies suffice.
     fn unserved(&self, service: &SmolStr, model: &ModelName, is_urgent: bool) -> Option<f64> {
         if !self.has_copy(service, model) {
-            return Some(self.pull(service, model));
+            return Some(self.demand_rate(service, model));
         }
         let excess = if is_urgent { self.options.excess(service, model) } else { 0.0 };
         let can_grow = self.options.index.engines_with_copy(service, model).iter().any(|e| {
@@ -74,35 +79,36 @@
         (excess > 0.0 && !can_grow && !is_placed).then_some(excess)
     }
 
-    /// Loads from the weight store at once that nobody waits for.
-    fn spare(&self, spec: &EngineSpec) -> usize {
-        let most = if self.input.demand.is_empty() { FETCHES } else { FETCHES_BUSY };
+    /// Returns how many concurrent fetches are allowed for models that no request waits for.
+    fn max_spare_fetches(&self, spec: &EngineSpec) -> usize {
+        let max_fetches =
+            if self.input.demand.is_empty() { MAX_SPARE_FETCHES } else { MAX_SPARE_FETCHES_BUSY };
         let longest = spec.models.values().map(|m| m.store_load).max().unwrap_or_default();
         let share = self.input.share;
-        let proven = if longest > TRIAL_LOAD { share.proven } else { share.concurrency() };
-        most.min(proven)
+        let proven = if longest > MAX_TRIAL_LOAD { share.proven } else { share.concurrency() };
+        max_fetches.min(proven)
     }
 
-    /// Whether some usable engine holds a model, loads it, or has a copy of its weights.
+    /// Returns whether a usable engine holds a model, is loading it, or has a copy of its weights.
     fn has_copy(&self, service: &SmolStr, model: &ModelName) -> bool {
         let avoid = self.avoid(service, model);
-        let is_open =
+        let is_allowed =
             |e: &&Engine| self.options.is_usable(e) && !avoid.contains(&e.server.instance());
         self.placed.contains(&(service.clone(), model.clone()))
-            || self.options.index.engines_with_copy(service, model).iter().any(is_open)
+            || self.options.index.engines_with_copy(service, model).iter().any(is_allowed)
     }
 
-    /// Engines that the requests that wait for a model cannot use.
+    /// Returns the engines that requests queued for a model cannot use.
     fn avoid(&self, service: &SmolStr, model: &ModelName) -> &[ServerInstance] {
-        let item = ModelTarget { service: service.clone(), model: model.clone(), adapter: None };
-        self.backlogs.get(&item).map_or(&[], |wait| &wait.avoid)
+        let target = ModelTarget { service: service.clone(), model: model.clone(), adapter: None };
+        self.backlogs.get(&target).map_or(&[], |backlog| &backlog.avoid)
     }
 
-    /// Arrivals a second of a model, its waiting requests counted as if they came in a second.
-    fn pull(&self, service: &SmolStr, model: &ModelName) -> f64 {
-        let is_it = |i: &ModelTarget| i.service == *service && i.model == *model;
+    /// Returns a model's arrivals per second, counting its queued requests as if they arrived within a second.
+    fn demand_rate(&self, service: &SmolStr, model: &ModelName) -> f64 {
+        let is_match = |t: &ModelTarget| t.service == *service && t.model == *model;
         let waiting: u32 =
-            self.backlogs.iter().filter(|(i, _)| is_it(i)).map(|(_, w)| w.waiting).sum();
+            self.backlogs.iter().filter(|(t, _)| is_match(t)).map(|(_, b)| b.waiting).sum();
         self.options.rate(service, model) + f64::from(waiting)
     }
 }
--- a/lib/src/placement/plan_index.rs
+++ b/lib/src/placement/plan_index.rs
@@ -1,4 +1,4 @@
-//! What a plan looks up often, counted once for it.
+//! Precomputed lookups of one plan's input.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,13 +17,13 @@
 
 /// A service and a model.
 type ModelKey<'a> = (&'a str, &'a str);
-/// Engines by service, then by model.
+/// Engines by service and model.
 type EnginesByModel<'a> = HashMap<&'a str, HashMap<&'a str, Vec<&'a Engine>>>;
 
-/// Replicas of a model.
+/// Replica counts of a model.
 #[derive(Clone, Debug, Default)]
 pub struct Replicas<'a> {
-    /// Engines that hold it and keep it, or are loading it.
+    /// Engines that hold it and do not evict it, or are loading it.
     pub count: usize,
     /// The same by data centre.
     pub centres: HashMap<&'a str, usize>,
@@ -39,12 +39,12 @@
     adapters: HashSet<(&'a str, &'a str, &'a str)>,
     peaks: HashMap<ModelKey<'a>, f64>,
     /// Requests in progress by engine and model.
-    used: HashMap<(ServerId, ModelName), u32>,
+    engine_running: HashMap<(ServerId, ModelName), u32>,
     /// Requests in progress by service and model.
     running: HashMap<(&'a str, ModelName), u32>,
-    /// Arrivals a second at each engine, as far as its models share theirs with other replicas.
+    /// Arrivals per second at each engine; a model's arrivals are divided evenly among its replicas.
     arrivals: HashMap<ServerId, f64>,
-    /// Loads from the weight store that are under way.
+    /// Fetches in progress.
     pub fetching: usize,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl<'a> PlanIndex<'a> {
-    /// Counts.
+    /// Builds the index.
     pub fn new(
         engine_table: &'a EngineTable,
         demand: &'a Demand,
@@ -68,19 +68,19 @@
             copies: HashMap::new(),
             adapters: HashSet::new(),
             peaks: HashMap::new(),
-            used: HashMap::new(),
+            engine_running: HashMap::new(),
             running: HashMap::new(),
             arrivals: HashMap::new(),
             fetching: 0,
         };
-        for (item, rate) in demand.rates(now) {
-            *index.rates.entry((&item.service, &item.model)).or_default() += rate;
+        for (target, rate) in demand.rates(now) {
+            *index.rates.entry((&target.service, &target.model)).or_default() += rate;
         }
         for engine in engine_table.engines.values().filter(|e| !e.server.leaving) {
             index.count_engine(engine);
         }
-        for (item, peak) in demand.peaks(now) {
-            *index.peaks.entry((&item.service, &item.model)).or_default() += peak;
+        for (target, peak) in demand.peaks(now) {
+            *index.peaks.entry((&target.service, &target.model)).or_default() += peak;
         }
         index.count_running(engine_table, work);
         index.count_arrivals(engine_table);
@@ -106,7 +106,7 @@
                 let count = work.running(server, model_key(Some(model)));
                 if count > 0 {
                     *self.running.entry((service, model.clone())).or_default() += count;
-                    self.used.insert((engine.server.id.clone(), model.clone()), count);
+                    self.engine_running.insert((engine.server.id.clone(), model.clone()), count);
                 }
             }
         }
@@ -116,12 +116,12 @@
         let service = engine.server.service.as_str();
         let centre = engine.server.centre.as_str();
         let job = engine.job.as_ref();
-        let fetches = job.map_or(engine.reported_busy, |j| j.source == Source::Store);
-        self.fetching += usize::from(fetches);
+        let is_fetching = job.map_or(engine.reported_busy, |j| j.source == Source::Store);
+        self.fetching += usize::from(is_fetching);
         let kept = engine.models.iter().map(|m| &m.name);
         let kept = kept.filter(|name| !job.is_some_and(|j| j.victims.contains(name)));
-        let coming = job.map(|j| &j.model).filter(|name| !engine.holds(name));
-        for model in kept.chain(coming) {
+        let loading = job.map(|j| &j.model).filter(|name| !engine.holds(name));
+        for model in kept.chain(loading) {
             let replicas = self.replicas.entry((service, model)).or_default();
             replicas.count += 1;
             *replicas.centres.entry(centre).or_default() += 1;
@@ -137,8 +137,8 @@
             self.adapters.insert((service, &job.model, &job.adapter));
         }
         let on_host = engine.disk_copies.iter().chain(&engine.memory_copies);
-        let coming = job.map(|j| &j.model);
-        for model in on_host.chain(engine.models.iter().map(|m| &m.name)).chain(coming) {
+        let loading = job.map(|j| &j.model);
+        for model in on_host.chain(engine.models.iter().map(|m| &m.name)).chain(loading) {
             let copies = self.copies.entry(service).or_default();
             let list = copies.entry(model).or_default();
             if list.last().is_none_or(|last| last.server.id != engine.server.id) {
@@ -147,26 +147,28 @@
         }
     }
 
-    /// Returns arrivals a second of a model.
+    /// Returns a model's arrivals per second.
     pub fn rate(&self, service: &str, model: &str) -> f64 {
         self.rates.get(&(service, model)).copied().unwrap_or(0.0)
     }
 
-    /// Returns the models asked for at least `least` times a second, the busiest first.
-    pub fn busy(&self, least: f64) -> Vec<(f64, &'a str, &'a str)> {
-        let busy = self.rates.iter().filter(|(_, rate)| **rate >= least);
-        let mut list: Vec<_> = busy.map(|((s, m), rate)| (*rate, *s, *m)).collect();
-        // Equal rates are ordered by name, so that one state gives one plan.
+    /// Returns the models with at least `min_rate` arrivals per second, busiest first, with their rate
+    /// and service.
+    pub fn busy(&self, min_rate: f64) -> Vec<(f64, &'a str, &'a str)> {
+        let busy = self.rates.iter().filter(|(_, rate)| **rate >= min_rate);
+        let mut list: Vec<_> =
+            busy.map(|((service, model), rate)| (*rate, *service, *model)).collect();
+        // Equal rates are ordered by name, so that equal inputs give equal plans.
         list.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| (a.1, a.2).cmp(&(b.1, b.2))));
         list
     }
 
-    /// Returns how many engines hold or load a model.
+    /// Returns how many engines hold or are loading a model.
     pub fn replicas(&self, service: &str, model: &str) -> usize {
         self.replicas.get(&(service, model)).map_or(0, |r| r.count)
     }
 
-    /// Returns how many engines in a data centre hold or load a model.
+    /// Returns how many engines in a data centre hold or are loading a model.
     pub fn replicas_in(&self, service: &str, model: &str, centre: &CentreId) -> usize {
         let replicas = self.replicas.get(&(service, model));
         replicas.and_then(|r| r.centres.get(centre.as_str())).copied().unwrap_or(0)
@@ -177,39 +179,40 @@
         find(&self.holders, service, model)
     }
 
-    /// Returns the engines that hold a model, load it, or have a copy of its weights on their host.
+    /// Returns the engines that hold a model, are loading it, or have a copy of its weights on their
+    /// host.
     pub fn engines_with_copy(&self, service: &str, model: &str) -> &[&'a Engine] {
         find(&self.copies, service, model)
     }
 
-    /// Returns whether some engine holds or awaits an adapter.
+    /// Returns whether any engine holds or is loading an adapter.
     pub fn has_adapter(&self, service: &str, model: &str, adapter: &str) -> bool {
         self.adapters.contains(&(service, model, adapter))
     }
 
-    /// Returns whether some engine holds a model or has a copy of its weights.
+    /// Returns whether any engine holds a model, is loading it, or has a copy of its weights.
     pub fn has_copy(&self, service: &str, model: &str) -> bool {
         !self.engines_with_copy(service, model).is_empty()
     }
 
-    /// Returns the arrivals a second of a model that its replicas must carry: a rise counts at once, a
-    /// fall after a while.
+    /// Returns the arrivals per second that a model's replicas must be able to serve: an increase
+    /// counts at once, a decrease after a while.
     pub fn peak(&self, service: &str, model: &str) -> f64 {
         let peak = self.peaks.get(&(service, model)).copied().unwrap_or(0.0);
         self.rate(service, model).max(peak)
     }
 
-    /// Returns the arrivals a second at an engine.
+    /// Returns the arrivals per second at an engine.
     pub fn arrivals(&self, server: &ServerId) -> f64 {
         self.arrivals.get(server).copied().unwrap_or(0.0)
     }
 
-    /// Returns how many requests for a model run at an engine.
+    /// Returns how many requests for a model are in progress at an engine.
     pub fn running_at(&self, server: &ServerId, model: &ModelName) -> u32 {
-        self.used.get(&(server.clone(), model.clone())).copied().unwrap_or(0)
+        self.engine_running.get(&(server.clone(), model.clone())).copied().unwrap_or(0)
     }
 
-    /// Returns how many requests for a model run at all engines.
+    /// Returns how many requests for a model are in progress at all engines.
     pub fn running(&self, service: &str, model: &ModelName) -> u32 {
         self.running.get(&(service, model.clone())).copied().unwrap_or(0)
     }
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -1,9 +1,9 @@
-//! The plan: which engine loads which model or adapter next, and what makes way for it.
+//! Plans which engine loads which model or adapter next, and what is evicted for it.
 //!
-//! A model that requests wait for goes where it can serve soonest, counting what its victims are
-//! worth. In the time left over, busy models get more replicas, and rare models are loaded once so
-//! that a copy of their weights lies on some host's disk: a later load then takes a second or two in
-//! place of six and more, which is the difference between a punctual and a late first answer.
+//! A model with queued requests is placed where it can serve soonest, taking the cost of evictions into account. In
+//! spare time, busy models get more replicas, and rare models are loaded once so that a copy of their weights is on
+//! some host's disk: a later load then takes one or two seconds instead of six or more, which decides whether the
+//! first response is on time.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -37,25 +37,25 @@
 use crate::placement::plan_index::PlanIndex;
 use crate::placement::urgency::Urgency;
 
-/// A step to take at one engine.
+/// An action at one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Load a model, after its victims made way.
+    /// Load a model after evicting others.
     LoadModel {
         /// The engine.
         server: ServerId,
         /// The model.
         model: ModelName,
-        /// Models that make way.
+        /// Models that are evicted.
         victims: Vec<ModelName>,
         /// Where the weights come from.
         source: Source,
-        /// How long it should take in all.
+        /// Expected total duration.
         time: Duration,
-        /// Why.
+        /// Reason shown in the log.
         reason: &'static str,
     },
-    /// Load an adapter, after another made way where one is named.
+    /// Load an adapter after evicting another, if one is given.
     LoadAdapter {
         /// The engine.
         server: ServerId,
@@ -63,15 +63,15 @@
         model: ModelName,
         /// The adapter.
         adapter: SmolStr,
-        /// Model and adapter that make way.
+        /// Model and adapter that are evicted.
         victim: Option<(ModelName, SmolStr)>,
     },
 }
 
-/// What the plan looks at.
+/// Input of a plan.
 #[derive(Debug)]
 pub struct PlanInput<'a> {
-    /// Now.
+    /// The current time.
     pub now: Moment,
     /// The configuration.
     pub config: &'a Configuration,
@@ -83,30 +83,30 @@
     pub work: &'a WorkloadTable,
     /// How long requests run.
     pub run_times: &'a RunTimes,
-    /// Engines that cannot be reached from the holder.
+    /// Engines that the lease holder cannot reach.
     pub unreachable: Vec<ServerId>,
-    /// What is known of the weight store.
+    /// What is known about the weight store.
     pub share: StoreShare,
-    /// Loads from the weight store that may still begin under its ceiling.
+    /// Fetches that may still start under the ceiling.
     pub fetches_left: usize,
 }
 
-/// Steps begun at once at most; the next plan follows within a tenth of a second.
-const MOST_ACTIONS: usize = 32;
+/// Most actions of one plan; the next plan follows within a tenth of a second.
+const MAX_ACTIONS: usize = 32;
 
-/// A plan in the making.
+/// A plan in progress.
 #[derive(Debug)]
 pub(super) struct Planner<'a> {
     pub(super) input: &'a PlanInput<'a>,
     pub(super) options: LoadOptions<'a>,
     pub(super) backlogs: BTreeMap<ModelTarget, Backlog>,
-    /// Models that got a step.
+    /// Models that already have an action.
     pub(super) placed: HashSet<(SmolStr, ModelName)>,
     actions: Vec<Action>,
 }
 
 impl PlanInput<'_> {
-    /// Returns the next steps; each engine gets one at most.
+    /// Returns the next actions, at most one per engine.
     pub fn plan(&self) -> Vec<Action> {
         let backlogs = self.demand.backlogs(self.now);
         let index = PlanIndex::new(self.engine_table, self.demand, self.work, self.now);
@@ -124,7 +124,7 @@
         };
         let mut planner =
             Planner { input: self, options, backlogs, placed: HashSet::new(), actions: Vec::new() };
-        planner.serve_waits();
+        planner.serve_backlogs();
         planner.serve_adapters();
         planner.fetch_missing(true);
         planner.add_replicas();
@@ -135,125 +135,129 @@
 }
 
 impl<'a> Planner<'a> {
-    fn is_full(&self) -> bool {
-        self.actions.len() >= MOST_ACTIONS
+    fn has_max_actions(&self) -> bool {
+        self.actions.len() >= MAX_ACTIONS
     }
 
     pub(super) fn start_load(
         &mut self,
-        offer: LoadOption<'a>,
+        option: LoadOption<'a>,
         model: &ModelName,
         reason: &'static str,
     ) {
-        let server = offer.engine.server.id.clone();
+        let server = option.engine.server.id.clone();
         self.options.assigned.insert(server.clone());
-        self.options.reserve(offer.engine, offer.time);
-        self.placed.insert((offer.engine.server.service.clone(), model.clone()));
-        if offer.source == Source::Store {
+        self.options.reserve(option.engine, option.time);
+        self.placed.insert((option.engine.server.service.clone(), model.clone()));
+        if option.source == Source::Store {
             self.options.fetching += 1;
             self.options.fetches_left = self.options.fetches_left.saturating_sub(1);
         }
         self.actions.push(Action::LoadModel {
             server,
             model: model.clone(),
-            victims: offer.victims,
-            source: offer.source,
-            time: offer.time,
+            victims: option.victims,
+            source: option.source,
+            time: option.time,
             reason,
         });
     }
 
-    /// Loads the models that requests wait for, in the order of their urgency.
-    fn serve_waits(&mut self) {
-        let mut items: Vec<(Urgency, ModelTarget)> = self
+    /// Loads the models with queued requests, most urgent first.
+    fn serve_backlogs(&mut self) {
+        let mut targets: Vec<(Urgency, ModelTarget)> = self
             .backlogs
             .iter()
-            .map(|(item, wait)| (self.urgency(item, wait), item.clone()))
+            .map(|(target, backlog)| (self.urgency(target, backlog), target.clone()))
             .collect();
-        items.sort();
-        for (_, item) in items {
-            if self.is_full() {
+        targets.sort();
+        for (_, target) in targets {
+            if self.has_max_actions() {
                 return;
             }
-            self.serve_wait(&item);
+            self.serve_backlog(&target);
         }
     }
 
-    fn urgency(&self, item: &ModelTarget, wait: &Backlog) -> Urgency {
-        let rate = self.options.rate(&item.service, &item.model);
-        Urgency::new(wait, rate, self.input.now)
+    fn urgency(&self, target: &ModelTarget, backlog: &Backlog) -> Urgency {
+        let rate = self.options.rate(&target.service, &target.model);
+        Urgency::new(backlog, rate, self.input.now)
     }
 
-    fn serve_wait(&mut self, item: &ModelTarget) {
-        let Some(spec) = self.options.spec(&item.service) else { return };
-        if self.placed.contains(&(item.service.clone(), item.model.clone())) {
+    fn serve_backlog(&mut self, target: &ModelTarget) {
+        let Some(spec) = self.options.spec(&target.service) else { return };
+        if self.placed.contains(&(target.service.clone(), target.model.clone())) {
             return;
         }
-        let wait = self.backlogs.get(item).cloned().unwrap_or_default();
-        let wanted = Some(WaitStats {
-            rate: self.options.rate(&item.service, &item.model),
-            waited: self.input.now.saturating_sub(wait.since),
+        let backlog = self.backlogs.get(target).cloned().unwrap_or_default();
+        let stats = Some(WaitStats {
+            rate: self.options.rate(&target.service, &target.model),
+            waited: self.input.now.saturating_sub(backlog.since),
         });
-        let avoid = wait.avoid;
-        let is_open = |e: &&Engine| !avoid.contains(&e.server.instance());
-        let serves = |e: &Engine| {
-            let leaves = e.job.as_ref().is_some_and(|j| j.victims.contains(&item.model));
-            e.holds(&item.model) && !leaves || e.job.as_ref().is_some_and(|j| j.model == item.model)
+        let avoid = backlog.avoid;
+        let is_allowed = |e: &&Engine| !avoid.contains(&e.server.instance());
+        let will_serve = |e: &Engine| {
+            let is_victim = e.job.as_ref().is_some_and(|j| j.victims.contains(&target.model));
+            e.holds(&target.model) && !is_victim
+                || e.job.as_ref().is_some_and(|j| j.model == target.model)
         };
-        if self.options.engines(&item.service).filter(is_open).any(serves) {
+        if self.options.engines(&target.service).filter(is_allowed).any(will_serve) {
             return;
         }
-        let near = self.options.index.engines_with_copy(&item.service, &item.model);
-        let engines = near.iter().copied().filter(|e| self.options.is_usable(e)).filter(is_open);
-        // A host with a copy of the weights is worth a wait: a load from the weight store takes several times as
-        // long. Busy models make way where that costs their callers less than the wait costs these.
+        let candidates = self.options.index.engines_with_copy(&target.service, &target.model);
+        let engines =
+            candidates.iter().copied().filter(|e| self.options.is_usable(e)).filter(is_allowed);
+        // A host with a copy of the weights is worth waiting for: a fetch takes several times as long. Busy models are
+        // evicted if that costs their callers less than the wait costs these.
         let options = engines.flat_map(|e| {
-            [None, wanted]
+            [None, stats]
                 .into_iter()
-                .filter_map(|w| self.options.load_option(e, spec, &item.model, w))
+                .filter_map(|s| self.options.load_option(e, spec, &target.model, s))
         });
         let best = options.min_by(|a, b| a.cost.total_cmp(&b.cost));
         match best {
-            Some(best) if best.can_start => self.start_load(best, &item.model, "requests wait"),
-            // Where the best engine is at work on another load, the model waits for it, and others after it.
+            Some(best) if best.can_start => self.start_load(best, &target.model, "requests wait"),
+            // If the best engine is busy with another load, the model waits for it, and further models after it.
             Some(best) => self.options.reserve(best.engine, best.time),
             None => {}
         }
     }
 
     fn serve_adapters(&mut self) {
-        let items: Vec<(ModelTarget, Vec<ServerInstance>)> = self
+        let targets: Vec<(ModelTarget, Vec<ServerInstance>)> = self
             .backlogs
             .iter()
-            .filter(|(item, _)| item.adapter.is_some())
-            .map(|(item, wait)| (item.clone(), wait.avoid.clone()))
+            .filter(|(target, _)| target.adapter.is_some())
+            .map(|(target, backlog)| (target.clone(), backlog.avoid.clone()))
             .collect();
-        for (item, avoid) in items {
-            if let Some(action) = self.place_adapter(&item, &avoid) {
-                self.begin_adapter(action);
+        for (target, avoid) in targets {
+            if let Some(action) = self.place_adapter(&target, &avoid) {
+                self.start_adapter(action);
             }
         }
     }
 
-    fn begin_adapter(&mut self, action: Action) {
+    fn start_adapter(&mut self, action: Action) {
         if let Action::LoadAdapter { server, .. } = &action {
             self.options.assigned.insert(server.clone());
         }
         self.actions.push(action);
     }
 
-    /// Puts an adapter on an engine that holds its model, where none has it yet.
-    fn place_adapter(&self, item: &ModelTarget, avoid: &[ServerInstance]) -> Option<Action> {
-        let adapter = item.adapter.as_ref()?;
-        if avoid.is_empty() && self.options.index.has_adapter(&item.service, &item.model, adapter) {
+    /// Loads an adapter into an engine that holds its model, if no engine has it yet.
+    fn place_adapter(&self, target: &ModelTarget, avoid: &[ServerInstance]) -> Option<Action> {
+        let adapter = target.adapter.as_ref()?;
+        if avoid.is_empty()
+            && self.options.index.has_adapter(&target.service, &target.model, adapter)
+        {
             return None;
         }
-        let holders = self.options.index.holders(&item.service, &item.model);
-        let is_open =
+        let holders = self.options.index.holders(&target.service, &target.model);
+        let is_allowed =
             |e: &&&Engine| self.options.is_usable(e) && !avoid.contains(&e.server.instance());
-        let holders: Vec<&Engine> = holders.iter().filter(is_open).copied().collect();
+        let holders: Vec<&Engine> = holders.iter().filter(is_allowed).copied().collect();
         let has = |e: &&Engine| {
-            e.holds_adapter(&item.model, adapter) || e.is_loading_adapter(&item.model, adapter)
+            e.holds_adapter(&target.model, adapter) || e.is_loading_adapter(&target.model, adapter)
         };
         if holders.iter().any(has) {
             return None;
@@ -266,56 +270,56 @@
         };
         let work = |e: &Engine| self.input.work.at(server_key(&e.server.instance())).running;
         let engine = holders.iter().filter(is_free).min_by_key(|e| (e.adapter_count(), work(e)))?;
-        self.adapter_action(engine, item, adapter)
+        self.adapter_action(engine, target, adapter)
     }
 
     fn adapter_action(
         &self,
         engine: &Engine,
-        item: &ModelTarget,
+        target: &ModelTarget,
         adapter: &SmolStr,
     ) -> Option<Action> {
-        let spec = self.options.spec(&item.service)?;
-        let size = spec.models.get(&item.model)?.adapter_size;
-        let short = (engine.memory_used(spec) + size).saturating_sub(spec.memory);
-        let fits = engine.adapter_count() < spec.adapter_slots && short == 0;
-        let victim = if fits { None } else { Some(self.adapter_victim(engine, spec, short)?) };
+        let spec = self.options.spec(&target.service)?;
+        let size = spec.models.get(&target.model)?.adapter_size;
+        let shortfall = (engine.memory_used(spec) + size).saturating_sub(spec.memory);
+        let fits = engine.adapter_count() < spec.adapter_slots && shortfall == 0;
+        let victim = if fits { None } else { Some(self.adapter_victim(engine, spec, shortfall)?) };
         Some(Action::LoadAdapter {
             server: engine.server.id.clone(),
-            model: item.model.clone(),
+            model: target.model.clone(),
             adapter: adapter.clone(),
             victim,
         })
     }
 
-    /// The adapter of an engine that is asked for least, of those that no change under way takes and that free as much
-    /// memory as is short.
+    /// Returns the least requested adapter of an engine, among those that no change in progress evicts and that free
+    /// at least `shortfall` of memory.
     fn adapter_victim(
         &self,
         engine: &Engine,
         spec: &EngineSpec,
-        short: Mebibytes,
+        shortfall: Mebibytes,
     ) -> Option<(ModelName, SmolStr)> {
         let frees = |m: &&LoadedModel| {
-            spec.models.get(&m.name).is_some_and(|model| model.adapter_size >= short)
+            spec.models.get(&m.name).is_some_and(|model| model.adapter_size >= shortfall)
         };
         let all = engine.models.iter().filter(frees).flat_map(|m| {
-            let stays = |a: &&SmolStr| !engine.is_evicting(&m.name, a);
-            m.adapters.iter().filter(stays).map(move |a| ModelTarget {
+            let is_kept = |a: &&SmolStr| !engine.is_evicting(&m.name, a);
+            m.adapters.iter().filter(is_kept).map(move |a| ModelTarget {
                 service: engine.server.service.clone(),
                 model: m.name.clone(),
                 adapter: Some(a.clone()),
             })
         });
-        let rate = |item: &ModelTarget| self.input.demand.item_rate(item, self.input.now);
-        let item = all.min_by(|a, b| rate(a).total_cmp(&rate(b)))?;
-        Some((item.model, item.adapter?))
+        let rate = |target: &ModelTarget| self.input.demand.target_rate(target, self.input.now);
+        let target = all.min_by(|a, b| rate(a).total_cmp(&rate(b)))?;
+        Some((target.model, target.adapter?))
     }
 
-    /// Adds replicas of busy models, in data centres that have few of them.
+    /// Adds replicas of busy models, preferably in data centres that have few of them.
     fn add_replicas(&mut self) {
         for (_, service, model) in self.options.index.busy(BUSY_RATE) {
-            if self.is_full() {
+            if self.has_max_actions() {
                 return;
             }
             let key = (SmolStr::new(service), ModelName::new(model));
@@ -326,7 +330,7 @@
             }
             let Some(spec) = self.options.spec(service) else { continue };
             let may_fetch = self.options.fetching < self.input.share.concurrency();
-            let spread = |o: &LoadOption<'_>| {
+            let spread_cost = |o: &LoadOption<'_>| {
                 self.options.index.replicas_in(service, model, &o.engine.server.centre) as f64
                     + o.cost
             };
@@ -334,9 +338,8 @@
                 .options
                 .engines(service)
                 .filter_map(|e| self.options.load_option(e, spec, model, None));
-            // A host with a copy that is at work now is worth a wait: the weight store is slower, and
-            // others need it more.
-            let best = options.min_by(|a, b| spread(a).total_cmp(&spread(b)));
+            // A busy host with a copy is worth waiting for: the weight store is slower, and other models need it more.
+            let best = options.min_by(|a, b| spread_cost(a).total_cmp(&spread_cost(b)));
             let best = best.filter(|o| o.can_start && (o.source != Source::Store || may_fetch));
             if let Some(best) = best {
                 self.start_load(best, &key.1, "busy model");
@@ -344,22 +347,22 @@
         }
     }
 
-    /// Loads adapters of busy models before they are asked for, while places are free.
+    /// Loads adapters of busy models before they are requested, while slots are free.
     fn add_adapters(&mut self) {
         for (_, service, model) in self.options.index.busy(BUSY_RATE) {
             let spec = self.options.spec(service).and_then(|s| s.models.get(model));
             for adapter in spec.map(|s| s.adapters.as_slice()).unwrap_or_default() {
-                if self.is_full() {
+                if self.has_max_actions() {
                     return;
                 }
-                let item = ModelTarget {
+                let target = ModelTarget {
                     service: SmolStr::new(service),
                     model: ModelName::new(model),
                     adapter: Some(adapter.clone()),
                 };
-                let action = self.place_adapter(&item, &[]);
+                let action = self.place_adapter(&target, &[]);
                 if let Some(action @ Action::LoadAdapter { victim: None, .. }) = action {
-                    self.begin_adapter(action);
+                    self.start_adapter(action);
                 }
             }
         }
--- a/lib/src/placement/urgency.rs
+++ b/lib/src/placement/urgency.rs
@@ -1,4 +1,4 @@
-//! Which waits come first where engines are few.
+//! Ranks models with queued requests when there are too few engines.
 
 use std::time::Duration;
 
@@ -6,37 +6,39 @@
 use crate::placement::demand::Backlog;
 use crate::placement::load_options::BUSY_RATE;
 
-/// Time of the shortest loads, from a host's memory or disk.
-const SOONEST: Duration = Duration::from_millis(1500);
+/// Duration of the shortest loads, from a host's memory or disk.
+const SHORTEST_LOAD: Duration = Duration::from_millis(1500);
 
-/// The order of waits; the first come first.
+/// Rank of a model with queued requests; smaller values are served first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Urgency {
-    /// More callers come while the model is away, some of them with a goal that no load can meet.
+    /// More callers arrive while the model is not loaded, some of them with a goal that no load can
+    /// meet. Holds the start of the wait.
     Busy(Moment),
-    /// A load that begins now can still be punctual, until the moment given.
-    Punctual(Moment),
-    /// Too late for a punctual answer, though not for any until the moment given.
+    /// A load that starts now can still meet the latency goal, which ends at the given time.
+    OnTime(Moment),
+    /// Too late for the goal, but the requests can still be served until the given time.
     Late(Moment),
-    /// No load comes in time for those who wait, since the moment given; others may follow them.
-    Lost(Moment),
+    /// No load can finish in time for the queued requests, though others may follow. Holds the start of
+    /// the wait.
+    Missed(Moment),
 }
 
 impl Urgency {
-    /// Ranks a wait for a model that is asked for `rate` times a second.
+    /// Ranks a model that is requested `rate` times per second.
     ///
-    /// Served by age alone, a queue that has once grown longer than callers' goals makes everybody late:
-    /// each load is for somebody who has just become late.
-    pub fn new(wait: &Backlog, rate: f64, now: Moment) -> Self {
+    /// If requests were served by age alone, every caller would be late once the queue exceeded the
+    /// callers' goals: each load would serve a request that has just become late.
+    pub fn new(backlog: &Backlog, rate: f64, now: Moment) -> Self {
         if rate >= BUSY_RATE {
-            return Self::Busy(wait.since);
+            return Self::Busy(backlog.since);
         }
-        if wait.due >= now + SOONEST {
-            return Self::Punctual(wait.due);
+        if backlog.due >= now + SHORTEST_LOAD {
+            return Self::OnTime(backlog.due);
         }
-        if wait.deadline >= now + SOONEST {
-            return Self::Late(wait.deadline);
+        if backlog.deadline >= now + SHORTEST_LOAD {
+            return Self::Late(backlog.deadline);
         }
-        Self::Lost(wait.since)
+        Self::Missed(backlog.since)
     }
 }
--- a/lib/tests/test_demand.rs
+++ b/lib/tests/test_demand.rs
@@ -71,10 +71,10 @@
 fn restart_counted() {
     let mut demand = Demand::default();
     demand.update(&"d1".into(), count(1_000), ms(100));
-    let rate = demand.item_rate(&item(), ms(100));
+    let rate = demand.target_rate(&item(), ms(100));
     assert!(rate < 1.0, "{rate}");
     demand.update(&"d1".into(), count(4), ms(200));
-    assert!(demand.item_rate(&item(), ms(200)) < 2.0);
+    assert!(demand.target_rate(&item(), ms(200)) < 2.0);
 }
 
 /// Demand moves on; what was asked for half a minute ago is no reason to keep a model.
@@ -83,6 +83,6 @@
     let mut demand = Demand::default();
     demand.update(&"d1".into(), count(0), ms(0));
     demand.update(&"d1".into(), count(60), ms(1_000));
-    assert!(demand.item_rate(&item(), ms(1_000)) > 5.0);
-    assert!(demand.item_rate(&item(), ms(31_000)) < 0.2);
+    assert!(demand.target_rate(&item(), ms(1_000)) > 5.0);
+    assert!(demand.target_rate(&item(), ms(31_000)) < 0.2);
 }
