--- a/lib/src/placement/order_effect.rs
+++ b/lib/src/placement/order_effect.rs
@@ -1,4 +1,4 @@
-//! Whether a report shows that an order was carried out.
+//! Checks whether an engine's report shows the effect of an order.
 
 use smol_str::SmolStr;
 
@@ -6,11 +6,11 @@
 use crate::protocol::EngineReport;
 use crate::protocol::OrderKind;
 
-/// Returns whether an engine holds what it would hold after an order.
+/// Returns whether an engine's models match the effect of an order.
 ///
-/// The number of accepted orders alone does not tell whose order was the last one: an engine may carry out an
-/// unanswered order long after the change that it belonged to was given up, with the same number expected. Taken for
-/// the next change's order, it let that one go on, and the engine was filled beyond its memory.
+/// The number of accepted orders does not identify the last order: an engine may carry out an unanswered order long
+/// after its change was cancelled, and this order expects the same number. When it was mistaken for the next
+/// change's order, that change continued, and the engine was filled beyond its memory.
 pub fn is_applied(
     report: &EngineReport,
     kind: &OrderKind,
