--- a/lib/src/placement/engine_table.rs
+++ b/lib/src/placement/engine_table.rs
@@ -107,14 +107,14 @@
     pub compared: u64,
     /// The load in progress.
     pub job: Option<LoadJob>,
-    /// Whether the last report showed a change that this daemon did not order. The previous lease holder ordered it,
-    /// and it may be a load from the weight store.
+    /// Whether the last report showed a change that does not result from this daemon's orders. The previous lease
+    /// holder ordered it, and it may be a load from the weight store.
     pub reported_busy: bool,
     /// Adapters being loaded.
     pub adapter_jobs: Vec<AdapterJob>,
     /// When each model was last used or loaded.
     pub used: BTreeMap<ModelName, Moment>,
-    /// No new change is ordered before this time, after a failed one.
+    /// No new change starts before this time, after a failed one.
     pub backoff_until: Moment,
 }
 
--- a/lib/src/placement/entries.rs
+++ b/lib/src/placement/entries.rs
@@ -53,7 +53,8 @@
     /// What the holder knew about the weight store.
     #[serde(default)]
     pub share: StoreShare,
-    /// Engines that the holder ordered recently or may still order; `None` if unknown.
+    /// Engines that the holder sent orders to recently or may still send orders to; `None` if
+    /// unknown.
     #[serde(default)]
     pub orders: Option<Vec<OrderNote>>,
 }
--- a/lib/src/placement/fetch_limiter.rs
+++ b/lib/src/placement/fetch_limiter.rs
@@ -23,8 +23,8 @@
 const ON_TIME_RATIO: f64 = 0.85;
 /// A fetch that runs longer than this multiple of an expected duration shows that the store serves fewer.
 const LATE_RATIO: f64 = 1.3;
-/// Part of the ceiling that a new lease holder uses for one window, as it does not know what the previous holder
-/// ordered.
+/// Part of the ceiling that a new lease holder uses for one window, as it does not know which fetches the previous
+/// holder ordered.
 const INITIAL_CEILING_PART: f64 = 0.5;
 /// After this time a limit is raised by one: a slow phase of the store may have passed.
 const LIMIT_RETRY_AFTER: Duration = Duration::from_mins(1);
--- a/lib/src/placement/lease_state.rs
+++ b/lib/src/placement/lease_state.rs
@@ -46,7 +46,7 @@
     pub(super) sent: Moment,
     /// The feed's end after that append.
     pub(super) end: Offset,
-    /// No orders at all before this time: the previous holder did not record which engines it ordered.
+    /// No orders at all before this time: the previous holder did not record which engines it sent orders to.
     pub(super) orders_from: Moment,
     /// Whether the lease is being released and engines do not check fencing numbers: another daemon may already
     /// hold it and give orders before the store responds.
@@ -107,9 +107,9 @@
     /// What is known about the weight store: this daemon's knowledge while it holds the lease, otherwise that of
     /// the newest record.
     pub(super) share: StoreShare,
-    /// Recently ordered engines; used only if engines do not check fencing numbers.
+    /// Engines that recently received orders; used only if engines do not check fencing numbers.
     pub(super) recent: RecentOrders,
-    /// Whether this daemon knew at its last bid which engines the previous holder had ordered.
+    /// Whether this daemon knew at its last bid which engines had received orders from the previous holder.
     orders_known: bool,
 }
 
@@ -181,10 +181,10 @@
         (self.is_valid(&held, now) && now >= held.orders_from).then_some(held.fence)
     }
 
-    /// Returns the fencing number while this daemon may order an engine.
+    /// Returns the fencing number while this daemon may send orders to an engine.
     ///
-    /// If engines do not check fencing numbers, its own record must list the engine first, and the previous
-    /// holder's last order must be long enough ago.
+    /// If engines do not check fencing numbers, its own record must list the engine first, and the previous holder's
+    /// last order must be long enough ago.
     pub fn fence_for(&self, engine: EngineKey, now: Moment) -> Option<Fence> {
         let fence = self.fence(now)?;
         let is_open = self.fenced
@@ -192,12 +192,12 @@
         is_open.then_some(fence)
     }
 
-    /// Returns from when on an engine may be ordered, considering earlier holders' orders.
+    /// Returns from when on an engine may receive orders, considering earlier holders' orders.
     pub fn orderable_from(&self, engine: EngineKey) -> Moment {
         if self.fenced { Moment::ZERO } else { self.recent.orderable_from(engine) }
     }
 
-    /// Returns how many engines must not be ordered yet; `None` if no engine may be ordered.
+    /// Returns how many engines may not receive orders yet; `None` if this applies to all of them.
     pub fn blocked_engines(&self, now: Moment) -> Option<usize> {
         let is_known = self.held.is_some_and(|held| now >= held.orders_from);
         is_known.then(|| self.recent.blocked_engines(now))
@@ -221,8 +221,8 @@
 
     /// Returns the fencing number of the lease, even if its validity has expired for a moment.
     ///
-    /// A late renewal only pauses orders. The lease ends when another daemon is shown to hold it: until then,
-    /// ordered loads continue and the state is kept.
+    /// A late renewal only pauses orders. The lease ends when another daemon is shown to hold it: until then, loads in
+    /// progress continue and the state is kept.
     pub fn held_fence(&self) -> Option<Fence> {
         self.held.map(|h| h.fence)
     }
--- a/lib/src/placement/recent_orders.rs
+++ b/lib/src/placement/recent_orders.rs
@@ -1,10 +1,10 @@
-//! Tracks which engines the lease holder has ordered recently. The holder stores this list with the lease for its
+//! Tracks which engines recently received orders from the lease holder, which stores this list with the lease for its
 //! successor.
 //!
 //! If engines do not check fencing numbers, two holders' orders to one engine must be separated in time. A successor
 //! that does not know the previous holder's orders has to leave all engines unused for that long, and callers of cold
-//! models wait. The holder therefore records which engines it is about to order before it does so: its successor then
-//! waits only for these, each according to its own last order, and uses all others at once.
+//! models wait. The holder therefore records which engines it is about to send orders to before it does so: its
+//! successor then waits only for these, each according to its own last order, and uses all others at once.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -32,7 +32,7 @@
     hasher.finish() as EngineKey
 }
 
-/// A recently ordered engine.
+/// An engine that recently received orders.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderNote {
     /// The engine.
@@ -59,15 +59,15 @@
     last_order: Moment,
 }
 
-/// Engines ordered recently, by this holder and earlier ones.
+/// Engines that recently received orders from this holder or earlier ones.
 #[derive(Debug)]
 pub struct RecentOrders {
     /// Minimum time between two holders' orders to one engine.
     order_gap: Duration,
     own_orders: HashMap<EngineKey, EngineOrders>,
-    /// Until when engines must not be ordered because of earlier holders' orders.
+    /// Until when engines may not receive orders because of earlier holders' orders.
     inherited: HashMap<EngineKey, Moment>,
-    /// Engines that the acknowledged record and all later ones list; `None` if all engines may be ordered.
+    /// Engines that the acknowledged record and all later ones list; `None` if all engines may receive orders.
     listed: Option<HashSet<EngineKey>>,
     /// The same for the record being written.
     proposed: Option<HashSet<EngineKey>>,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns whether the records allow ordering an engine.
+    /// Returns whether the records allow orders to an engine.
     pub fn is_listed(&self, engine: EngineKey) -> bool {
         self.listed.as_ref().is_none_or(|listed| listed.contains(&engine))
     }
@@ -132,12 +132,12 @@
         self.own_orders.iter().any(|(engine, recent)| recent.open > 0 && !self.is_listed(*engine))
     }
 
-    /// Returns from when on an engine may be ordered, considering earlier holders' orders.
+    /// Returns from when on an engine may receive orders, considering earlier holders' orders.
     pub fn orderable_from(&self, engine: EngineKey) -> Moment {
         self.inherited.get(&engine).copied().unwrap_or_default()
     }
 
-    /// Returns how many engines must not be ordered yet because of earlier holders' orders.
+    /// Returns how many engines may not receive orders yet because of earlier holders' orders.
     pub fn blocked_engines(&self, now: Moment) -> usize {
         self.inherited.values().filter(|orderable| now < **orderable).count()
     }
@@ -145,7 +145,7 @@
     /// Returns the list for a record made now; `None` if it would be too long.
     ///
     /// A record whose append got no response may still be in the feed, and a successor then relies on it: from here
-    /// on, only engines that it lists may be ordered.
+    /// on, only engines that it lists may receive orders.
     pub fn propose(&mut self, now: Moment) -> Option<Vec<OrderNote>> {
         let gap = self.order_gap;
         self.own_orders.retain(|_, recent| recent.open > 0 || now < recent.last_order + gap);
--- a/lib/tests/test_bid_delay.rs
+++ b/lib/tests/test_bid_delay.rs
@@ -1,12 +1,13 @@
-//! Who bids first for the placement lease.
+//! Tests the delays before bids for the placement lease.
 
 use std::time::Duration;
 
 use comfreymux_lib::placement::bid_delay::Bidders;
 use rstest::rstest;
 
-/// After a data centre was cut off, nothing was loaded for seven seconds: a small host of 277 drew the shortest wait
-/// before any of 15 large ones, and its link did not carry a holder's word to 294 daemons.
+/// Guards against a small host acquiring the lease before any large one: after a data centre was cut off, a small
+/// host of 277 drew the shortest delay, ahead of 15 large ones. Its link could not carry a holder's digests to 294
+/// daemons, and nothing was loaded for seven seconds.
 #[rstest]
 #[case::few(8, 4)]
 #[case::many(83, 20)]
@@ -20,12 +21,15 @@
     assert!(last_large + answer < first_small, "{last_large:?}, {first_small:?}");
 }
 
-/// Where hosts are few nobody waits long; in a large fleet bids in vain stay few as well.
+/// Delays are short in a small fleet, and failed bids stay few in a large one.
 #[test]
 fn bids_spread() {
     let few = Bidders { daemons: 6, large: 6 };
     assert_eq!(few.bid_delay(false, 0.5), Duration::from_millis(125));
     let none_large = Bidders { daemons: 295, large: 0 };
     let between = none_large.bid_delay(true, 0.51).saturating_sub(none_large.bid_delay(true, 0.5));
-    assert!(between > Duration::from_millis(18), "three bid while one asks the store: {between:?}");
+    assert!(
+        between > Duration::from_millis(18),
+        "three daemons would bid within one call to the store: {between:?}"
+    );
 }
--- a/lib/tests/test_demand.rs
+++ b/lib/tests/test_demand.rs
@@ -1,4 +1,4 @@
-//! Demand of all daemons, as the lease holder hears it.
+//! Tests the demand of all daemons as aggregated by the lease holder.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
     Duration::from_millis(ms)
 }
 
-fn item() -> ModelTarget {
+fn target() -> ModelTarget {
     ModelTarget { service: "draft".into(), model: "rare".into(), adapter: None }
 }
 
-fn want(waiting: u32, avoid: &[&str]) -> DemandReport {
-    let want = QueuedDemand {
+fn queued(waiting: u32, avoid: &[&str]) -> DemandReport {
+    let queued = QueuedDemand {
         service: "draft".into(),
         model: "rare".into(),
         adapter: None,
@@ -27,7 +27,7 @@
         due_ms: 4_000,
         avoid: avoid.iter().map(|id| (*id).into()).collect(),
     };
-    DemandReport { queued: vec![want], arrivals: Vec::new() }
+    DemandReport { queued: vec![queued], arrivals: Vec::new() }
 }
 
 fn count(count: u32) -> DemandReport {
@@ -39,50 +39,51 @@
 #[test]
 fn waits_summed() {
     let mut demand = Demand::default();
-    demand.update(&"d1".into(), want(2, &["e1", "e2"]), ms(100));
-    demand.update(&"d2".into(), want(3, &["e2"]), ms(300));
-    let waits = demand.backlogs(ms(400));
-    let wait = &waits[&item()];
-    assert_eq!((wait.waiting, wait.since), (5, ms(100)));
-    assert_eq!(wait.avoid, ["e2".into()], "an engine that one daemon reaches can be used");
+    demand.update(&"d1".into(), queued(2, &["e1", "e2"]), ms(100));
+    demand.update(&"d2".into(), queued(3, &["e2"]), ms(300));
+    let backlogs = demand.backlogs(ms(400));
+    let backlog = &backlogs[&target()];
+    assert_eq!((backlog.waiting, backlog.since), (5, ms(100)));
+    assert_eq!(backlog.avoid, ["e2".into()], "an engine that one daemon can use is not avoided");
 }
 
-/// A daemon dies with its waiting requests; nothing must be loaded for them for long.
+/// A daemon fails while its requests are queued: nothing may be loaded for them for long.
 #[test]
 fn silent_forgotten() {
     let mut demand = Demand::default();
-    demand.update(&"d1".into(), want(2, &[]), ms(100));
+    demand.update(&"d1".into(), queued(2, &[]), ms(100));
     assert!(demand.backlogs(ms(5_000)).is_empty());
 }
 
-/// A wait that ended and another later are two waits: the second has not waited long.
+/// A model is queued again after an interruption: the wait starts anew.
 #[test]
 fn pause_ends() {
     let mut demand = Demand::default();
-    demand.update(&"d1".into(), want(1, &[]), ms(100));
-    demand.update(&"d1".into(), want(1, &[]), ms(500));
-    assert_eq!(demand.backlogs(ms(600))[&item()].since, ms(100));
-    demand.update(&"d1".into(), want(1, &[]), ms(9_000));
-    assert_eq!(demand.backlogs(ms(9_000))[&item()].since, ms(9_000));
+    demand.update(&"d1".into(), queued(1, &[]), ms(100));
+    demand.update(&"d1".into(), queued(1, &[]), ms(500));
+    assert_eq!(demand.backlogs(ms(600))[&target()].since, ms(100));
+    demand.update(&"d1".into(), queued(1, &[]), ms(9_000));
+    assert_eq!(demand.backlogs(ms(9_000))[&target()].since, ms(9_000));
 }
 
-/// A daemon starts anew and counts from zero; its old counts must not make a burst.
+/// A daemon restarts and counts from zero: neither its first nor its restarted count may appear as
+/// a burst.
 #[test]
 fn restart_counted() {
     let mut demand = Demand::default();
     demand.update(&"d1".into(), count(1_000), ms(100));
-    let rate = demand.target_rate(&item(), ms(100));
+    let rate = demand.target_rate(&target(), ms(100));
     assert!(rate < 1.0, "{rate}");
     demand.update(&"d1".into(), count(4), ms(200));
-    assert!(demand.target_rate(&item(), ms(200)) < 2.0);
+    assert!(demand.target_rate(&target(), ms(200)) < 2.0);
 }
 
-/// Demand moves on; what was asked for half a minute ago is no reason to keep a model.
+/// Rates decay: requests of half a minute ago are no reason to keep a model.
 #[test]
 fn rate_fades() {
     let mut demand = Demand::default();
     demand.update(&"d1".into(), count(0), ms(0));
     demand.update(&"d1".into(), count(60), ms(1_000));
-    assert!(demand.target_rate(&item(), ms(1_000)) > 5.0);
-    assert!(demand.target_rate(&item(), ms(31_000)) < 0.2);
+    assert!(demand.target_rate(&target(), ms(1_000)) > 5.0);
+    assert!(demand.target_rate(&target(), ms(31_000)) < 0.2);
 }
--- a/lib/tests/test_eta_accuracy.rs
+++ b/lib/tests/test_eta_accuracy.rs
@@ -1,4 +1,4 @@
-//! When a load is taken to have ended before a report shows it.
+//! Tests when a load is assumed to have ended before a report shows it.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
     Duration::from_secs(seconds)
 }
 
-/// Callers of two rare models wait for the same engine. Each load ended a quarter of a second later by the engine's
-/// report than it did, and the second one's callers were late by just that.
+/// Requests for two rare models wait for the same engine. Each load ended a quarter of a second later by the engine's
+/// report than in fact, which made the second model's callers late by just that.
 #[test]
 fn punctual_trusted() {
     let mut accuracy = EtaAccuracy::default();
-    assert!(!accuracy.is_reliable(at(1)), "nothing was seen yet");
+    assert!(!accuracy.is_reliable(at(1)), "no load was recorded yet");
     accuracy.record(SOON, at(2));
     assert!(accuracy.is_reliable(at(2)));
 }
 
-/// Hosts' disks turn slow. Requests that come before the end of a load are refused by the engine, and each of them uses
-/// up a repeat: after one late load, ends are looked for in reports again.
+/// A host's disk becomes slow. The engine refuses requests that arrive before the end of a load, and each of these uses
+/// up a retry. After one late load, ends of loads must be read from reports again.
 #[test]
 fn late_doubted() {
     let mut accuracy = EtaAccuracy::default();
--- a/lib/tests/test_fetching.rs
+++ b/lib/tests/test_fetching.rs
@@ -1,4 +1,4 @@
-//! Models that lie on no host: whose load from the weight store comes first.
+//! Tests in which order models without a usable copy on any host are fetched.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use comfreymux_testutils::placing_site::Site;
 use comfreymux_testutils::placing_site::load_of;
 
-/// The only host with a copy cannot be reached from the waiting daemons; the weight store has to do.
+/// The waiting daemons cannot reach the only host with a copy: the model must be fetched.
 #[test]
 fn copy_unreachable() {
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
     site.engine("e1", &["a", "b"], &[]);
     site.engine("e2", &["a", "b"], &["rare"]);
-    let want = QueuedDemand {
+    let queued = QueuedDemand {
         service: SERVICE.into(),
         model: "rare".into(),
         adapter: None,
@@ -27,14 +27,14 @@
         due_ms: 4_000,
         avoid: vec!["e2".into()],
     };
-    let note = DemandReport { queued: vec![want], arrivals: Vec::new() };
-    site.demand.update(&"d1".into(), note, NOW);
+    let report = DemandReport { queued: vec![queued], arrivals: Vec::new() };
+    site.demand.update(&"d1".into(), report, NOW);
     let plan = site.plan();
     let (server, _, source) = load_of(&plan, "rare").expect("loaded");
     assert_eq!((server, source), ("e1", Source::Store));
 }
 
-/// Before traffic starts, models without a copy on any disk are fetched, a few at a time.
+/// Before any traffic, models without a copy on any disk are fetched, a few at a time.
 #[test]
 fn copies_fetched() {
     let names: Vec<String> = (0..20).map(|n| format!("m{n}")).collect();
@@ -48,9 +48,9 @@
     assert_eq!(site.plan().len(), 1);
 }
 
-/// Callers of a busy model are refused for a minute. All hosts with copies of its weights were taken
-/// away; the weight store serves one load at a time, and a rare model that had been asked for a little
-/// earlier took its turn, since the longest wait came first.
+/// Guards against refusing requests for a busy model for a minute: all hosts with copies of it had been removed, and
+/// the store, which serves one fetch at a time, was used for a rare model requested a little earlier, since the
+/// longest wait came first.
 #[test]
 fn demand_first() {
     let names = ["a", "b", "c", "d", "rare", "asked"];
@@ -65,8 +65,8 @@
     assert_eq!(load_of(&plan, "rare"), None);
 }
 
-/// The same callers: every engine was at work on some other load, and the busy model was promised the
-/// one that would be free first, over and over, as that had nothing to lose yet.
+/// All engines were loading other models, and the busy model was repeatedly assigned to the one that would be free
+/// first, as evictions there were assumed to cost nothing yet.
 #[test]
 fn copyless_begun() {
     let mut site = Site::new(&["a", "b", "c", "d", "asked"].map(|n| (n, 70_000, 0)));
@@ -86,9 +86,8 @@
     assert_eq!(load_of(&site.plan(), "asked").map(|l| l.0), Some("e2"));
 }
 
-/// Callers of the busiest model are refused by the hundred for as long as it is asked for: its two replicas fill all
-/// their places, no other host has a copy, and the weight store's turn went to a model that one caller in two seconds
-/// asked for, since that one had no copy at all.
+/// Guards against refusing hundreds of requests for the busiest model: its two replicas are full and no other host
+/// has a copy, but the store was used for a model requested once in two seconds, since that one had no copy at all.
 #[test]
 fn overloaded_first() {
     let names = ["hot", "a", "b", "c", "d", "rare"];
@@ -97,7 +96,7 @@
     site.engine("e22", &["hot", "b"], &["hot"]);
     site.engine("e333", &["c", "d"], &["c", "d"]);
     site.share = StoreShare { proven: 1, limit: 1 };
-    // Sixty-four places and runs of a second and a half: each carries some 34 a second.
+    // With 64 slots and 1.5 s per request, each replica can serve about 34 requests per second.
     site.busy("hot", 90);
     site.busy("rare", 1);
     let plan = site.plan();
@@ -105,7 +104,7 @@
     assert_eq!(load_of(&plan, "rare"), None);
 }
 
-/// The same where another host has a copy: that one is taken, and the store is left to those that need it.
+/// If another host has a copy, that copy is used, and the store is left to the model without one.
 #[test]
 fn copy_suffices() {
     let names = ["hot", "a", "b", "c", "d", "rare"];
--- a/lib/tests/test_lease_state.rs
+++ b/lib/tests/test_lease_state.rs
@@ -1,4 +1,4 @@
-//! The lease of the one daemon that orders: never two at once, and never an old one after a new.
+//! Tests that at most one daemon holds the lease and that fencing numbers never decrease.
 
 use std::time::Duration;
 
@@ -17,23 +17,22 @@
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-const APART: Duration = Duration::from_secs(3);
-/// An engine.
+const ORDER_GAP: Duration = Duration::from_secs(3);
 const ENGINE: EngineKey = 7;
-/// Engines of a random course.
+/// Number of engines in a random run.
 const ENGINES: usize = 3;
-/// Time between looks at who may order, within a random course.
-const LOOK: u64 = 25;
+/// Time between checks of which daemon may send orders, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 25;
 
 const fn ms(ms: u64) -> Moment {
     Duration::from_millis(ms)
 }
 
 fn daemon(process: u64, fenced: bool) -> LeaseState {
-    LeaseState::new(format!("d{process}").into(), process, fenced, APART, ms(process * 20))
+    LeaseState::new(format!("d{process}").into(), process, fenced, ORDER_GAP, ms(process * 20))
 }
 
-/// The store's feed of the lease: the newest record and the end.
+/// The store's feed of the lease: its newest record and its end.
 #[derive(Debug, Default)]
 struct Feed {
     newest: Option<LeaseEntry>,
@@ -41,13 +40,13 @@
 }
 
 impl Feed {
-    /// Another program writes over the record.
+    /// Appends another program's record under the key of the lease.
     fn overwrite(&mut self) {
         self.newest = None;
         self.end += 1;
     }
 
-    /// Another program writes a record under another key.
+    /// Appends another program's record under another key.
     fn grow(&mut self) {
         self.end += 1;
     }
@@ -61,13 +60,18 @@
         Some(at)
     }
 
-    /// Carries out a step at once; returns whether there was one.
+    /// Executes one step at once; returns whether there was one.
     fn step(&mut self, lease: &mut LeaseState, now: Moment) -> bool {
-        self.hearing(lease, now, None)
+        self.step_with_peer(lease, now, None)
     }
 
-    /// The same at a daemon that hears another's claim.
-    fn hearing(&mut self, lease: &mut LeaseState, now: Moment, heard: Option<PeerLease>) -> bool {
+    /// The same for a daemon that received another daemon's claim.
+    fn step_with_peer(
+        &mut self,
+        lease: &mut LeaseState,
+        now: Moment,
+        heard: Option<PeerLease>,
+    ) -> bool {
         match lease.next_step(now, heard) {
             LeaseStep::Sleep(_) => false,
             LeaseStep::Read => {
@@ -99,7 +103,7 @@
     assert_eq!(b.fence(ms(100)), None);
 }
 
-/// The holder dies. Another must wait until its last renewal has surely ended.
+/// The holder fails. Another daemon must wait until its last renewal has certainly expired.
 #[test]
 fn dead_replaced() {
     let mut feed = Feed::default();
@@ -108,17 +112,17 @@
     for t in (200..9_000).step_by(50) {
         feed.settle(&mut b, ms(t));
         if b.fence(ms(t)).is_some() {
-            assert_eq!(a.fence(ms(t)), None, "at {t} ms both order");
-            assert!(t < 6_000, "it took {t} ms");
+            assert_eq!(a.fence(ms(t)), None, "at {t} ms both may send orders");
+            assert!(t < 6_000, "the takeover took {t} ms");
             return;
         }
     }
-    panic!("nobody took over");
+    panic!("no daemon took over");
 }
 
-/// Callers of cold models are refused for five seconds after the holder's host is lost. The other
-/// daemons had looked at the lease long before and waited out its validity; their bid then failed at
-/// an end of the feed that had grown since, and they waited it out a second time.
+/// Guards against refusing callers of cold models for five seconds after the holder's host fails: the other daemons
+/// had read the lease long before and waited until it expired. Their bid then failed because the feed had grown
+/// since, and they waited again.
 #[rstest]
 #[case::fenced(true, 2_100)]
 #[case::unfenced(false, 5_100)]
@@ -127,11 +131,11 @@
     let (mut a, mut b) = (daemon(1, fenced), daemon(2, fenced));
     feed.settle(&mut a, ms(0));
     feed.settle(&mut b, ms(0));
-    let death = 10_050;
+    let failed_at = 10_050;
     let mut heard = None;
     for t in (50..20_000).step_by(50) {
-        if t <= death {
-            // It tells its claim every 300 ms, and with each renewal.
+        if t <= failed_at {
+            // It sends its claim every 300 ms and with each renewal.
             let renewed = feed.step(&mut a, ms(t));
             if renewed || t % 300 == 0 {
                 heard = a.claim(ms(t)).map(|claim| (t, claim));
@@ -142,17 +146,17 @@
             until: ms(at) + claim.valid_for,
             end: claim.end,
         });
-        while feed.hearing(&mut b, ms(t), fresh) {}
+        while feed.step_with_peer(&mut b, ms(t), fresh) {}
         if b.fence(ms(t)).is_some() {
-            assert_eq!(a.fence(ms(t)), None, "at {t} ms both order");
-            assert!(t < death + limit, "it took {} ms", t - death);
+            assert_eq!(a.fence(ms(t)), None, "at {t} ms both may send orders");
+            assert!(t < failed_at + limit, "the takeover took {} ms", t - failed_at);
             return;
         }
     }
-    panic!("nobody took over");
+    panic!("no daemon took over");
 }
 
-/// An engine that does not check fencing numbers sees orders of two holders within three seconds.
+/// Engines that do not check fencing numbers must not receive orders of two holders within three seconds.
 #[test]
 fn unfenced_apart() {
     let mut feed = Feed::default();
@@ -173,10 +177,11 @@
         }
     }
     let gap = first.expect("taken over") - last.expect("held once");
-    assert!(ms(gap) >= APART, "{gap} ms between two holders' orders");
+    assert!(ms(gap) >= ORDER_GAP, "{gap} ms between two holders' orders");
 }
 
-/// The host is frozen and wakes after another took over: no order may leave before it asked.
+/// The holder's host is frozen and resumes after another daemon took over: it must read the store before it sends an
+/// order.
 #[test]
 fn frozen_wakes() {
     let mut feed = Feed::default();
@@ -191,8 +196,8 @@
     assert_eq!(a.fence(ms(6_000)), None);
 }
 
-/// The store is away for everybody. Where engines check fences, placement goes on; where they do
-/// not, another may take over unseen, so it stops.
+/// The store is unavailable to all daemons. If engines check fencing numbers, placement continues; otherwise it
+/// stops, as another daemon may take over unnoticed.
 #[rstest]
 #[case::fenced(true)]
 #[case::unfenced(false)]
@@ -208,8 +213,8 @@
     assert_eq!(a.fence(ms(8_000)).is_some(), fenced);
 }
 
-/// An append without an answer did land: the feed's newest record is the daemon's own, and its time
-/// counts from when it was sent.
+/// An append without a response succeeded: the feed's newest record is the daemon's own, and its validity counts
+/// from when it was sent.
 #[test]
 fn answer_lost() {
     let mut feed = Feed::default();
@@ -224,18 +229,18 @@
     assert_eq!(a.fence(ms(1_600)), Some(1));
 }
 
-/// A killed holder's new process must not take its own old record for a lease.
+/// The new process of a killed holder must not take its predecessor's record for its own lease.
 #[test]
 fn own_name() {
     let mut feed = Feed::default();
     let mut a = daemon(1, true);
     feed.settle(&mut a, ms(100));
-    let mut again = LeaseState::new("d1".into(), 77, true, APART, ms(0));
+    let mut again = LeaseState::new("d1".into(), 77, true, ORDER_GAP, ms(0));
     feed.settle(&mut again, ms(200));
     assert_eq!(again.fence(ms(200)), None);
 }
 
-/// A planned stop hands the lease on at once.
+/// A graceful stop passes the lease on at once.
 #[test]
 fn released_taken() {
     let mut feed = Feed::default();
@@ -249,7 +254,7 @@
     assert_eq!(a.fence(ms(400)), None);
 }
 
-/// A holder that hears of a later lease stops at once.
+/// A holder that receives a later lease's claim stops at once.
 #[test]
 fn outbid_stops() {
     let mut feed = Feed::default();
@@ -260,130 +265,140 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Answered,
-    Lost,
-    LostAndUndone,
-    Late(u8),
-    Refused,
+enum CallOutcome {
+    Acknowledged,
+    NoResponse,
+    NotExecuted,
+    Delayed(u8),
+    Failed,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
-    (0..10_u8, any::<u8>()).prop_map(|(kind, late)| match kind {
-        0..=5 => Fate::Answered,
-        6 => Fate::Lost,
-        7 => Fate::LostAndUndone,
-        8 => Fate::Late(late % 60),
-        _ => Fate::Refused,
+fn call_outcome() -> impl Strategy<Value = CallOutcome> {
+    (0..10_u8, any::<u8>()).prop_map(|(kind, delayed)| match kind {
+        0..=5 => CallOutcome::Acknowledged,
+        6 => CallOutcome::NoResponse,
+        7 => CallOutcome::NotExecuted,
+        8 => CallOutcome::Delayed(delayed % 60),
+        _ => CallOutcome::Failed,
     })
 }
 
-/// What happens next in a random course.
+/// One step of a random run.
 #[derive(Clone, Copy, Debug)]
-struct Move {
-    /// The daemon that takes its next step.
-    who: usize,
-    /// Milliseconds before it.
+struct RunStep {
+    /// The daemon that executes the step.
+    daemon_index: usize,
+    /// Milliseconds before the step.
     pause: u64,
-    fate: Fate,
-    /// Another writer's record: 1 under the key of the lease, 2 under another.
-    foreign: u8,
+    outcome: CallOutcome,
+    /// Another program's record: 1 under the key of the lease, 2 under another key.
+    other_record: u8,
 }
 
-/// The orders of a random course: changes under way by daemon and engine, and each engine's last order.
+/// Orders in a random run: changes in progress by daemon and engine, and the last order to each engine.
 #[derive(Debug, Default)]
-struct Course {
+struct RandomRun {
     changes: [[Option<u64>; ENGINES]; 3],
     last: [Option<(usize, Moment)>; ENGINES],
     fence: u64,
 }
 
-impl Course {
+impl RandomRun {
     /// Begins or ends a change at an engine.
-    fn turn(&mut self, lease: &mut LeaseState, who: usize, engine: usize, now: Moment) {
-        match self.changes[who][engine].take() {
+    fn toggle_change(
+        &mut self,
+        lease: &mut LeaseState,
+        daemon_index: usize,
+        engine: usize,
+        now: Moment,
+    ) {
+        match self.changes[daemon_index][engine].take() {
             Some(fence) => lease.end_orders(fence, engine as EngineKey, now),
             None => {
                 if let Some(fence) = lease.held_fence() {
                     lease.begin_orders(fence, engine as EngineKey, now);
-                    self.changes[who][engine] = Some(fence);
+                    self.changes[daemon_index][engine] = Some(fence);
                 }
             }
         }
     }
 
-    /// Everybody orders what it may: never two at once, and one engine's orders by two lie apart.
-    fn look(&mut self, daemons: &[LeaseState], now: Moment) {
+    /// Sends all permitted orders; checks that at most one daemon may send orders and that two daemons' orders to an
+    /// engine are far enough apart.
+    fn send_orders(&mut self, daemons: &[LeaseState], now: Moment) {
         let holders: Vec<_> =
             daemons.iter().enumerate().filter_map(|(i, d)| Some((i, d.fence(now)?))).collect();
         assert!(holders.len() <= 1, "{holders:?} at {now:?}");
-        let Some((who, fence)) = holders.first().copied() else { return };
+        let Some((daemon_index, fence)) = holders.first().copied() else { return };
         assert!(fence >= self.fence, "fence {fence} after {}", self.fence);
         self.fence = fence;
         for engine in 0..ENGINES {
-            let may = daemons[who].fence_for(engine as EngineKey, now) == Some(fence);
-            if !may || self.changes[who][engine] != Some(fence) {
+            let may = daemons[daemon_index].fence_for(engine as EngineKey, now) == Some(fence);
+            if !may || self.changes[daemon_index][engine] != Some(fence) {
                 continue;
             }
             if let Some((before, at)) = self.last[engine]
-                && before != who
+                && before != daemon_index
             {
-                assert!(now >= at + APART, "turns at engine {engine}: {at:?} and {now:?}");
+                assert!(
+                    now >= at + ORDER_GAP,
+                    "two holders' orders to engine {engine} at {at:?} and {now:?}"
+                );
             }
-            self.last[engine] = Some((who, now));
+            self.last[engine] = Some((daemon_index, now));
         }
     }
 }
 
-/// Plays a course without fences; checks that no two daemons hold the lease at once, that one engine's orders by two
-/// of them lie as far apart as they must, and that fencing numbers only grow.
-fn play(moves: Vec<Move>) {
+/// Plays a run without fencing checks; checks that no two daemons hold the lease at once, that two daemons' orders
+/// to one engine are far enough apart, and that fencing numbers only grow.
+fn play_steps(steps: Vec<RunStep>) {
     let mut feed = Feed::default();
     let mut daemons: Vec<_> = (1..=3).map(|p| daemon(p, false)).collect();
-    let mut late: Vec<(Moment, u64, LeaseEntry)> = Vec::new();
+    let mut delayed: Vec<(Moment, u64, LeaseEntry)> = Vec::new();
     let mut now = ms(0);
-    let mut course = Course::default();
-    for Move { who, pause, fate, foreign } in moves {
-        for wait in (LOOK..pause).step_by(LOOK as usize) {
-            course.look(&daemons, now + ms(wait));
+    let mut run = RandomRun::default();
+    for RunStep { daemon_index, pause, outcome, other_record } in steps {
+        for wait in (CHECK_INTERVAL_MS..pause).step_by(CHECK_INTERVAL_MS as usize) {
+            run.send_orders(&daemons, now + ms(wait));
         }
         now += ms(pause);
-        match foreign {
+        match other_record {
             1 => feed.overwrite(),
             2 => feed.grow(),
             _ => {}
         }
-        late.sort_by_key(|(at, _, _)| *at);
-        while late.first().is_some_and(|(at, _, _)| *at <= now) {
-            let (_, at, entry) = late.remove(0);
+        delayed.sort_by_key(|(at, _, _)| *at);
+        while delayed.first().is_some_and(|(at, _, _)| *at <= now) {
+            let (_, at, entry) = delayed.remove(0);
             feed.append(at, entry);
         }
-        course.turn(&mut daemons[who], who, pause as usize % ENGINES, now);
-        let lease = &mut daemons[who];
+        run.toggle_change(&mut daemons[daemon_index], daemon_index, pause as usize % ENGINES, now);
+        let lease = &mut daemons[daemon_index];
         match lease.next_step(now, None) {
             LeaseStep::Sleep(_) => {}
-            LeaseStep::Read => match fate {
-                Fate::Answered => lease.on_read(now, feed.newest.clone(), feed.end),
+            LeaseStep::Read => match outcome {
+                CallOutcome::Acknowledged => lease.on_read(now, feed.newest.clone(), feed.end),
                 _ => lease.on_store_failure(now),
             },
-            LeaseStep::Append(at, entry) => match fate {
-                Fate::Answered => match feed.append(at, entry) {
+            LeaseStep::Append(at, entry) => match outcome {
+                CallOutcome::Acknowledged => match feed.append(at, entry) {
                     Some(offset) => lease.on_appended(now, now, offset),
                     None => lease.on_conflict(),
                 },
-                Fate::Lost => {
+                CallOutcome::NoResponse => {
                     feed.append(at, entry);
                     lease.on_unknown_outcome(now, now);
                 }
-                Fate::LostAndUndone => lease.on_unknown_outcome(now, now),
-                Fate::Late(tenths) => {
-                    late.push((now + ms(u64::from(tenths) * 100), at, entry));
+                CallOutcome::NotExecuted => lease.on_unknown_outcome(now, now),
+                CallOutcome::Delayed(tenths) => {
+                    delayed.push((now + ms(u64::from(tenths) * 100), at, entry));
                     lease.on_unknown_outcome(now, now);
                 }
-                Fate::Refused => lease.on_store_failure(now),
+                CallOutcome::Failed => lease.on_store_failure(now),
             },
         }
-        course.look(&daemons, now);
+        run.send_orders(&daemons, now);
     }
     assert!(LEASE_TTL > Duration::ZERO);
 }
@@ -391,29 +406,39 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(11), ..Config::default() })]
 
-    /// Three daemons, one feed; calls are answered, lost, refused or carried out seconds later, and
-    /// daemons stand still for seconds. Without fences two must never be allowed to order within the
-    /// time that must lie between them, and fencing numbers only grow.
+    /// Three daemons share one feed. Calls are answered, not answered, refused or carried out seconds later, and
+    /// daemons pause for seconds. Without fencing checks, no two daemons may be allowed to send orders to an engine
+    /// within the minimum gap, and fencing numbers only grow.
     #[test]
     fn never_two(
-        moves in prop::collection::vec((0..3_usize, 20..900_u64, fate()), 1..300),
+        steps in prop::collection::vec((0..3_usize, 20..900_u64, call_outcome()), 1..300),
     ) {
-        let own = |(who, pause, fate)| Move { who, pause, fate, foreign: 0 };
-        play(moves.into_iter().map(own).collect());
+        let own = |(daemon_index, pause, outcome)| RunStep {
+            daemon_index,
+            pause,
+            outcome,
+            other_record: 0,
+        };
+        play_steps(steps.into_iter().map(own).collect());
     }
 
-    /// The same while another program writes to the feed, over the lease's record too.
+    /// The same while another program writes to the feed, also under the lease's key.
     #[test]
     fn never_two_foreign(
-        moves in prop::collection::vec((0..3_usize, 20..900_u64, fate(), 0..12_u8), 1..300),
+        steps in prop::collection::vec((0..3_usize, 20..900_u64, call_outcome(), 0..12_u8), 1..300),
     ) {
-        let all = |(who, pause, fate, foreign)| Move { who, pause, fate, foreign };
-        play(moves.into_iter().map(all).collect());
+        let all = |(daemon_index, pause, outcome, other_record)| RunStep {
+            daemon_index,
+            pause,
+            outcome,
+            other_record,
+        };
+        play_steps(steps.into_iter().map(all).collect());
     }
 }
 
-/// A renewal comes a second late on a slow host. A third of all loads were given up as if the lease
-/// were lost, and what was known of demand and engines was thrown away.
+/// Guards against treating a renewal that is a second late on a slow host as the loss of the lease: a third of all
+/// loads were cancelled, and the state of demand and engines was discarded.
 #[test]
 fn late_renewal() {
     let mut feed = Feed::default();
@@ -425,8 +450,8 @@
     assert_eq!(a.fence(ms(3_100)), Some(1));
 }
 
-/// Two daemons order at once: another program wrote over the record of the lease, and the second
-/// daemon took a feed without a readable record for a lease that nobody has.
+/// Guards against two daemons sending orders at once: another program wrote over the record of the lease, and the
+/// second daemon treated a feed without a readable record as a free lease.
 #[rstest]
 #[case::fenced(true)]
 #[case::unfenced(false)]
@@ -444,11 +469,11 @@
     }
 }
 
-/// The holder dies and its record is written over. Another waits as long as for a record that it can
-/// read, and where engines do not check fencing numbers its orders lie apart from the last ones.
+/// The holder fails, and its record is overwritten. Another daemon waits as long as for a readable record, and
+/// without fencing checks its orders must be far enough from the previous ones.
 #[rstest]
 #[case::fenced(true, ms(1_600))]
-#[case::unfenced(false, APART)]
+#[case::unfenced(false, ORDER_GAP)]
 fn hidden_replaced(#[case] fenced: bool, #[case] least: Duration) {
     let mut feed = Feed::default();
     let (mut a, mut b) = (daemon(1, fenced), daemon(2, fenced));
@@ -459,12 +484,12 @@
         b.fence(ms(*t)).is_some()
     });
     let taken = ms(taken.expect("taken over"));
-    assert!(taken >= ms(100) + least, "after {taken:?}");
-    assert!(taken < ms(7_000), "after {taken:?}");
+    assert!(taken >= ms(100) + least, "taken over at {taken:?}");
+    assert!(taken < ms(7_000), "taken over at {taken:?}");
 }
 
-/// The holder was frozen for so long that another may have taken over, and the record is written over:
-/// it must not go on as if the lease were its own.
+/// The holder was frozen so long that another daemon may have taken over, and the record is overwritten: it must not
+/// continue as the lease holder.
 #[test]
 fn hidden_frozen() {
     let mut feed = Feed::default();
@@ -481,8 +506,8 @@
     assert!(b.fence(ms(4_050)).is_some());
 }
 
-/// The holder dies while another program writes to the feed under a key of its own, twice a second. Each
-/// of its records looked like a renewal, and nobody took over for as long as it wrote.
+/// The holder fails while another program writes to the feed under its own key, twice a second. Each of its records
+/// was taken for a renewal, so no daemon took over while it wrote.
 #[test]
 fn busy_feed() {
     let mut feed = Feed::default();
@@ -496,11 +521,10 @@
         b.fence(ms(*t)).is_some()
     });
     let taken = taken.expect("taken over");
-    assert!((1_700..4_000).contains(&taken), "after {taken} ms");
+    assert!((1_700..4_000).contains(&taken), "taken over at {taken} ms");
 }
 
-/// The answer to a renewal is lost, and another program's record is the next in the feed: the renewal
-/// landed all the same.
+/// A renewal succeeds without a response, and another program's record is the next in the feed.
 #[test]
 fn busy_answer() {
     let mut feed = Feed::default();
--- a/lib/tests/test_order_effect.rs
+++ b/lib/tests/test_order_effect.rs
@@ -1,4 +1,4 @@
-//! Whose order an engine carried out, by its report.
+//! Tests which order an engine carried out, by its report.
 
 use comfreymux_lib::cluster::directory::LoadedModel;
 use comfreymux_lib::cluster::directory::WeightCopies;
@@ -17,9 +17,10 @@
     EngineReport { models, copies: WeightCopies::default(), busy: false, sequence: 26, born: None }
 }
 
-/// An engine answers no orders and carries them out seconds later. The load of adapter a24 was given up; the next change
-/// unloads a31 to make place for a22. The engine then loads a24 after all: its count of orders is what the unloading
-/// would have made it. Taken for that, a22 was loaded into places that were all taken, and the engine crashed.
+/// An engine does not answer orders and carries them out seconds later. The load of adapter a24 timed out, and the next
+/// change unloads a31 to free a slot for a22. The engine then loads a24 after all, which raises its order count as the
+/// unload would have. When this was mistaken for the unload, a22 was loaded although all slots were full, and the
+/// engine crashed.
 #[rstest]
 #[case::late_load(&[("m", &["a24", "a31"][..])], OrderKind::Unload, Some("a31"), false)]
 #[case::own_unload(&[("m", &["a24"][..])], OrderKind::Unload, Some("a31"), true)]
--- a/lib/tests/test_planner.rs
+++ b/lib/tests/test_planner.rs
@@ -1,4 +1,4 @@
-//! Which engine loads what: soonest for those who wait, never over an engine's memory.
+//! Tests which engine loads which model: as soon as possible for waiting requests, and never beyond an engine's memory.
 
 use std::time::Duration;
 
@@ -19,8 +19,7 @@
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-/// A rare model is asked for; its weights lie on one host's disk, 1.6 s away, and 6 s away from all
-/// others.
+/// A rare model is requested; a load takes 1.6 s at the host with its weights on disk and 6 s at all others.
 #[test]
 fn disk_preferred() {
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
@@ -33,9 +32,8 @@
     assert_eq!(victims.len(), 1);
 }
 
-/// A caller waits ten seconds for a model that lay on a disk. The models on that host had been loaded
-/// just before, so nothing there could make way for another second; the model was fetched from the
-/// weight store to another host instead.
+/// Guards against a wait of ten seconds for a model with a copy on a disk: the models at that host had just been loaded
+/// and could not be evicted for another second, so the model was fetched by another host instead.
 #[test]
 fn settling_awaited() {
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
@@ -46,7 +44,7 @@
     assert_eq!(load_of(&site.plan(), "rare"), None);
 }
 
-/// An engine at work is worth waiting for where its disk has the model.
+/// A busy engine is worth waiting for if its disk has the model.
 #[test]
 fn job_awaited() {
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
@@ -63,7 +61,8 @@
     assert_eq!(load_of(&site.plan(), "rare"), None);
 }
 
-/// Guards against two changes of an engine in place of the same adapter: the second one found it gone, and had no place.
+/// Guards against two changes of an engine that evict the same adapter: the second one found it already removed and had
+/// no slot.
 #[test]
 fn victims_distinct() {
     let mut site = Site::new(&[("a", 70_000, 12)]);
@@ -78,12 +77,12 @@
     site.want("a", Some("a10"));
     let plan = site.plan();
     let Some(Action::LoadAdapter { victim: Some((_, victim)), .. }) = plan.first() else {
-        panic!("an adapter in place of another: {plan:?}");
+        panic!("expected an adapter load that evicts another: {plan:?}");
     };
     assert_ne!(victim, "a1");
 }
 
-/// Guards against an adapter that makes way for a larger one: its memory did not do, and the engine had no room.
+/// Guards against evicting a smaller adapter for a larger one: its memory did not suffice, and the engine had no room.
 #[test]
 fn victim_large() {
     let mut site = Site::new(&[("a", 99_900, 4), ("b", 99_800, 4)]);
@@ -97,12 +96,12 @@
     site.want("b", Some("a2"));
     let plan = site.plan();
     let Some(Action::LoadAdapter { victim: Some((model, _)), .. }) = plan.first() else {
-        panic!("an adapter in place of another: {plan:?}");
+        panic!("expected an adapter load that evicts another: {plan:?}");
     };
     assert_eq!(model, "b");
 }
 
-/// Requests run on one of two possible victims; its unloading would wait for them.
+/// Requests run on one of two models that could be evicted; unloading it would wait for them.
 #[test]
 fn idle_victim() {
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
@@ -114,9 +113,9 @@
     assert_eq!(load_of(&plan, "rare").expect("loaded").1, ["b"]);
 }
 
-/// A caller was refused at once because its model "will be loaded too late". The load had to wait for a
-/// request that ran on its victim and ended in a moment: how long others run is a guess, and no ground to
-/// refuse anybody.
+/// Guards against refusing a request at once because "the model will be loaded too late": the load had to wait for a
+/// request running on its victim, which ended a moment later. How long others' requests run is an estimate and no
+/// reason to refuse a request.
 #[test]
 fn guess_untold() {
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("wanted", 70_000, 0)]);
@@ -132,9 +131,9 @@
     assert!(time < Duration::from_secs(2), "{time:?}; the load itself takes 1.6 s");
 }
 
-/// Four rare models wait, and the weights of all lie on one host; those of the fourth lie on another one as well,
-/// where a busier model must make way. Each took the one host for the soonest and waited for it while the other was
-/// idle, and the fourth caller became late.
+/// Requests wait for four rare models. One host has all their weights; another one has the fourth's, but would have to
+/// evict a busier model. Each model was assigned to the first host as the fastest and waited for it while the other was
+/// idle, and the fourth caller was late.
 #[test]
 fn crowded_host() {
     let mut site = Site::new(&["a", "b", "c", "r1", "r2", "r3", "r4"].map(|n| (n, 70_000, 0)));
@@ -152,8 +151,8 @@
     assert_eq!(load_of(&plan, "r4").expect("loaded").0, "e22");
 }
 
-/// A rare model's only idle copy lies on a host where a model with other replicas must make way, while another
-/// host with a copy is at work for seconds. Its callers waited for that host as long as nobody else came.
+/// Of two hosts with a rare model's weights, the idle one must evict a model that has other replicas, and the other one
+/// is busy for seconds. The model's requests waited for the busy host as long as no others arrived.
 #[test]
 fn replica_yields() {
     let mut site = Site::new(&["a", "b", "c", "rare"].map(|n| (n, 70_000, 0)));
@@ -173,9 +172,9 @@
     assert_eq!(load_of(&site.plan(), "rare").expect("loaded").0, "e22");
 }
 
-/// A rare model's weights lie on two hosts, one of which is at work for two seconds more; at both a model that is asked
-/// for now and then must make way. The wait seemed cheaper than the start, since what makes way after it did not
-/// count, and the caller waited twice as long.
+/// Two hosts have a rare model's weights, and one of them is busy for two more seconds; both must evict a model that is
+/// requested occasionally. Waiting seemed cheaper than starting, since the later eviction was not counted, and the
+/// caller waited twice as long.
 #[rstest]
 #[case::idle(0)]
 #[case::in_use(2)]
@@ -200,8 +199,8 @@
     assert_eq!(load_of(&site.plan(), "rare").expect("loaded").0, "e22");
 }
 
-/// Four models fill all places twice over, and each is asked for often. Two further models are asked
-/// for as often and were never loaded: nothing was allowed to make way for them.
+/// Four models fill all engines with two replicas each, and all are requested often. A further model that is requested
+/// as often and was never loaded must replace one of them: no model could be evicted for it.
 #[test]
 fn second_yields() {
     let names = ["a", "b", "c", "d"];
@@ -232,16 +231,16 @@
         panic!("{plan:?}");
     };
     assert_eq!((server.as_str(), adapter.as_str()), ("e1", "a9"));
-    assert!(victim.is_some(), "all places are taken");
+    assert!(victim.is_some(), "all adapter slots are full");
 }
 
-/// Two callers wait for models that only one engine can load soon.
+/// Returns which of two models with queued requests is loaded, if only one engine can load them soon.
 fn contended(first: (u32, u32), second: (u32, u32)) -> Option<String> {
     let mut site = Site::new(&["a", "b", "c", "first", "second"].map(|n| (n, 70_000, 0)));
     site.engine("e1", &["a", "b"], &["first", "second"]);
     site.engine("e22", &["a", "c"], &[]);
     for (seconds, model, (due_ms, remaining_ms)) in [(5, "first", first), (1, "second", second)] {
-        let want = QueuedDemand {
+        let queued = QueuedDemand {
             service: SERVICE.into(),
             model: model.into(),
             adapter: None,
@@ -251,18 +250,18 @@
             avoid: Vec::new(),
         };
         for now in [NOW.saturating_sub(Duration::from_secs(seconds)), NOW] {
-            let note = DemandReport { queued: vec![want.clone()], arrivals: Vec::new() };
-            site.demand.update(&format!("d-{model}").into(), note, now);
+            let report = DemandReport { queued: vec![queued.clone()], arrivals: Vec::new() };
+            site.demand.update(&format!("d-{model}").into(), report, now);
         }
     }
     let plan = site.plan();
     ["first", "second"].into_iter().find(|m| load_of(&plan, m).is_some()).map(Into::into)
 }
 
-/// A family's draft comes after five seconds where three were promised, and so do all that follow: the
-/// longest wait came first, so every load was for a caller who had just become late. Those who can
-/// still be served in time go first, the nearest to its limit before others; then those who leave first;
-/// last those whom no load can reach.
+/// Guards against responses after five seconds instead of the promised three, for all callers: the longest wait came
+/// first, so every load served a caller that had just become late. Requests that can still meet their goal come first,
+/// the nearest goal before others, then those with the earliest deadline, and last those that no load can serve in
+/// time.
 #[rstest]
 #[case::older_late((0, 9_000), (2_500, 9_000), "second")]
 #[case::nearer_limit((2_900, 9_000), (2_500, 9_000), "second")]
@@ -273,7 +272,7 @@
     assert_eq!(contended(first, second).as_deref(), Some(loaded));
 }
 
-/// A new holder of the lease does not know yet what an engine holds after a late order.
+/// A new lease holder does not know yet what an engine holds after a late order.
 #[test]
 fn unconfirmed_spared() {
     let mut site = Site::new(&[("a", 70_000, 0), ("rare", 70_000, 0)]);
@@ -285,7 +284,7 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(5), ..Config::default() })]
 
-    /// Whatever is held, wanted and busy: no step overfills an engine, and none gets two at once.
+    /// For any loaded, queued and busy models: no action exceeds an engine's memory, and no engine gets two actions.
     #[test]
     fn never_overfilled(
         sizes in prop::collection::vec(20_000..90_000_u64, 12),
@@ -317,7 +316,7 @@
         let mut seen = Vec::new();
         for action in site.plan() {
             let (Action::LoadModel { server, .. } | Action::LoadAdapter { server, .. }) = &action;
-            assert!(!seen.contains(server), "two steps for {server}");
+            assert!(!seen.contains(server), "two actions for {server}");
             seen.push(server.clone());
             let engine = site.engine_table.engines.get_mut(server).expect("known");
             match action {
