--- a/lib/src/placement/demand.rs
+++ b/lib/src/placement/demand.rs
@@ -81,6 +81,7 @@
     }
 }
 
+/// Requests queued at one daemon, by its last report.
 #[derive(Debug)]
 struct ReportedBacklogs {
     at: Moment,
--- a/lib/src/placement/entries.rs
+++ b/lib/src/placement/entries.rs
@@ -65,7 +65,7 @@
 ///
 /// Never: these types have no map with non-string keys.
 pub fn encode<T: Serialize>(entry: &T) -> Bytes {
-    Bytes::from(serde_json::to_vec(entry).expect("plain fields become JSON"))
+    Bytes::from(serde_json::to_vec(entry).expect("records serialize to JSON"))
 }
 
 /// Parses a record.
--- a/lib/src/placement/lease_events.rs
+++ b/lib/src/placement/lease_events.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Applies the newest readable record and the feed's end.
+    /// Applies the newest record of the lease, `None` if none can be read, and the feed's end.
     pub fn on_read(&mut self, now: Moment, entry: Option<LeaseEntry>, end: Offset) {
         self.outage = None;
         let grew = self.end != Some(end);
@@ -77,8 +77,8 @@
     /// lease.
     ///
     /// While this daemon's own renewal is valid, no other daemon has bid, so it keeps the lease. After
-    /// that it must not, as another may have taken over. A daemon that does not hold the lease waits as
-    /// if it had just been renewed.
+    /// that it must not, as another may have taken over. If this daemon does not hold the lease, it
+    /// waits as if the lease had just been renewed.
     fn on_unreadable(&mut self, now: Moment, grew: bool) {
         self.held = self.held.filter(|h| now < h.sent + LEASE_TTL);
         if self.held.is_none() && grew {
@@ -86,8 +86,7 @@
         }
     }
 
-    /// Records that an append of this daemon without a response succeeded; `end` is the feed's end
-    /// after it.
+    /// Records that an unanswered append of this daemon succeeded; `end` is the feed's end after it.
     fn confirm_append(&mut self, fence: Option<Fence>, sent: Moment, now: Moment, end: Offset) {
         let fence = fence.unwrap_or(end);
         match &mut self.held {
--- a/lib/src/placement/load_options.rs
+++ b/lib/src/placement/load_options.rs
@@ -172,10 +172,10 @@
         need: Mebibytes,
         stats: Option<WaitStats>,
     ) -> f64 {
-        let now = self.victims(engine, spec, need, stats).map(|(_, loss)| loss);
+        let current = self.victims(engine, spec, need, stats).map(|(_, loss)| loss);
         let losses = engine.models.iter().map(|m| self.eviction_loss(engine, &m.name));
-        let least = || losses.min_by(f64::total_cmp);
-        now.or_else(least).unwrap_or(0.0) * LOSS_SECONDS + self.contention_cost(engine)
+        let min_loss = || losses.min_by(f64::total_cmp);
+        current.or_else(min_loss).unwrap_or(0.0) * LOSS_SECONDS + self.contention_cost(engine)
     }
 
     /// Returns the cost of other arrivals at an engine for a model's callers there, in seconds of waiting.
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -111,7 +111,7 @@
         let backlogs = self.demand.backlogs(self.now);
         let index = PlanIndex::new(self.engine_table, self.demand, self.work, self.now);
         let waiting_models =
-            backlogs.keys().map(|i| (i.service.clone(), i.model.clone())).collect();
+            backlogs.keys().map(|t| (t.service.clone(), t.model.clone())).collect();
         let fetching = index.fetching;
         let options = LoadOptions {
             input: self,
@@ -244,7 +244,8 @@
         self.actions.push(action);
     }
 
-    /// Loads an adapter into an engine that holds its model, if no engine has it yet.
+    /// Returns the action that loads an adapter into an engine that holds its model; `None` if an engine already has
+    /// it or no engine can load it now.
     fn place_adapter(&self, target: &ModelTarget, avoid: &[ServerInstance]) -> Option<Action> {
         let adapter = target.adapter.as_ref()?;
         if avoid.is_empty()
--- a/lib/tests/test_demand.rs
+++ b/lib/tests/test_demand.rs
@@ -55,7 +55,7 @@
     assert!(demand.backlogs(ms(5_000)).is_empty());
 }
 
-/// A model is queued again after an interruption: the wait starts anew.
+/// A model is queued again after an interruption: the wait starts again.
 #[test]
 fn pause_ends() {
     let mut demand = Demand::default();
--- a/lib/tests/test_handover.rs
+++ b/lib/tests/test_handover.rs
@@ -67,7 +67,7 @@
             self.change(lease, engine, *now);
             lease.fence_for(engine, *now).is_some()
         });
-        first.expect("it may never send orders")
+        first.expect("the daemon was never allowed to send orders")
     }
 }
 
