--- a/lib/src/cluster/configuration.rs
+++ b/lib/src/cluster/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: routes, services and the models that engines may hold.
+//! The operators' configuration: routes, services and the models that engines may load.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -76,7 +76,7 @@
     }
 }
 
-/// A model that the engines of a service may hold.
+/// A model that the engines of a service may load.
 #[derive(Clone, Debug)]
 pub struct ModelSpec {
     /// Size of the weights.
--- a/lib/src/cluster/digest.rs
+++ b/lib/src/cluster/digest.rs
@@ -51,7 +51,7 @@
 /// One daemon's workload at a server, by model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WorkloadReport {
-    /// The server.
+    /// The server instance that runs the requests.
     pub server: ServerInstance,
     /// The model; `None` if the server is no engine.
     pub model: Option<ModelName>,
@@ -100,11 +100,11 @@
 /// Requests that wait for a model, or for one of its adapters, to be loaded.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QueuedDemand {
-    /// The service.
+    /// Service of the requests.
     pub service: ServiceName,
-    /// The model.
+    /// The requested model.
     pub model: ModelName,
-    /// The adapter, where one is asked for.
+    /// The requested adapter; `None` if only the model is requested.
     pub adapter: Option<SmolStr>,
     /// Number of waiting requests.
     pub waiting: u32,
@@ -120,11 +120,11 @@
 /// Number of requests for a model that arrived since the daemon started.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ArrivalCount {
-    /// The service.
+    /// Service of the requests.
     pub service: ServiceName,
-    /// The model.
+    /// The requested model.
     pub model: ModelName,
-    /// The adapter, where one is asked for.
+    /// The requested adapter; `None` if only the model is requested.
     pub adapter: Option<SmolStr>,
     /// Arrivals; never decreases within one process.
     pub count: u32,
@@ -175,13 +175,13 @@
 /// A message with its sender, sent as one datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PeerMessage {
-    /// The sender.
+    /// The daemon that sent it.
     pub from: DaemonId,
-    /// The process that sent it.
+    /// The run of that daemon's process.
     pub process: ProcessId,
     /// Port on which the sender accepts datagrams and connections from other daemons.
     pub port: u16,
-    /// The content.
+    /// The content of the message.
     pub payload: Payload,
 }
 
@@ -230,9 +230,9 @@
 /// The wire form of [`LoadedModel`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadedModelReport {
-    /// The model.
+    /// Name of the model.
     pub name: ModelName,
-    /// Its loaded adapters.
+    /// Names of its loaded adapters.
     pub adapters: Vec<SmolStr>,
 }
 
--- a/lib/src/cluster/directory.rs
+++ b/lib/src/cluster/directory.rs
@@ -37,9 +37,9 @@
 /// A server whose entry was overwritten is removed after this long without a readable entry. The platform
 /// removes the entry of a server that misses three heartbeats, of 1.2 s each.
 const SUSPENSION_TIMEOUT: Duration = Duration::from_secs(4);
-/// A server whose entry ended and reappeared is used again once the entry has existed for this long. The
-/// entry may stem from a last heartbeat that reached a slow store after the server had left; no request must
-/// reach that server, and its entry ends after three missed heartbeats.
+/// A server that left according to a peer, but has a newer entry, is used again if the entry still exists after
+/// this time. The entry may stem from a last heartbeat that reached a slow store after the server had left. Such
+/// an entry ends after three missed heartbeats, and no request must reach that server.
 const RETURN_CONFIRM_TIME: Duration = Duration::from_secs(6);
 
 /// A model that is loaded in a backend server.
@@ -117,7 +117,7 @@
     lapsed_at: Option<Moment>,
     /// When the entry was found overwritten; set while the newest entry describes no server.
     suspended_at: Option<Moment>,
-    /// When a peer reported the departure, if the entry is newer than the departure: the server may have
+    /// When a peer reported the departure; set if the entry is newer than it, so that the server may have
     /// returned.
     returned_at: Option<Moment>,
 }
@@ -140,7 +140,7 @@
         true
     }
 
-    /// Makes the server usable if its new entry has existed for [`RETURN_CONFIRM_TIME`]; returns whether it did.
+    /// Makes the server usable if its newer entry still exists after `RETURN_CONFIRM_TIME`; returns whether it did.
     fn confirm_return(&mut self, now: Moment) -> bool {
         let is_due = self.returned_at.is_some_and(|at| now > at + RETURN_CONFIRM_TIME);
         if !is_due || !self.server.leaving {
@@ -253,8 +253,8 @@
         self.feed_end = self.feed_end.max(end);
     }
 
-    /// Records that an entry or a peer's message names a server instance. All news about servers passes through
-    /// here: callers ignore an older instance, and a newer one discards what was known of the server.
+    /// Records that an entry or a peer's message names a server instance. Everything read or received about
+    /// servers passes through here: callers ignore an older instance, and a newer one replaces what was known.
     pub fn observe_instance(&mut self, instance: &ServerInstance, now: Moment) -> InstanceOrder {
         let order = self.latest_instances.observe(instance, now);
         if order == InstanceOrder::Newer
@@ -434,7 +434,7 @@
     }
 
     /// Removes entries that did not return after an outage of the store or have been overwritten for
-    /// [`SUSPENSION_TIMEOUT`]; returns their ids.
+    /// `SUSPENSION_TIMEOUT`; returns their ids.
     pub fn sweep(&mut self, now: Moment) -> Vec<ServerId> {
         self.latest_instances.sweep(now, |id| self.entries.contains_key(id));
         if self.recovered_at.is_some_and(|at| now < at + RETURN_GRACE) {
--- a/lib/src/cluster/engine_inventories.rs
+++ b/lib/src/cluster/engine_inventories.rs
@@ -24,7 +24,7 @@
 /// A model or adapter that an engine is loading.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PendingLoad {
-    /// The model.
+    /// The model, or the base model of the adapter.
     pub model: ModelName,
     /// The adapter; `None` if the model itself is being loaded.
     pub adapter: Option<SmolStr>,
@@ -39,7 +39,7 @@
 /// What one engine has loaded and is loading, as published by the lease holder.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineInventory {
-    /// The engine.
+    /// The engine instance.
     pub server: ServerInstance,
     /// Number of orders that it had accepted.
     pub sequence: u64,
@@ -105,7 +105,7 @@
     }
 
     /// Returns when `server` is expected to have loaded the model or adapter; `None` if no such load is known or
-    /// it is overdue by [`OVERDUE_TIMEOUT`].
+    /// it is overdue by `OVERDUE_TIMEOUT`.
     pub fn expected_at(
         &self,
         server: &ServerInstance,
--- a/lib/src/cluster/latest_instances.rs
+++ b/lib/src/cluster/latest_instances.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Removes servers that are no longer listed and were last named longer than [`RETENTION_TIME`] ago.
+    /// Removes servers that are no longer listed and were last named longer than `RETENTION_TIME` ago.
     pub fn sweep(&mut self, now: Moment, is_listed: impl Fn(&str) -> bool) {
         if now < self.last_sweep + RETENTION_TIME {
             return;
--- a/lib/src/cluster/peer_table.rs
+++ b/lib/src/cluster/peer_table.rs
@@ -1,7 +1,7 @@
 //! The other daemons: their last digests, their entries in the store, and what depends on the size of the fleet.
 //!
-//! Decides which peers get this daemon's digests and how often, which peers are reachable, and which ones fetch
-//! snapshots come from.
+//! Decides which peers get this daemon's digests and how often, which peers are reachable, and from which one
+//! snapshots are fetched.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 
 /// Time between two digests of a daemon.
 const DIGEST_INTERVAL: Duration = Duration::from_millis(300);
-/// Number of daemons from which on two readers per data centre collect and distribute the daemons' reports. In a
+/// Fleet size from which on two readers per data centre collect and distribute the daemons' reports. In a
 /// smaller fleet each daemon exchanges digests with all others: 36 peers, each of which gets and sends a digest
 /// every third of a second, cost about one percent of a tenth of a core.
 pub const LARGE_FLEET_SIZE: usize = 37;
@@ -46,7 +46,7 @@
 /// Longest time between the lease holder's digests to all: peers detect after three missed ones that it is
 /// unavailable, and nothing is loaded meanwhile. At 400 daemons this makes 670 datagrams a second.
 const MAX_HOLDER_INTERVAL: Duration = Duration::from_millis(600);
-/// Number of missed digests after which a peer is unreachable: packet loss alone does not explain so many.
+/// Number of missed digests after which a peer is unreachable: packet loss alone does not explain them.
 const MISSED_DIGESTS: u32 = 5;
 /// Number of missed digests after which the lease holder may be unavailable.
 const HOLDER_MISSED_DIGESTS: u32 = 3;
@@ -109,7 +109,7 @@
 #[derive(Debug)]
 pub struct PeerTable {
     pub(super) peers: BTreeMap<DaemonId, Peer>,
-    /// Number of daemons from which on the fleet is large.
+    /// Fleet size from which on the fleet counts as large.
     fleet_threshold: usize,
 }
 
--- a/lib/src/cluster/quarantine.rs
+++ b/lib/src/cluster/quarantine.rs
@@ -65,7 +65,7 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     crashes: HashMap<CrashId, Crash>,
-    /// Suspects that progressed beyond a stage at another server, and when.
+    /// Requests that reached a stage of progress without a crash, and when.
     cleared: HashMap<(Fingerprint, RequestProgress), Moment>,
     /// Held requests, and the time of each one's last attempt by a caller.
     held: HashMap<Fingerprint, Moment>,
@@ -143,7 +143,7 @@
     }
 
     /// Returns whether a crash has only one suspect: all other requests progressed further since, or there were none.
-    /// `false` until [`CRASH_REPORT_TIME`] has passed and all reachable daemons have reported.
+    /// `false` until `CRASH_REPORT_TIME` has passed and all reachable daemons have reported.
     fn has_sole_suspect(&self, crash: &Crash, now: Moment) -> bool {
         let suspects =
             crash.requests.keys().filter(|fingerprint| self.is_suspect(fingerprint, crash));
@@ -160,8 +160,8 @@
         must_hold && self.hold(fingerprint, now)
     }
 
-    /// Returns how long to wait before a request is sent whose next crash may be the one after which it is held;
-    /// meanwhile other suspects of its last crash may be cleared.
+    /// Returns how long to delay a request that may be held after one more crash: other suspects of its last crash may
+    /// be cleared meanwhile.
     pub fn decision_delay(&self, fingerprint: &Fingerprint, now: Moment) -> Duration {
         let suspected = self.crashes.values().filter(|crash| self.is_suspect(fingerprint, crash));
         let times: Vec<Moment> = suspected.map(|crash| crash.at).collect();
