--- a/lib/src/cluster/quarantine_report.rs
+++ b/lib/src/cluster/quarantine_report.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of requests under which servers crashed.
+//! Crash and quarantine reports that daemons exchange about requests under which servers crashed.
 
 use std::time::Duration;
 
@@ -8,22 +8,22 @@
 use crate::cluster::fingerprint::Fingerprint;
 use crate::cluster::server_instance::ServerInstance;
 
-/// How far a server had come with a request when it crashed, the most suspicious first.
+/// How far a server had got with a request when it crashed, the most suspicious stage first.
 ///
-/// A request that crashes servers does so as soon as it runs. One whose answer goes on for a while, or that
-/// waits for its turn, had its server taken away by another.
+/// A request that crashes servers does so as soon as it runs. A request whose response has been streaming for
+/// a while, or that still waits to run, was interrupted by a crash that another request caused.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum CrashStage {
-    /// The answer had begun, without an event.
+    /// The response had begun, but no event had arrived.
     BeforeEvents,
-    /// Its first event had just come.
+    /// The first event had just arrived.
     FirstEvent,
-    /// Its events had gone on for a while, or there was no answer yet.
+    /// Events had been arriving for a while, or there was no response yet.
     Other,
 }
 
 impl CrashStage {
-    /// Returns its name in logs.
+    /// Returns the stage's name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::BeforeEvents => "begun",
@@ -33,23 +33,23 @@
     }
 }
 
-/// How far a server came with a request without a crash.
+/// How far a server got with a request without crashing.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum RequestProgress {
-    /// To its first event.
+    /// The first event arrived.
     FirstEvent,
-    /// To events that went on for a while.
+    /// Events arrived for a while.
     Streaming,
-    /// To the end of a whole answer.
+    /// The whole response arrived.
     Complete,
 }
 
 impl RequestProgress {
-    /// All of them.
+    /// All variants.
     pub const ALL: [Self; 3] = [Self::FirstEvent, Self::Streaming, Self::Complete];
 
-    /// Returns whether a request that came so far is not to blame for a crash at a stage: it crashes each server at the
-    /// same place, if it does.
+    /// Returns whether a request that got this far is not to blame for a crash at `stage`: if a request
+    /// crashes servers, it crashes each of them at the same point.
     pub fn clears(self, stage: CrashStage) -> bool {
         match self {
             Self::FirstEvent => stage == CrashStage::BeforeEvents,
@@ -59,35 +59,36 @@
     }
 }
 
-/// One crash of a server.
+/// Identifies one crash of a server.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct CrashId {
-    /// The start that ended, as far as daemons knew.
+    /// The server instance that crashed, as known to daemons at the time.
     pub server: ServerInstance,
-    /// Number of earlier crashes of it: the server may have started again unnoticed, and crashed again.
+    /// Number of earlier crashes of this instance: the server may have restarted unnoticed and crashed again.
     pub earlier: u32,
 }
 
-/// What is known of a crash.
+/// A crash and the requests that the server had then.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashReport {
-    /// Which one.
+    /// Which crash it is.
     pub id: CrashId,
-    /// How long ago.
+    /// Time since the crash.
     pub age: Duration,
-    /// The most suspicious stage of all its requests, listed or not.
+    /// The most suspicious stage of all requests at the server, including those not listed in `requests`.
     pub worst: CrashStage,
-    /// Requests that it had.
+    /// Requests at the server, with their stage at the crash.
     pub requests: Vec<(Fingerprint, CrashStage)>,
 }
 
-/// A daemon's knowledge of such requests, as far as it is news; ages are those of the event.
+/// Recent additions to a daemon's quarantine. Each age counts from the event itself, not from when the daemon
+/// learned of it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QuarantineReport {
-    /// Crashes.
+    /// Crashes of servers.
     pub crashes: Vec<CrashReport>,
-    /// Requests that came further since.
+    /// Requests that have since got further than at a crash, and how long ago.
     pub cleared: Vec<((Fingerprint, RequestProgress), Duration)>,
-    /// Requests that go to no server, and when they were last asked for.
+    /// Requests that are sent to no server, and how long ago a caller last sent them.
     pub held: Vec<(Fingerprint, Duration)>,
 }
--- a/lib/src/cluster/server_instance.rs
+++ b/lib/src/cluster/server_instance.rs
@@ -1,4 +1,4 @@
-//! One start of a backend server.
+//! Identifies one run of a backend server's process.
 
 use std::fmt;
 
@@ -9,14 +9,14 @@
 use crate::ids::ServerId;
 use crate::ids::StartTime;
 
-/// One start of a backend server, which may start again under its id.
+/// One start of a backend server's process, which may restart under the same id.
 ///
-/// What is believed of a server is kept under one of its starts: another start has nothing of it.
+/// State about a server is keyed by its instance, so that none of it carries over to the next instance.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct ServerInstance {
     /// The server.
     pub id: ServerId,
-    /// When it started; none where it does not say.
+    /// When the process started; `None` if the server does not report it.
     pub born: Option<StartTime>,
 }
 
@@ -33,12 +33,12 @@
 }
 
 impl From<&Self> for ServerInstance {
-    fn from(start: &Self) -> Self {
-        start.clone()
+    fn from(instance: &Self) -> Self {
+        instance.clone()
     }
 }
 
-/// Shows the server only, as lines of the log name it.
+/// Writes only the server's id, as log lines name it.
 impl fmt::Display for ServerInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.id)
--- a/lib/src/cluster/trial_report.rs
+++ b/lib/src/cluster/trial_report.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of suspected requests on their way to engines.
+//! Reports that daemons exchange about suspected requests on their way to engines.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,6 +11,6 @@
 pub struct TrialReport {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The engine that has it; none while it waits for its turn or for a model.
+    /// The engine that has the request; `None` while it waits for its trial or for a model.
     pub server: Option<ServerInstance>,
 }
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers crash: when one is held, when not, and how word of it merges.
+//! Tests when a request under which servers crash is held and when not, and how reports of crashes merge.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     Moment::ZERO + SECOND * 1000
 }
 
-/// A daemon before which a request crashed some servers, one a second.
+/// Returns the quarantine of a daemon that saw a request crash `count` servers, one a second, and the time.
 fn after_crashes(count: usize, stage: CrashStage) -> (Quarantine, Moment) {
     let mut quarantine = Quarantine::default();
     let mut now = start();
@@ -52,7 +52,7 @@
     assert!(!quarantine.is_held(&fingerprint(2), now));
 }
 
-/// One crash seen by three daemons counted as three.
+/// A crash that several daemons report must count as one.
 #[test]
 fn crash_counted_once() {
     let mut here = Quarantine::default();
@@ -65,7 +65,8 @@
     assert_eq!(here.suspected_crashes(&fingerprint(1)).len(), 1);
 }
 
-/// A server started again under its id and crashed again before its entry told so; its crashes counted as one.
+/// A server restarts under its id and crashes again before its entry shows the restart. The crashes must be
+/// counted separately.
 #[test]
 fn restart_unnoticed() {
     let mut quarantine = Quarantine::default();
@@ -84,7 +85,8 @@
     }
 }
 
-/// Three daemons that saw one crash each did not know that it was the third.
+/// Three daemons each see one crash under the same request. The merged reports must show that there were
+/// three.
 #[test]
 fn sightings_joined() {
     let now = start();
@@ -94,13 +96,13 @@
         there.record_crash(&server(n), Moment::ZERO, fingerprint(1), CrashStage::BeforeEvents, now);
         here.merge(&there.report(now, false), now);
     }
-    // Others may tell of further suspects yet.
+    // Other daemons may still report further suspects.
     assert!(!here.evaluate(fingerprint(1), now));
     assert!(here.evaluate(fingerprint(1), now + SECOND));
     assert!(here.is_held(&fingerprint(1), now + SECOND));
 }
 
-/// Two requests began together at each of three servers, and the honest one was refused.
+/// Two requests begin together at each of three servers that crash. The harmless one must not be held.
 #[test]
 fn companion_free() {
     let mut quarantine = Quarantine::default();
@@ -118,12 +120,13 @@
         now += SECOND;
     }
     assert!(!quarantine.evaluate(fingerprint(1), now) && !quarantine.evaluate(fingerprint(2), now));
-    // One of them has an answer: it was the other.
+    // Request 2 got a response, so request 1 caused the crashes.
     quarantine.record_progress(fingerprint(2), RequestProgress::Complete, now);
     assert!(quarantine.evaluate(fingerprint(1), now));
 }
 
-/// An honest request went on elsewhere, and its whole answer had to be awaited before the other one was held.
+/// A harmless request runs on another server after the crashes. Its first event must clear it of crashes at
+/// the stage before events, so that its whole response need not be awaited before the other request is held.
 #[test]
 fn companion_passes() {
     let (mut quarantine, now) = after_crashes(3, CrashStage::BeforeEvents);
@@ -140,14 +143,16 @@
     }
     quarantine.record_progress(fingerprint(2), RequestProgress::FirstEvent, now + SECOND);
     assert_eq!(quarantine.suspected_crashes(&fingerprint(2)).len(), 0);
-    // One that crashes servers after its first event comes so far each time.
+    // A request that crashes servers just after its first event gets that far each time, so a first event
+    // does not clear it.
     other.record_progress(fingerprint(3), RequestProgress::FirstEvent, now + SECOND);
     assert_eq!(other.suspected_crashes(&fingerprint(3)).len(), 3);
     other.record_progress(fingerprint(3), RequestProgress::Streaming, now + SECOND);
     assert_eq!(other.suspected_crashes(&fingerprint(3)).len(), 0);
 }
 
-/// A request crashed servers about when its first event was due, and each event cleared it of the crashes before.
+/// A request crashes servers at about the time of its first event. Its first events must not clear it of the
+/// crashes before them, since it crashes servers again afterwards.
 #[test]
 fn relapse_counts() {
     let mut quarantine = Quarantine::default();
@@ -165,7 +170,8 @@
     assert!(quarantine.is_held(&fingerprint(1), now));
 }
 
-/// The same where nothing ever tells them apart.
+/// Two requests are always at the crashed servers together, and nothing shows which one is to blame. After
+/// five crashes both must be held.
 #[test]
 fn companions_held() {
     let mut quarantine = Quarantine::default();
@@ -186,7 +192,8 @@
     );
 }
 
-/// A daemon that was away for long, or has just started, did not learn of a held request.
+/// A daemon that was unreachable for long, or has just started, must learn of a held request from later
+/// reports.
 #[test]
 fn held_told_on() {
     let (mut there, now) = after_crashes(3, CrashStage::BeforeEvents);
@@ -197,7 +204,7 @@
     assert!(here.is_held(&fingerprint(1), later));
 }
 
-/// Requests that waited, or whose events went on, were refused for what another one did.
+/// Requests that waited, or whose events had begun, must not be held for crashes that another request caused.
 #[test]
 fn bystanders_free() {
     let now = start();
@@ -224,7 +231,7 @@
     assert!(!quarantine.is_held(&fingerprint(3), now));
 }
 
-/// The same where the request that did it was another daemon's.
+/// The same as `bystanders_free`, but the request to blame is another daemon's.
 #[test]
 fn bystanders_elsewhere() {
     let now = start();
@@ -238,14 +245,16 @@
     assert!(!here.is_held(&fingerprint(2), now));
 }
 
-/// A server that gives no head before its answer hid which request crashed it.
+/// A server that sends no response head before the response itself does not show which request it was
+/// running. A request without a response must still be held after enough crashes.
 #[test]
 fn unanswered_held() {
     let (mut quarantine, now) = after_crashes(3, CrashStage::Other);
     assert!(quarantine.is_held(&fingerprint(1), now));
 }
 
-/// A popular request met one crash after the other through a day, and was refused though it was served in between.
+/// A popular request is at several servers that crash in the course of a day, but is served in between. It
+/// must not be held.
 #[test]
 fn answer_clears() {
     let mut quarantine = Quarantine::default();
@@ -266,7 +275,8 @@
     assert!(!quarantine.is_held(&fingerprint(1), now));
 }
 
-/// One daemon knew that a request had been answered, another held it.
+/// One daemon knows that a request has been answered. Its report must keep other daemons from holding the
+/// request.
 #[test]
 fn clearing_told() {
     let (mut there, now) = after_crashes(2, CrashStage::BeforeEvents);
@@ -274,7 +284,7 @@
     here.merge(&there.report(now, false), now);
     there.record_progress(fingerprint(1), RequestProgress::Complete, now);
     here.merge(&there.report(now + SECOND, false), now + SECOND);
-    // Older word that was under way does not undo it.
+    // An older report that arrives late must not undo this.
     let (late, _) = after_crashes(2, CrashStage::BeforeEvents);
     here.merge(&late.report(now, false), now + SECOND);
     assert!(!here.record_crash(
@@ -297,7 +307,7 @@
     assert!(!quarantine.is_held(&fingerprint(1), asked + HOLD_TIME + SECOND));
 }
 
-/// Crashes of thousands of servers and requests fill no memory, and no datagram.
+/// Crashes of thousands of servers and requests must not exceed the bounds on memory and on a datagram.
 #[test]
 fn memory_bounded() {
     let mut quarantine = Quarantine::default();
@@ -312,45 +322,46 @@
             );
         }
     }
-    let note = quarantine.report(start(), true);
+    let report = quarantine.report(start(), true);
     assert!(quarantine.held().count() <= 1024);
-    assert!(note.crashes.len() <= 16 && note.held.len() <= 16);
-    assert!(note.crashes.iter().all(|c| c.requests.len() <= 16));
+    assert!(report.crashes.len() <= 16 && report.held.len() <= 16);
+    assert!(report.crashes.iter().all(|c| c.requests.len() <= 16));
 }
 
 proptest! {
-    /// Word of crashes came in another order, or twice, and daemons disagreed for good.
+    /// The order of crash reports and duplicates among them must not matter, or daemons would disagree
+    /// permanently.
     #[test]
     fn order_irrelevant(
         sightings in prop::collection::vec((0..4_usize, 0..4_u32, 0..3_u8), 1..24),
         order in any::<prop::sample::Index>(),
     ) {
         let now = start();
-        let notes: Vec<_> = sightings
+        let reports: Vec<_> = sightings
             .iter()
             .map(|(at, request, stage)| {
                 let stage = [CrashStage::BeforeEvents, CrashStage::FirstEvent, CrashStage::Other][*stage as usize];
-                let mut seer = Quarantine::default();
-                seer.record_crash(&server(*at), Moment::ZERO, fingerprint(*request), stage, now);
-                seer.report(now, false)
+                let mut observer = Quarantine::default();
+                observer.record_crash(&server(*at), Moment::ZERO, fingerprint(*request), stage, now);
+                observer.report(now, false)
             })
             .collect();
-        let crashed_by = |notes: &[_]| {
-            let mut hearer = Quarantine::default();
-            for note in notes {
-                hearer.merge(note, now);
+        let crashed_by = |reports: &[_]| {
+            let mut receiver = Quarantine::default();
+            for report in reports {
+                receiver.merge(report, now);
             }
             let list = |n| {
                 let mut servers: Vec<_> =
-                    hearer.suspected_crashes(&fingerprint(n)).into_iter().cloned().collect();
+                    receiver.suspected_crashes(&fingerprint(n)).into_iter().cloned().collect();
                 servers.sort();
                 servers
             };
             (0..4).map(list).collect::<Vec<_>>()
         };
-        let mut turned = notes.clone();
-        turned.rotate_left(order.index(notes.len()));
-        turned.extend(notes.iter().rev().cloned());
-        prop_assert_eq!(crashed_by(&notes), crashed_by(&turned));
+        let mut reordered = reports.clone();
+        reordered.rotate_left(order.index(reports.len()));
+        reordered.extend(reports.iter().rev().cloned());
+        prop_assert_eq!(crashed_by(&reports), crashed_by(&reordered));
     }
 }
--- a/lib/tests/test_starts.rs
+++ b/lib/tests/test_starts.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under the id that they had.
+//! Tests how daemons distinguish the instances of a server that restarts under the same id.
 
 use std::time::Duration;
 
@@ -39,29 +39,29 @@
     Duration::from_millis(ms)
 }
 
-fn held(name: &str) -> LoadedModel {
+fn loaded_model(name: &str) -> LoadedModel {
     LoadedModel { name: name.into(), adapters: Vec::new() }
 }
 
-fn server(born: Option<StartTime>, beat: u64, models: &[&str]) -> Server {
+fn server(born: Option<StartTime>, count: u64, models: &[&str]) -> Server {
     Server {
         id: "e1".into(),
         service: SERVICE.into(),
-        addr: "127.0.0.1:9000".parse().expect("an address"),
+        addr: "127.0.0.1:9000".parse().expect("a valid address"),
         centre: "north".into(),
         slots: 8,
         leaving: false,
-        models: models.iter().map(|m| held(m)).collect(),
+        models: models.iter().map(|m| loaded_model(m)).collect(),
         copies: WeightCopies {
             memory: models.iter().map(|m| (*m).into()).collect(),
             disk: Vec::new(),
         },
-        heartbeat: beat,
+        heartbeat: count,
         born,
     }
 }
 
-fn start(born: StartTime) -> ServerInstance {
+fn instance(born: StartTime) -> ServerInstance {
     ServerInstance { id: "e1".into(), born: Some(born) }
 }
 
@@ -70,24 +70,24 @@
 }
 
 fn models(directory: &Directory) -> Vec<&str> {
-    let server = directory.get("e1").expect("listed");
+    let server = directory.get("e1").expect("the server is listed");
     server.models.iter().map(|m| m.name.as_str()).collect()
 }
 
-/// Callers are sent to an engine for a model that it lost: it crashed and started again under its id,
-/// its heartbeats count from one, and its entries are taken for old ones until they pass the last count
-/// before the crash.
+/// An engine crashes and restarts under its id without its models, and its heartbeats count from one. If its
+/// entries were taken for old ones until the count passes the last one before the crash, requests would still
+/// be sent there for the lost models.
 #[test]
 fn lower_beat() {
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &[]), 9_000), Change::Restarted);
     assert!(models(&directory).is_empty());
-    assert_eq!(directory.get("e1").expect("listed").heartbeat, 1);
+    assert_eq!(directory.get("e1").expect("the server is listed").heartbeat, 1);
 }
 
-/// A peer that was cut off relays the entry that it last read. The engine has started again since; the
-/// entry, whose heartbeat count is higher, must not bring the lost models back.
+/// A peer that was unreachable relays the entry that it last read. The engine has restarted since; the old
+/// entry must not bring its models back, although its heartbeat count is higher.
 #[test]
 fn late_entry() {
     let mut directory = Directory::default();
@@ -95,13 +95,13 @@
     let old = Server { leaving: true, ..server(Some(FIRST), 70, &["hem"]) };
     assert_eq!(put(&mut directory, old, 100), Change::None);
     assert!(models(&directory).is_empty());
-    let now = directory.get("e1").expect("listed");
+    let now = directory.get("e1").expect("the server is listed");
     assert_eq!((now.leaving, now.heartbeat, now.born), (false, 1, Some(SECOND)));
     assert!(directory.recent_departures(ms(100)).is_empty());
 }
 
-/// An engine crashes twice within a second. The entries arrive out of order: the last start's first,
-/// then that of the one before.
+/// An engine crashes twice within a second, and its entries arrive out of order: the latest instance's first,
+/// then the one before. The latest must be kept.
 #[test]
 fn quick_starts() {
     let mut directory = Directory::default();
@@ -110,21 +110,21 @@
     assert_eq!(put(&mut directory, server(Some(SECOND), 2, &["veil"]), 600), Change::None);
     assert_eq!(models(&directory), ["cuff"]);
     assert_eq!(put(&mut directory, server(Some(THIRD), 2, &["cuff"]), 700), Change::None);
-    assert_eq!(directory.get("e1").expect("listed").heartbeat, 2);
+    assert_eq!(directory.get("e1").expect("the server is listed").heartbeat, 2);
 }
 
-/// Only the heartbeat count starts anew while the start is the same: that is an old entry of this start,
-/// read again after the store forgot its history.
+/// An entry with the same start time but a lower heartbeat count is an old entry of this instance, read again
+/// after the store lost its history. It must be ignored.
 #[test]
 fn same_start() {
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
     assert_eq!(put(&mut directory, server(Some(FIRST), 1, &[]), 100), Change::None);
     assert_eq!(models(&directory), ["hem"]);
-    assert_eq!(directory.get("e1").expect("listed").heartbeat, 70);
+    assert_eq!(directory.get("e1").expect("the server is listed").heartbeat, 70);
 }
 
-/// Servers that do not tell their start are judged by their heartbeats alone.
+/// Entries of servers that do not report a start time must be ordered by their heartbeats alone.
 #[test]
 fn startless_kept() {
     let mut directory = Directory::default();
@@ -135,25 +135,25 @@
         Change::Leaving
     );
     assert_eq!(put(&mut directory, server(None, 71, &[]), 200), Change::None);
-    assert!(directory.get("e1").expect("listed").leaving);
+    assert!(directory.get("e1").expect("the server is listed").leaving);
 }
 
-/// All servers of a service gave notice, left, and started again under their ids; callers are told that
-/// there is no server.
+/// A server gives notice, leaves and restarts under its id. The new instance must get requests: if all
+/// servers of a service did this, callers would be refused for lack of a server.
 #[test]
 fn leaver_usable() {
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &[]), 0);
     put(&mut directory, Server { leaving: true, ..server(Some(FIRST), 71, &[]) }, 100);
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &[]), 900), Change::Restarted);
-    assert!(!directory.get("e1").expect("listed").leaving);
+    assert!(!directory.get("e1").expect("the server is listed").leaving);
     assert_eq!(directory.remove("e1", ms(2_000)), Change::Removed);
     assert_eq!(put(&mut directory, server(Some(THIRD), 1, &[]), 2_500), Change::Joined);
-    assert!(!directory.get("e1").expect("listed").leaving);
+    assert!(!directory.get("e1").expect("the server is listed").leaving);
 }
 
-/// A peer tells for four seconds that a server left. The server has started again meanwhile, and the
-/// peer's word, which is about the last start, would keep callers from the new one for good.
+/// A peer reports for four seconds that a server left, while the server has already restarted. The report is
+/// about the previous instance and must not keep requests from the new one permanently.
 #[test]
 fn left_older() {
     let mut early = Directory::default();
@@ -165,24 +165,24 @@
     for left in late.recent_departures(ms(1_600)) {
         assert_eq!(early.apply_departure(&left, ms(1_600)), Change::None);
     }
-    assert!(!early.get("e1").expect("listed").leaving);
+    assert!(!early.get("e1").expect("the server is listed").leaving);
 }
 
-/// A server starts again and leaves at once, before its entry was read here. A peer's word about the
-/// newer start ends the older one too.
+/// A server restarts and leaves again before its entry is read here. A peer's report that the newer instance
+/// left must also end the older one.
 #[test]
 fn left_newer() {
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
-    let note = ServerDeparture { server: start(SECOND), heartbeat: 1 };
-    assert_eq!(directory.apply_departure(&note, ms(100)), Change::Leaving);
+    let departure = ServerDeparture { server: instance(SECOND), heartbeat: 1 };
+    assert_eq!(directory.apply_departure(&departure, ms(100)), Change::Leaving);
     assert!(models(&directory).is_empty());
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &["hem"]), 200), Change::None);
-    assert!(directory.get("e1").expect("listed").leaving);
+    assert!(directory.get("e1").expect("the server is listed").leaving);
 }
 
-/// A server's second start was listed and removed. The entry of its first start, relayed late, must not
-/// make callers' requests go to a server that is gone.
+/// A server's second instance was listed and removed. An entry of its first instance that is relayed late
+/// must not bring the removed server back, or requests would be sent to it.
 #[test]
 fn gone_remembered() {
     let mut directory = Directory::default();
@@ -191,30 +191,30 @@
     directory.sweep(ms(150_000));
     assert_eq!(put(&mut directory, server(Some(FIRST), 70, &["hem"]), 150_100), Change::None);
     assert!(directory.get("e1").is_none());
-    // Long after nobody relays it any more the id is free for whoever starts under it.
+    // Long after the last relay of the old entry, the id may be used by a new server again.
     directory.sweep(ms(400_000));
     assert_eq!(put(&mut directory, server(Some(FIRST), 1, &[]), 400_100), Change::Joined);
 }
 
-/// The store is away, and only peers name the new start. Until its entry comes the server is known where
-/// it was, without its models and without its notice.
+/// The store is unavailable, and only peers report the new instance. Until its entry is read, the server
+/// keeps its address, but not its models or its notice to leave.
 #[test]
 fn word_first() {
     let mut directory = Directory::default();
     put(&mut directory, Server { leaving: true, ..server(Some(FIRST), 70, &["hem"]) }, 0);
-    assert_eq!(directory.observe_instance(&start(SECOND), ms(100)), InstanceOrder::Newer);
-    let now = directory.get("e1").expect("listed");
+    assert_eq!(directory.observe_instance(&instance(SECOND), ms(100)), InstanceOrder::Newer);
+    let now = directory.get("e1").expect("the server is listed");
     assert_eq!((now.leaving, now.heartbeat, now.born), (false, 0, Some(SECOND)));
     assert!(now.models.is_empty() && now.copies == WeightCopies::default());
-    assert!(!directory.is_current(&start(FIRST)));
-    assert_eq!(directory.observe_instance(&start(FIRST), ms(200)), InstanceOrder::Older);
-    assert_eq!(directory.observe_instance(&start(SECOND), ms(300)), InstanceOrder::Same);
+    assert!(!directory.is_current(&instance(FIRST)));
+    assert_eq!(directory.observe_instance(&instance(FIRST), ms(200)), InstanceOrder::Older);
+    assert_eq!(directory.observe_instance(&instance(SECOND), ms(300)), InstanceOrder::Same);
     assert_eq!(put(&mut directory, server(Some(SECOND), 1, &["cuff"]), 400), Change::Updated);
     assert_eq!(models(&directory), ["cuff"]);
 }
 
-/// The store is away; entries lapse. A server whose entry lapsed starts again and is named by a peer: it
-/// must not be dropped with the others that stay away.
+/// The store is unavailable and entries lapse. A server whose entry lapsed restarts and is reported by a
+/// peer: it must not be removed with the servers whose entries did not return.
 #[test]
 fn lapse_ended() {
     let mut directory = Directory::default();
@@ -222,23 +222,23 @@
     put(&mut directory, server(Some(FIRST), 70, &[]), 0);
     directory.record_read(ms(9_000));
     assert_eq!(directory.remove("e1", ms(9_000)), Change::Lapsed);
-    directory.observe_instance(&start(SECOND), ms(9_500));
+    directory.observe_instance(&instance(SECOND), ms(9_500));
     assert!(directory.sweep(ms(12_000)).is_empty());
-    assert!(directory.is_current(&start(SECOND)));
+    assert!(directory.is_current(&instance(SECOND)));
 }
 
-/// The lease holder's word on an engine arrives after the engine has started again: callers must not be
-/// sent there for what the last start held, whatever the number of orders that it had accepted.
+/// The lease holder's inventory of an engine arrives after the engine has restarted. Requests must not be
+/// sent there for models of the previous instance, however many orders that instance had accepted.
 #[test]
 fn holding_older() {
     let mut inventories = EngineInventories::default();
-    let note = |name: &str| LoadedModelReport { name: name.into(), adapters: Vec::new() };
+    let loaded = |name: &str| LoadedModelReport { name: name.into(), adapters: Vec::new() };
     let inventory =
         |born: StartTime, sequence: u64, heartbeat: u64, models: &[&str]| EngineInventory {
-            server: start(born),
+            server: instance(born),
             sequence,
             heartbeat,
-            models: models.iter().map(|m| note(m)).collect(),
+            models: models.iter().map(|m| loaded(m)).collect(),
             pending: Vec::new(),
         };
     let now = server(Some(SECOND), 1, &[]);
@@ -249,41 +249,49 @@
     assert!(inventories.holds(&now, "cuff", None) && !inventories.holds(&now, "hem", None));
 }
 
-/// A crashed server is avoided for up to four seconds. It starts again at once, and the pause of the last
-/// start, or a failure of it that shows late, would keep callers from a sound server.
+/// A crashed server is avoided for up to four seconds, but may restart at once. Neither the pause of the
+/// previous instance nor a late failure of it may keep requests from the new one.
 #[test]
 fn pause_gone() {
     let mut health = ServerHealth::default();
     let service = SERVICE.into();
     for n in 0..8 {
-        health.record(&service, &start(FIRST), ms(n * 5_000), Evidence::Unreachable);
+        health.record(&service, &instance(FIRST), ms(n * 5_000), Evidence::Unreachable);
     }
-    assert!(health.is_avoided(&start(FIRST), ms(35_100)));
-    assert!(!health.is_avoided(&start(SECOND), ms(35_100)));
-    health.record(&service, &start(FIRST), ms(40_000), Evidence::Unreachable);
-    assert!(!health.is_unreachable(&start(SECOND), ms(40_100)));
+    assert!(health.is_avoided(&instance(FIRST), ms(35_100)));
+    assert!(!health.is_avoided(&instance(SECOND), ms(35_100)));
+    health.record(&service, &instance(FIRST), ms(40_000), Evidence::Unreachable);
+    assert!(!health.is_unreachable(&instance(SECOND), ms(40_100)));
 }
 
-/// A server starts again while requests of this daemon and of its peers seem to run there, since their
-/// connections have not broken yet. New requests would avoid the idle server.
+/// A server restarts while requests of this daemon and its peers still count as in progress at the previous
+/// instance, because their connections have not broken yet. They must not count for the new, idle instance,
+/// or new requests would avoid it.
 #[test]
 fn loads_apart() {
-    let loads = Workloads::default();
-    let place = |born: StartTime| WorkloadKey { server: start(born), model: None };
-    let running = loads.begin(place(FIRST), 500);
-    let work = Workload { running: 4, prompt_tokens: 900 };
-    loads.set_peer(&"d2".into(), ms(0), vec![(place(FIRST), work)]);
-    loads.set_reported(&start(FIRST), ms(0), ReportedWorkload { running: 9, waiting: 3, slots: 8 });
-    assert_eq!(loads.at(&start(FIRST), ms(100)).running, 12);
-    assert_eq!(loads.at(&start(SECOND), ms(100)), Workload::default());
-    let again = loads.begin(place(SECOND), 100);
+    let workloads = Workloads::default();
+    let key = |born: StartTime| WorkloadKey { server: instance(born), model: None };
+    let running = workloads.begin(key(FIRST), 500);
+    let workload = Workload { running: 4, prompt_tokens: 900 };
+    workloads.set_peer(&"d2".into(), ms(0), vec![(key(FIRST), workload)]);
+    workloads.set_reported(
+        &instance(FIRST),
+        ms(0),
+        ReportedWorkload { running: 9, waiting: 3, slots: 8 },
+    );
+    assert_eq!(workloads.at(&instance(FIRST), ms(100)).running, 12);
+    assert_eq!(workloads.at(&instance(SECOND), ms(100)), Workload::default());
+    let again = workloads.begin(key(SECOND), 100);
     drop(running);
-    assert_eq!(loads.at(&start(SECOND), ms(200)), Workload { running: 1, prompt_tokens: 100 });
+    assert_eq!(
+        workloads.at(&instance(SECOND), ms(200)),
+        Workload { running: 1, prompt_tokens: 100 }
+    );
     drop(again);
 }
 
-/// The lease holder has a load and an adapter under way at an engine that starts again. It plans anew
-/// from an empty engine, and expects no orders but those that the engine reports.
+/// An engine restarts while a load and an adapter load are in progress there. The lease holder must plan from
+/// an empty engine and expect only the orders that the new instance reports.
 #[test]
 fn ledger_anew() {
     let mut site = Site::new(&[("hem", 60_000, 1), ("cuff", 60_000, 0)]);
@@ -297,7 +305,8 @@
         since: ms(0),
         eta: ms(6_000),
     };
-    let engine = site.engine_table.engine_mut(&start(FIRST)).expect("an engine");
+    let engine =
+        site.engine_table.engine_mut(&instance(FIRST)).expect("the engine is in the table");
     engine.sequence = 12;
     engine.confirmed = true;
     engine.job = Some(job);
@@ -309,9 +318,10 @@
     }];
     engine.used.insert("hem".into(), ms(0));
     put(&mut directory, server(Some(SECOND), 1, &[]), 1_000);
-    assert_eq!(site.engine_table.follow(&directory, &site.config, NOW), [start(FIRST)]);
-    assert!(site.engine_table.engine_mut(&start(FIRST)).is_none());
-    let engine = site.engine_table.engine_mut(&start(SECOND)).expect("an engine");
+    assert_eq!(site.engine_table.follow(&directory, &site.config, NOW), [instance(FIRST)]);
+    assert!(site.engine_table.engine_mut(&instance(FIRST)).is_none());
+    let engine =
+        site.engine_table.engine_mut(&instance(SECOND)).expect("the engine is in the table");
     assert!(engine.models.is_empty() && engine.memory_copies.is_empty() && engine.used.is_empty());
     assert!(engine.job.is_none() && engine.adapter_jobs.is_empty());
     assert_eq!((engine.sequence, engine.confirmed), (0, false));
@@ -326,37 +336,46 @@
     assert_eq!((engine.sequence, engine.source("hem")), (1, Source::Disk));
 }
 
-/// A daemon that held the lease before gets it back. An engine has started again meanwhile; the count of
-/// orders from the first tenure is higher than any that the engine reports, so that it would get none.
+/// A daemon gets the lease for the second time, and an engine has restarted in between. The order count from
+/// the first lease is higher than any that the engine reports now; if it were kept, the engine would get no
+/// orders.
 #[test]
 fn tenure_between() {
     let mut site = Site::new(&[("hem", 60_000, 0)]);
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
     site.engine_table.follow(&directory, &site.config, NOW);
-    site.engine_table.engine_mut(&start(FIRST)).expect("an engine").sequence = 12;
+    site.engine_table.engine_mut(&instance(FIRST)).expect("the engine is in the table").sequence =
+        12;
     put(&mut directory, server(Some(SECOND), 40, &["hem"]), 60_000);
     site.engine_table.invalidate_all();
     site.engine_table.follow(&directory, &site.config, NOW);
-    assert_eq!(site.engine_table.engine_mut(&start(SECOND)).expect("an engine").sequence, 0);
+    assert_eq!(
+        site.engine_table
+            .engine_mut(&instance(SECOND))
+            .expect("the engine is in the table")
+            .sequence,
+        0
+    );
 }
 
-/// An engine starts again in the middle of a load from the weight store, and loads something else. The
-/// load that is over must neither count beside the new one nor be ended in its place.
+/// An engine restarts during a load from the weight store and loads another model. The previous instance's
+/// load must not count as concurrent with the new one, and its end must not end the new one.
 #[test]
 fn pace_apart() {
-    let mut pace = FetchLimiter::new(ms(0));
-    pace.begin(&start(FIRST), ms(6_000), 0, ms(0));
-    pace.end(&start(FIRST), false, ms(1_000));
-    pace.begin(&start(SECOND), ms(6_000), 0, ms(1_000));
-    // Were it the second of two, it would take twice as long at a store that serves one at a time, and
-    // its punctual end would prove that the store serves two.
-    pace.end(&start(FIRST), true, ms(2_000));
-    pace.end(&start(SECOND), true, ms(7_000));
-    assert_eq!(pace.share().proven, 1);
+    let mut limiter = FetchLimiter::new(ms(0));
+    limiter.begin(&instance(FIRST), ms(6_000), 0, ms(0));
+    limiter.end(&instance(FIRST), false, ms(1_000));
+    limiter.begin(&instance(SECOND), ms(6_000), 0, ms(1_000));
+    // If the new load counted as the second of two, it would be expected to take twice as long at a store
+    // that serves one at a time, and its end on time would prove that the store serves two.
+    limiter.end(&instance(FIRST), true, ms(2_000));
+    limiter.end(&instance(SECOND), true, ms(7_000));
+    assert_eq!(limiter.share().proven, 1);
 }
 
-/// Two daemons with a server's entry; the second has seen it end.
+/// Returns the directories of two daemons that had a server's entry and saw it end, the second one 100 ms
+/// before the first.
 fn entry_ended() -> (Directory, Directory) {
     let mut early = Directory::default();
     let mut late = Directory::default();
@@ -367,9 +386,9 @@
     (early, late)
 }
 
-/// A server is cut off from the store, its entry runs out, and it comes back three seconds later. A peer
-/// still tells that it left, as it saw the entry go; the server would get no request again until its next
-/// start.
+/// A server cannot reach the store, its entry expires, and it returns three seconds later. A peer that saw
+/// the entry end still reports that the server left, which must not keep requests from the server until its
+/// next restart.
 #[test]
 fn returned_usable() {
     let (mut early, mut late) = entry_ended();
@@ -378,16 +397,16 @@
         early.apply_departure(&left, ms(13_100));
     }
     assert_eq!(early.confirm_returns(ms(19_200)), ["e1"]);
-    assert!(!early.get("e1").expect("listed").leaving);
+    assert!(!early.get("e1").expect("the server is listed").leaving);
     put(&mut early, server(Some(FIRST), 19, &["hem"]), 19_300);
     for left in late.recent_departures(ms(13_900)) {
         assert_eq!(early.apply_departure(&left, ms(19_400)), Change::None);
     }
-    assert!(!early.get("e1").expect("listed").leaving);
+    assert!(!early.get("e1").expect("the server is listed").leaving);
 }
 
-/// A server leaves without notice while the store is slow: its last heartbeat is written after its entry
-/// was removed. It is no sign of life, and the server must not get requests until that entry ends too.
+/// A server leaves without notice while the store is slow: its last heartbeat is written after its entry was
+/// removed. This is no sign that the server runs, and it must get no requests until that entry ends too.
 #[test]
 fn heartbeat_late() {
     let (mut early, mut late) = entry_ended();
@@ -397,11 +416,11 @@
     }
     assert_eq!(put(&mut early, server(Some(FIRST), 14, &[]), 12_500), Change::None);
     assert!(early.confirm_returns(ms(17_000)).is_empty());
-    assert!(early.get("e1").expect("listed").leaving);
+    assert!(early.get("e1").expect("the server is listed").leaving);
 }
 
-/// The store turns a daemon away, so that it never sees an entry end. A peer's word is about the very
-/// entry that it has, and no time makes that server usable.
+/// The store refuses a daemon's calls, so that the daemon never sees an entry end. A peer's report is about
+/// the same entry that the daemon has, and the server must not become usable again, however much time passes.
 #[test]
 fn word_kept() {
     let mut early = Directory::default();
@@ -411,5 +430,5 @@
         assert_eq!(early.apply_departure(&left, ms(10_200)), Change::Leaving);
     }
     assert!(early.confirm_returns(ms(60_000)).is_empty());
-    assert!(early.get("e1").expect("listed").leaving);
+    assert!(early.get("e1").expect("the server is listed").leaving);
 }
