--- a/lib/src/cluster/rate_limits.rs
+++ b/lib/src/cluster/rate_limits.rs
@@ -1,4 +1,5 @@
-//! Limits that servers in need name in their answers, as heard here and by peers.
+//! Rate limits that overloaded servers advertise in their responses, as received by this daemon and by its
+//! peers.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -16,50 +17,51 @@
 use crate::cluster::send_permit::SendPermits;
 use crate::cluster::server_instance::ServerInstance;
 
-/// The end of a limit is told for this long, in ten digests: loss alone does not explain that a peer missed all.
-const END_TOLD: Duration = Duration::from_secs(3);
-/// A limit that was last named longer ago than this may be over.
-const FRESH: Duration = Duration::from_secs(2);
-/// Limits in a digest.
-const TOLD: usize = 16;
+/// The end of a limit is reported for this long, in ten digests: packet loss alone does not explain that a
+/// peer missed all of them.
+const END_REPORT_TIME: Duration = Duration::from_secs(3);
+/// A limit that was last advertised longer ago than this may have ended, so a probe is due.
+const PROBE_AFTER: Duration = Duration::from_secs(2);
+/// Most limits in one digest.
+const MAX_REPORTED: usize = 16;
 
-/// What a server last said of its limit.
+/// The limit that a server last advertised, or its end.
 #[derive(Clone, Copy, Debug)]
-struct Word {
-    /// None where it no longer names one.
+struct Advertised {
+    /// `None` if the server no longer advertises a limit.
     limit: Option<RateLimit>,
-    /// When it said so.
+    /// When the server advertised it.
     at: Moment,
-    /// Whether it said so to this daemon.
+    /// Whether this daemon received it from the server itself.
     is_own: bool,
 }
 
-/// What a server last said of its limit, as told to peers.
+/// The limit that a server last advertised, as reported to peers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LimitReport {
-    /// The server.
+    /// The server instance.
     pub server: ServerInstance,
-    /// Its limit; none where it no longer names one.
+    /// Its limit; `None` if it no longer advertises one.
     pub limit: Option<RateLimit>,
-    /// How long ago it said so.
+    /// Time since the server advertised it.
     pub age: Duration,
 }
 
-/// Limits by start of a server.
+/// Rate limits by server instance.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    words: HashMap<ServerInstance, Word>,
-    /// Servers that named a limit that cannot be read.
-    unread: HashSet<ServerInstance>,
-    /// Buckets for the limited servers that this daemon may send to.
+    advertised: HashMap<ServerInstance, Advertised>,
+    /// Servers that advertised a limit that cannot be parsed.
+    unreadable: HashSet<ServerInstance>,
+    /// Token buckets for the limited servers that this daemon may send to.
     buckets: HashMap<ServerInstance, TokenBucket>,
 }
 
 impl RateLimits {
-    /// Takes in an answer to a request that was `sent` then; returns whether the limit changed.
+    /// Records the response to a request that was sent at `sent`; returns whether the limit changed.
     ///
-    /// Answers overtake each other: one that names no limit ends it only where its request was sent after the
-    /// limit was last named.
+    /// Responses can overtake each other: one without a limit ends the limit only if its request was sent
+    /// after the limit was last advertised.
     pub fn record_answer(
         &mut self,
         server: &ServerInstance,
@@ -67,71 +69,74 @@
         sent: Moment,
         now: Moment,
     ) -> bool {
-        let before = self.words.get(server).copied();
-        if limit.is_none() && before.is_none_or(|word| word.limit.is_none() || sent < word.at) {
+        let before = self.advertised.get(server).copied();
+        if limit.is_none() && before.is_none_or(|last| last.limit.is_none() || sent < last.at) {
             return false;
         }
-        self.words.insert(server.clone(), Word { limit, at: now, is_own: true });
-        before.and_then(|word| word.limit) != limit
+        self.advertised.insert(server.clone(), Advertised { limit, at: now, is_own: true });
+        before.and_then(|last| last.limit) != limit
     }
 
-    /// Takes in what a peer heard; returns the servers whose limit changed.
-    pub fn merge(&mut self, notes: &[LimitReport], now: Moment) -> Vec<ServerInstance> {
+    /// Merges limits that a peer reported; returns the servers whose limit changed.
+    pub fn merge(&mut self, reports: &[LimitReport], now: Moment) -> Vec<ServerInstance> {
         let mut changed = Vec::new();
-        for note in notes {
-            let at = now.saturating_sub(note.age);
-            let before = self.words.get(&note.server).copied();
-            if before.is_some_and(|word| word.at >= at) {
+        for report in reports {
+            let at = now.saturating_sub(report.age);
+            let before = self.advertised.get(&report.server).copied();
+            if before.is_some_and(|last| last.at >= at) {
                 continue;
             }
-            let word = Word { limit: note.limit, at, is_own: false };
-            self.words.insert(note.server.clone(), word);
-            if before.and_then(|word| word.limit) != note.limit {
-                changed.push(note.server.clone());
+            let last = Advertised { limit: report.limit, at, is_own: false };
+            self.advertised.insert(report.server.clone(), last);
+            if before.and_then(|last| last.limit) != report.limit {
+                changed.push(report.server.clone());
             }
         }
         changed
     }
 
-    /// Returns what peers should know; a reader also tells what it heard from others.
+    /// Returns the limits to report to peers; a reader also relays those that it received from other daemons.
     pub fn report(&self, now: Moment, is_reader: bool) -> Vec<LimitReport> {
-        let is_told = |word: &Word| {
-            (word.is_own || is_reader) && (word.limit.is_some() || now <= word.at + END_TOLD)
+        let is_reported = |last: &Advertised| {
+            (last.is_own || is_reader) && (last.limit.is_some() || now <= last.at + END_REPORT_TIME)
         };
-        let mut told: Vec<_> = self.words.iter().filter(|(_, word)| is_told(word)).collect();
-        told.sort_by_key(|(_, word)| Reverse(word.at));
-        let note = |(server, word): (&ServerInstance, &Word)| LimitReport {
+        let mut reported: Vec<_> =
+            self.advertised.iter().filter(|(_, last)| is_reported(last)).collect();
+        reported.sort_by_key(|(_, last)| Reverse(last.at));
+        let to_report = |(server, last): (&ServerInstance, &Advertised)| LimitReport {
             server: server.clone(),
-            limit: word.limit,
-            age: now.saturating_sub(word.at),
+            limit: last.limit,
+            age: now.saturating_sub(last.at),
         };
-        told.into_iter().take(TOLD).map(note).collect()
+        reported.into_iter().take(MAX_REPORTED).map(to_report).collect()
     }
 
-    /// Takes in that a server named a limit that cannot be read; returns whether that is news.
+    /// Records that a server advertised a limit that cannot be parsed; returns whether this is the first
+    /// time.
     pub fn record_unreadable(&mut self, server: &ServerInstance) -> bool {
-        self.unread.insert(server.clone())
+        self.unreadable.insert(server.clone())
     }
 
-    /// Returns a server's limit.
+    /// Returns a server's limit, or `None` if it advertises none.
     pub fn limit(&self, server: &ServerInstance) -> Option<RateLimit> {
-        self.words.get(server)?.limit
+        self.advertised.get(server)?.limit
     }
 
-    /// Returns whether no server names a limit.
+    /// Returns whether no server advertises a limit.
     pub fn is_empty(&self) -> bool {
-        self.words.values().all(|word| word.limit.is_none())
+        self.advertised.values().all(|last| last.limit.is_none())
     }
 
-    /// Returns this daemon's turns; `share` gives its part of a server's limit, none where other daemons send.
+    /// Returns when this daemon may send to each limited server. `share` returns this daemon's share of a
+    /// server's limit, or `None` if only other daemons send to it.
     pub fn send_permits(
         &mut self,
         now: Moment,
         share: impl Fn(&ServerInstance, RateLimit) -> Option<RateShare>,
     ) -> SendPermits {
-        let mut turns = SendPermits::new();
-        for (server, word) in &self.words {
-            let Some(limit) = word.limit else { continue };
+        let mut permits = SendPermits::new();
+        for (server, last) in &self.advertised {
+            let Some(limit) = last.limit else { continue };
             let bucket = |share| {
                 let bucket = self.buckets.entry(server.clone()).or_insert(TokenBucket::new(now));
                 bucket.wait(share, now)
@@ -140,20 +145,23 @@
             if wait.is_none() {
                 self.buckets.remove(server);
             }
-            turns.insert(server.clone(), SendPermit { wait, probe_due: now > word.at + FRESH });
+            permits.insert(
+                server.clone(),
+                SendPermit { wait, probe_due: now > last.at + PROBE_AFTER },
+            );
         }
-        turns
+        permits
     }
 
-    /// Takes in that a request was sent to a limited server.
+    /// Records that a request was sent to a limited server.
     pub fn record_send(&mut self, server: &ServerInstance, share: RateShare, now: Moment) {
         self.buckets.entry(server.clone()).or_insert(TokenBucket::new(now)).take(share, now);
     }
 
-    /// Forgets servers other than `known`.
+    /// Drops servers that are not `known`.
     pub fn retain(&mut self, known: impl Fn(&ServerInstance) -> bool + Copy) {
-        self.words.retain(|start, _| known(start));
-        self.buckets.retain(|start, _| known(start));
-        self.unread.retain(known);
+        self.advertised.retain(|instance, _| known(instance));
+        self.buckets.retain(|instance, _| known(instance));
+        self.unreadable.retain(known);
     }
 }
--- a/lib/src/cluster/rate_share.rs
+++ b/lib/src/cluster/rate_share.rs
@@ -1,4 +1,4 @@
-//! This daemon's part of the requests that a limited server takes.
+//! This daemon's share of the requests that a rate-limited server accepts.
 
 use std::hash::Hasher as _;
 use std::time::Duration;
@@ -9,39 +9,41 @@
 use crate::cluster::rate_limit::RateLimit;
 use crate::cluster::server_instance::ServerInstance;
 
-/// Requests that may come at once beside those that the limit allows in a second: every request beyond this waits for
-/// its turn at some daemon.
-const BURST: f64 = 3.0;
-/// Requests a second that a server gets whatever its limit: how else would its answers tell that the need is over?
-const LEAST_RATE: f64 = 0.25;
+/// Requests allowed at once on top of those that the limit allows in a second. Every request beyond these
+/// waits at some daemon for a token.
+const BURST_REQUESTS: f64 = 3.0;
+/// Minimum rate in requests per second, whatever the limit: only the server's responses show that the limit
+/// has ended.
+const MIN_RATE: f64 = 0.25;
 
-/// What the daemons that may send to a limited server may each do.
+/// Share of a server's rate limit that each sending daemon gets.
 ///
-/// A bucket at every daemon would let as many requests through at once as there are daemons. So only as many daemons send as
-/// the burst allows, each with a bucket for one request or more. All of them together send no more than the burst and
-/// the limit's worth in any span.
+/// A bucket at every daemon would let as many requests through at once as there are daemons. So only as many
+/// daemons send as the burst allows, each with a bucket for at least one request. In any period, all of them
+/// together send at most the burst plus what the limit allows in that period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShare {
-    /// Daemons that may send.
+    /// Number of daemons that may send.
     pub senders: usize,
-    /// Requests a second of each.
+    /// Requests per second of each sender.
     rate: f64,
-    /// Requests that one of them may send at once after a pause.
-    depth: f64,
+    /// Capacity of each sender's bucket: requests that it may send at once after a pause.
+    capacity: f64,
 }
 
 impl RateShare {
-    /// Shares a limit out among some of so many daemons.
+    /// Divides a limit among the senders of a fleet of `daemons`.
     pub fn new(limit: RateLimit, daemons: usize) -> Self {
-        let rate = limit.per_second().max(LEAST_RATE);
-        let burst = BURST + rate;
+        let rate = limit.per_second().max(MIN_RATE);
+        let burst = BURST_REQUESTS + rate;
         let senders = (burst as usize).clamp(1, daemons.max(1));
-        let each = 1.0 / senders as f64;
-        Self { senders, rate: rate * each, depth: burst * each }
+        let fraction = 1.0 / senders as f64;
+        Self { senders, rate: rate * fraction, capacity: burst * fraction }
     }
 }
 
-/// Returns the weight by which a daemon stands among those that may send to a server; the greatest ones do.
+/// Returns a daemon's rendezvous hashing weight for a server; the daemons with the greatest weights may send
+/// to it.
 pub fn rendezvous_weight(server: &ServerInstance, daemon: &str) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.write(server.id.as_bytes());
@@ -50,35 +52,35 @@
     hasher.finish()
 }
 
-/// A token bucket, empty at first: its daemon may have taken over from one that has just sent.
+/// A token bucket. It starts empty, since its daemon may have replaced a sender that has just sent.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl TokenBucket {
-    /// Starts empty.
+    /// Returns an empty bucket.
     pub fn new(now: Moment) -> Self {
-        Self { tokens: 0.0, at: now }
+        Self { tokens: 0.0, updated_at: now }
     }
 
-    fn fill(&mut self, share: RateShare, now: Moment) {
-        let time = now.saturating_sub(self.at).as_secs_f64();
-        self.tokens = (self.tokens + time * share.rate).min(share.depth);
-        self.at = now;
+    fn refill(&mut self, share: RateShare, now: Moment) {
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * share.rate).min(share.capacity);
+        self.updated_at = now;
     }
 
     /// Returns the time until a request may be sent.
     pub fn wait(&mut self, share: RateShare, now: Moment) -> Duration {
-        self.fill(share, now);
-        let lacking = (1.0 - self.tokens).max(0.0);
-        Duration::from_secs_f64(lacking / share.rate)
+        self.refill(share, now);
+        let missing = (1.0 - self.tokens).max(0.0);
+        Duration::from_secs_f64(missing / share.rate)
     }
 
-    /// Takes a request out. One that was sent out of turn delays the next.
+    /// Takes one token. A request that was sent before its token was available delays the next one.
     pub fn take(&mut self, share: RateShare, now: Moment) {
-        self.fill(share, now);
+        self.refill(share, now);
         self.tokens -= 1.0;
     }
 }
--- a/lib/src/cluster/retry_budgets.rs
+++ b/lib/src/cluster/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! How many repeated sends this daemon may make, as its part of what all daemons may.
+//! Retry budgets: how many retries this daemon may send, as its share of the limit for all daemons.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -7,28 +7,28 @@
 use crate::boot_clock::Moment;
 use crate::cluster::configuration::ServiceName;
 
-/// Part of the slack that daemons share out; the rest covers daemons that start anew and forget
-/// what they had spent.
-const SHARED: f64 = 0.6;
+/// Fraction of the slack that is divided among the daemons. The rest covers daemons that restart and lose
+/// their count of retries.
+const SHARED_SLACK: f64 = 0.6;
 
-/// Limits over all daemons.
+/// Retry limits over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetLimits {
     /// Length of the sliding window.
     pub window: Duration,
-    /// Repeats allowed for each first send in a window.
+    /// Retries allowed per first send in a window.
     pub ratio: f64,
-    /// Repeats allowed in a window whatever the number of requests.
+    /// Retries allowed in a window regardless of the number of requests.
     pub slack: f64,
 }
 
 #[derive(Debug, Default)]
 struct Window {
-    firsts: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    first_sends: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
-/// Sends of this daemon by service.
+/// First sends and retries of this daemon by service.
 #[derive(Debug)]
 pub struct RetryBudgets {
     limits: BudgetLimits,
@@ -36,49 +36,49 @@
 }
 
 impl Window {
-    fn forget(&mut self, before: Moment) {
-        while self.firsts.front().is_some_and(|t| *t < before) {
-            self.firsts.pop_front();
+    fn remove_before(&mut self, start: Moment) {
+        while self.first_sends.front().is_some_and(|at| *at < start) {
+            self.first_sends.pop_front();
         }
-        while self.repeats.front().is_some_and(|t| *t < before) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(|at| *at < start) {
+            self.retries.pop_front();
         }
     }
 }
 
 impl RetryBudgets {
-    /// Starts with nothing spent.
+    /// Returns empty budgets, with no retry used.
     pub fn new(limits: BudgetLimits) -> Self {
         Self { limits, windows: HashMap::new() }
     }
 
-    /// Replaces the limits.
+    /// Replaces the limits; sends recorded so far still count.
     pub fn set_limits(&mut self, limits: BudgetLimits) {
         self.limits = limits;
     }
 
-    /// Notes the first send of a request.
+    /// Records the first send of a request.
     pub fn record_first(&mut self, service: &ServiceName, now: Moment) {
         let window = self.windows.entry(service.clone()).or_default();
-        window.forget(now.saturating_sub(self.limits.window));
-        window.firsts.push_back(now);
+        window.remove_before(now.saturating_sub(self.limits.window));
+        window.first_sends.push_back(now);
     }
 
-    /// Returns whether a repeat is left in the part of one of `daemons`.
+    /// Returns whether this daemon has a retry left in its share, with `daemons` in the fleet.
     pub fn has_retry(&mut self, service: &ServiceName, now: Moment, daemons: usize) -> bool {
         let window = self.windows.entry(service.clone()).or_default();
-        window.forget(now.saturating_sub(self.limits.window));
-        let slack = self.limits.slack * SHARED / daemons.max(1) as f64;
-        let allowed = self.limits.ratio * window.firsts.len() as f64 + slack;
-        window.repeats.len() as f64 + 1.0 <= allowed
+        window.remove_before(now.saturating_sub(self.limits.window));
+        let slack = self.limits.slack * SHARED_SLACK / daemons.max(1) as f64;
+        let allowed = self.limits.ratio * window.first_sends.len() as f64 + slack;
+        window.retries.len() as f64 + 1.0 <= allowed
     }
 
-    /// Takes one repeat out of the budget, shared by `daemons`; returns whether there was one.
+    /// Takes one retry out of this daemon's share, with `daemons` in the fleet; returns whether one was left.
     pub fn take_retry(&mut self, service: &ServiceName, now: Moment, daemons: usize) -> bool {
         if !self.has_retry(service, now, daemons) {
             return false;
         }
-        self.windows.entry(service.clone()).or_default().repeats.push_back(now);
+        self.windows.entry(service.clone()).or_default().retries.push_back(now);
         true
     }
 }
--- a/lib/src/cluster/send_permit.rs
+++ b/lib/src/cluster/send_permit.rs
@@ -1,16 +1,17 @@
-//! When a request may be sent to a server that named a limit.
+//! When a request may be sent to a rate-limited server.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::cluster::server_instance::ServerInstance;
 
-/// When this daemon may send to a limited server.
+/// When this daemon may send to a rate-limited server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SendPermit {
-    /// Time until then; none where other daemons send what the server takes.
+    /// Time until a request may be sent; `None` if only other daemons may send to the server.
     pub wait: Option<Duration>,
-    /// Whether the server has not said for a while whether the limit still holds: somebody has to ask.
+    /// Whether the server's limit has not been confirmed for a while, so that a request is needed to find out
+    /// whether it still applies.
     pub probe_due: bool,
 }
 
@@ -21,5 +22,5 @@
     }
 }
 
-/// Turns at the servers that named limits.
+/// Send permits by rate-limited server instance.
 pub type SendPermits = HashMap<ServerInstance, SendPermit>;
