--- a/lib/src/cluster/reader_rank.rs
+++ b/lib/src/cluster/reader_rank.rs
@@ -1,15 +1,16 @@
-//! The order in which daemons of a data centre come to read the platform's store for the others.
+//! The order in which the daemons of a data centre become readers of the platform's store.
 
 use crate::cluster::digest::ProcessId;
 
-/// A daemon's place in that order; the least come first.
+/// A daemon's rank in that order; the lowest rank comes first.
 ///
-/// A process draws its number at its start, so that a daemon that crashes again and again is not always
+/// A process draws its number at random when it starts, so that a daemon that keeps crashing is not always
 /// among the first.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct ReaderRank {
-    /// Whether its host is small: a reader's words to fifty daemons take three to seven Mbit/s.
+    /// Whether its host is small; small hosts come last. A reader's reports to fifty daemons take three to
+    /// seven Mbit/s.
     pub is_small: bool,
-    /// Its process.
+    /// Random id of the daemon's process.
     pub process: ProcessId,
 }
--- a/lib/src/cluster/reader_report.rs
+++ b/lib/src/cluster/reader_report.rs
@@ -1,5 +1,5 @@
-//! What a reader of the platform's store tells: its data centre, the readers of the others, and the holder of the
-//! placement lease.
+//! The report that a reader of the platform's store sends to its data centre, to the readers of the other
+//! data centres and to the holder of the placement lease.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,29 +9,32 @@
 use crate::ids::Offset;
 use crate::ids::ServerId;
 
-/// Whose requests a word tells of.
+/// Whose requests a reader report counts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum WorkloadScope {
-    /// Those of all daemons of the reader's data centre, by model.
+    /// Requests of all daemons of the reader's data centre, by model.
     Centre,
-    /// Those of all daemons.
+    /// Requests of all daemons.
     Fleet,
 }
 
-/// A reader's word.
+/// A reader's report.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReaderReport {
-    /// The reader's own state. `servers_end` is the place in the feed up to which this word tells of changes.
+    /// The reader's own digest. Its `servers_end` is the offset in the servers' feed up to which this report
+    /// covers changes.
     pub digest: Digest,
-    /// Place in the feed from which on this word tells of changes. Who has heard less must read the feed.
+    /// Offset in the servers' feed from which this report covers changes. A receiver whose own offset is
+    /// lower must read the feed.
     pub changes_from: Offset,
-    /// How long ago the store answered the reader's newest read of the feed, in milliseconds.
+    /// Time since the store answered the reader's latest read of the servers' feed, in milliseconds.
     pub read_age: u32,
-    /// How long ago the reader heard a daemon of another data centre, in milliseconds.
+    /// Time since the reader last received a message from a daemon of another data centre, in milliseconds.
     pub remote_age: u32,
-    /// Servers that came, came back or started again, as the platform wrote their entries.
+    /// Servers that joined, returned or restarted, with their entries as the platform wrote them.
     pub joined: Vec<(ServerId, Vec<u8>)>,
-    /// A sum over the servers that may get requests, by which pictures are compared.
+    /// Checksum over the servers that may receive requests; a receiver compares it with its own to detect a
+    /// difference between the directories.
     pub checksum: u64,
     /// Whose requests `workloads` counts.
     pub scope: WorkloadScope,
--- a/lib/src/cluster/readers.rs
+++ b/lib/src/cluster/readers.rs
@@ -1,4 +1,4 @@
-//! The daemons that read the platform's store for others, as far as heard.
+//! The daemons that read the platform's store for others, as known from their reader reports.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,69 +13,70 @@
 use crate::cluster::reader_role::READERS_PER_CENTRE;
 use crate::ids::DaemonId;
 
-/// A reader whose words stay away for this long is gone: three to four of them.
-const READER_SILENT: Duration = Duration::from_millis(1200);
-/// A reader whom the store told nothing for this long cannot be counted on.
-const READER_BLIND: Duration = Duration::from_millis(2500);
+/// A reader counts as unavailable if no report arrived for this long: three to four reports are missing.
+const READER_TIMEOUT: Duration = Duration::from_millis(1200);
+/// A reader to which the store has not answered for this long cannot be relied on.
+const STORE_ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// What was last heard from a reader.
+/// Times from a reader's last report.
 #[derive(Clone, Copy, Debug)]
 pub struct ReaderStatus {
-    /// When.
-    pub at: Moment,
-    /// When the store answered its newest read of the servers' feed.
+    /// When the report was received.
+    pub received_at: Moment,
+    /// When the store answered the reader's latest read of the servers' feed.
     pub read: Moment,
-    /// When it heard a daemon of another data centre.
+    /// When the reader last received a message from a daemon of another data centre.
     pub remote_heard: Moment,
 }
 
 impl ReaderStatus {
-    /// Reads the times of a word that came just now.
+    /// Converts the ages in a report received at `now`.
     pub fn new(report: &ReaderReport, now: Moment) -> Self {
         let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
-        Self { at: now, read: ago(report.read_age), remote_heard: ago(report.remote_age) }
+        Self { received_at: now, read: ago(report.read_age), remote_heard: ago(report.remote_age) }
     }
 
-    fn is_heard(&self, now: Moment) -> bool {
-        now <= self.at + READER_SILENT
+    fn is_recent(&self, now: Moment) -> bool {
+        now <= self.received_at + READER_TIMEOUT
     }
 }
 
 impl Peer {
-    /// Returns its newest word, where it reads for others and was heard just now.
+    /// Returns the status from its last report, or `None` if it does not read for others or the report is too
+    /// old.
     pub fn fresh_reader_status(&self, now: Moment) -> Option<&ReaderStatus> {
-        self.reader_status.as_ref().filter(|status| status.is_heard(now))
+        self.reader_status.as_ref().filter(|status| status.is_recent(now))
     }
 
     fn is_blind(&self, now: Moment) -> bool {
         let read = self.reader_status.map_or(Moment::ZERO, |status| status.read);
-        now > read.min(self.config_checked) + READER_BLIND
+        now > read.min(self.config_checked) + STORE_ANSWER_TIMEOUT
     }
 }
 
 impl PeerTable {
-    /// Takes in that a peer reads for others, as its word tells.
+    /// Records that a peer reads for others, from its reader report.
     pub fn set_reader_status(&mut self, id: &DaemonId, status: ReaderStatus) {
         if let Some(peer) = self.peers.get_mut(id) {
             peer.reader_status = Some(status);
         }
     }
 
-    /// Returns what is heard of the daemons of a data centre that come before one of a rank.
+    /// Counts the daemons of a data centre that rank before `rank`, and the readers among them.
     pub fn higher_ranked(&self, rank: ReaderRank, centre: &str, now: Moment) -> HigherRanked {
-        let mut before = HigherRanked::default();
+        let mut higher = HigherRanked::default();
         for peer in self.in_centre(centre).filter(|p| p.rank < rank && !self.is_gone(p, now)) {
-            before.daemons += 1;
+            higher.daemons += 1;
             if peer.fresh_reader_status(now).is_some() {
                 let count =
-                    if peer.is_blind(now) { &mut before.blind } else { &mut before.readers };
+                    if peer.is_blind(now) { &mut higher.blind } else { &mut higher.readers };
                 *count += 1;
             }
         }
-        before
+        higher
     }
 
-    /// Returns the readers of a data centre that were heard just now.
+    /// Returns the readers of a data centre with a recent report.
     pub fn readers<'a>(
         &'a self,
         centre: &'a str,
@@ -86,52 +87,53 @@
             .filter(move |(_, p)| p.centre == centre && p.fresh_reader_status(now).is_some())
     }
 
-    /// Returns where to reach the readers of a data centre: those that were heard just now, else those that
-    /// come first.
+    /// Returns the addresses of the readers of a data centre that reported recently. If there are fewer than
+    /// `READERS_PER_CENTRE`, adds the daemons that come first by rank.
     pub fn reader_addrs(&self, centre: &str, now: Moment) -> Vec<SocketAddr> {
         let mut list: Vec<SocketAddr> = self.readers(centre, now).map(|(_, p)| p.addr).collect();
         if list.len() < READERS_PER_CENTRE {
-            let mut next: Vec<&Peer> =
+            let mut first: Vec<&Peer> =
                 self.in_centre(centre).filter(|p| !self.is_gone(p, now)).collect();
-            next.sort_by_key(|p| p.rank);
-            let next = next.into_iter().map(|p| p.addr).take(READERS_PER_CENTRE);
-            let fresh: Vec<SocketAddr> = next.filter(|addr| !list.contains(addr)).collect();
+            first.sort_by_key(|p| p.rank);
+            let first = first.into_iter().map(|p| p.addr).take(READERS_PER_CENTRE);
+            let fresh: Vec<SocketAddr> = first.filter(|addr| !list.contains(addr)).collect();
             list.extend(fresh);
         }
         list
     }
 
-    /// Returns the moment of the newest read of the servers' feed that a reader of a data centre tells of.
+    /// Returns the time of the latest read of the servers' feed that a reader of a data centre reports.
     pub fn newest_read(&self, centre: &str, now: Moment) -> Option<Moment> {
         self.readers(centre, now).filter_map(|(_, p)| Some(p.fresh_reader_status(now)?.read)).max()
     }
 
-    /// Returns when the store last told a peer that no version later than `version` is there; the host's start where
-    /// no peer tells so.
+    /// Returns when the store last confirmed to a peer that no version later than `version` exists, or the
+    /// host's start if no peer reports this.
     pub fn config_checked(&self, version: ConfigVersion) -> Moment {
         let peers = self.peers.values().filter(|p| p.config_version <= version);
         peers.map(|p| p.config_checked).max().unwrap_or_default()
     }
 
-    /// Returns a reader of a data centre that follows a later version of the configuration; `turn` chooses among
-    /// several.
+    /// Returns the address of a reader of a data centre that has a later version of the configuration;
+    /// `index` selects among several.
     pub fn reader_ahead(
         &self,
         centre: &str,
         version: ConfigVersion,
-        turn: usize,
+        index: usize,
         now: Moment,
     ) -> Option<SocketAddr> {
         let readers = self.readers(centre, now).filter(|(_, p)| p.config_version > version);
         let list: Vec<SocketAddr> = readers.map(|(_, p)| p.addr).collect();
-        list.get(turn % list.len().max(1)).copied()
+        list.get(index % list.len().max(1)).copied()
     }
 
-    /// Returns when some daemon of another data centre was last heard, here or by a reader of this one.
+    /// Returns when a message from a daemon of another data centre was last received, by this daemon or by a
+    /// reader of `centre`.
     pub fn remote_heard(&self, centre: &str, now: Moment) -> Moment {
         let others = self.peers.values().filter(|p| p.centre != centre && !p.centre.is_empty());
-        let heard = others.filter_map(|p| p.last_heard).max().unwrap_or_default();
-        let words = self.readers(centre, now).filter_map(|(_, p)| p.fresh_reader_status(now));
-        words.map(|word| word.remote_heard).max().unwrap_or_default().max(heard)
+        let own = others.filter_map(|p| p.last_heard).max().unwrap_or_default();
+        let statuses = self.readers(centre, now).filter_map(|(_, p)| p.fresh_reader_status(now));
+        statuses.map(|status| status.remote_heard).max().unwrap_or_default().max(own)
     }
 }
--- a/lib/tests/test_reader_reports.rs
+++ b/lib/tests/test_reader_reports.rs
@@ -1,4 +1,4 @@
-//! What a reader of the servers' feed tells those who live by its word.
+//! Tests which changes of the servers' feed a reader reports to the daemons that do not read it.
 
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
     Duration::from_millis(ms)
 }
 
-fn server(id: &str, beat: u64, leaving: bool) -> Server {
+fn server(id: &str, count: u64, leaving: bool) -> Server {
     Server {
         id: id.into(),
         service: "draft".into(),
-        addr: "127.0.0.1:9000".parse().expect("an address"),
+        addr: "127.0.0.1:9000".parse().expect("a valid address"),
         centre: "north".into(),
         slots: 8,
         leaving,
         models: Vec::new(),
         copies: WeightCopies::default(),
-        heartbeat: beat,
+        heartbeat: count,
         born: None,
     }
 }
 
-/// Reads one more record of the feed.
+/// Applies one more record of the feed.
 fn read(directory: &mut Directory, now: Moment, server: Server) -> Change {
     directory.record_read(now);
     let change = directory.put(server, Bytes::from_static(b"{}"), now);
@@ -37,9 +37,9 @@
     change
 }
 
-/// Requests reach a server four seconds after its notice, from all daemons of three data centres. Their readers had
-/// heard of the notice from readers elsewhere, an instant before they read it themselves: then it was no news, and
-/// they told nobody.
+/// A reader may learn of a departure from another data centre's reader just before it reads the notice from
+/// the feed, when it is no change any more. It must still report the departure: otherwise daemons of all data
+/// centres still send requests to the server four seconds after its notice.
 #[test]
 fn hearsay_passed() {
     let mut reader = Directory::default();
@@ -50,7 +50,8 @@
     assert_eq!(reader.all_departures(ms(1_200)), [note]);
 }
 
-/// A server whose entry did not come back after an outage of the store is told as gone: others do not read that.
+/// A server whose entry did not return after an outage of the store must be reported as departed: daemons
+/// that do not read the feed cannot detect this.
 #[test]
 fn swept_told() {
     let mut reader = Directory::default();
@@ -60,11 +61,14 @@
     assert!(reader.all_departures(ms(9_100)).is_empty());
     assert_eq!(reader.sweep(ms(11_300)), ["a"]);
     assert_eq!(reader.all_departures(ms(11_400)).len(), 1);
-    assert!(reader.recent_departures(ms(11_400)).is_empty(), "who reads finds out by itself");
+    assert!(
+        reader.recent_departures(ms(11_400)).is_empty(),
+        "daemons that read the feed detect this themselves"
+    );
 }
 
-/// A daemon that heard nothing for longer than changes are told must not take the next word for the whole: it would
-/// miss a server that left meanwhile.
+/// A daemon that received nothing for longer than changes are reported must not treat the next report as
+/// complete: it would miss a server that left in between. `history_start` shows the gap.
 #[test]
 fn gap_shown() {
     let mut reader = Directory::default();
@@ -75,17 +79,13 @@
     assert_eq!(
         reader.history_start(),
         59,
-        "the end before the first read of the last four seconds"
+        "the feed end before the first read of the last four seconds"
     );
     reader.clear_history();
-    assert_eq!(
-        reader.history_start(),
-        100,
-        "changes between two listings are not known one by one"
-    );
+    assert_eq!(reader.history_start(), 100, "single changes between two listings are unknown");
 }
 
-/// A server that joins is told with its entry; one that left again is not.
+/// A server that joined must be reported with its entry; one that has left again must not.
 #[test]
 fn joined_told() {
     let mut reader = Directory::default();
@@ -97,7 +97,8 @@
     assert!(reader.recent_joins(ms(5_000)).is_empty());
 }
 
-/// Whoever lives by words has a picture like the reader's, or finds out that it has not.
+/// A daemon that relies on reports must have a directory equal to the reader's, or detect by the checksum
+/// that it differs.
 #[test]
 fn pictures_compared() {
     let mut reader = Directory::default();
@@ -108,7 +109,7 @@
     }
     assert_eq!(reader.checksum(), other.checksum());
     read(&mut reader, ms(100), server("b", 2, false));
-    assert_eq!(reader.checksum(), other.checksum(), "a heartbeat is no change");
+    assert_eq!(reader.checksum(), other.checksum(), "a heartbeat does not change the checksum");
     read(&mut reader, ms(200), server("b", 3, true));
     assert_ne!(reader.checksum(), other.checksum());
     for note in reader.all_departures(ms(300)) {
@@ -116,5 +117,9 @@
     }
     assert_eq!(reader.checksum(), other.checksum());
     reader.remove("b", ms(400));
-    assert_eq!(reader.checksum(), other.checksum(), "one that leaves is as good as gone");
+    assert_eq!(
+        reader.checksum(),
+        other.checksum(),
+        "removing a server that was already leaving does not change the checksum"
+    );
 }
--- a/lib/tests/test_reader_role.rs
+++ b/lib/tests/test_reader_role.rs
@@ -1,4 +1,4 @@
-//! Which daemons read the platform's store for their data centre.
+//! Tests which daemons read the platform's store for their data centre.
 
 use std::time::Duration;
 
@@ -6,59 +6,59 @@
 use comfreymux_lib::cluster::reader_role::HigherRanked;
 use comfreymux_lib::cluster::reader_role::ReaderRole;
 
-/// Time between looks of a daemon.
+/// Time between role updates of a daemon.
 const TICK: Duration = Duration::from_millis(300);
-/// A reader that was not heard for this long is gone.
-const SILENT: Duration = Duration::from_millis(1200);
+/// A reader without a report for this long counts as unavailable.
+const READER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// How a daemon of the data centre is.
+/// State of a daemon of the data centre.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Health {
-    Well,
-    /// The store tells it nothing.
+    Healthy,
+    /// It runs, but gets no answers from the store.
     Blind,
     Dead,
 }
 
 /// Daemons of one data centre in the order of their ranks.
 struct Centre {
-    duties: Vec<ReaderRole>,
+    roles: Vec<ReaderRole>,
     health: Vec<Health>,
-    /// When each was last heard as a reader.
-    heard: Vec<Option<Moment>>,
+    /// When each daemon last reported as a reader.
+    reported_at: Vec<Option<Moment>>,
     now: Moment,
 }
 
 impl Centre {
     fn new(count: usize) -> Self {
         Self {
-            duties: (0..count).map(|_| ReaderRole::default()).collect(),
-            health: vec![Health::Well; count],
-            heard: vec![None; count],
+            roles: (0..count).map(|_| ReaderRole::default()).collect(),
+            health: vec![Health::Healthy; count],
+            reported_at: vec![None; count],
             now: Duration::from_secs(100),
         }
     }
 
-    fn is_heard(&self, n: usize) -> bool {
-        self.heard[n].is_some_and(|at| self.now <= at + SILENT)
+    fn is_reporting(&self, n: usize) -> bool {
+        self.reported_at[n].is_some_and(|at| self.now <= at + READER_TIMEOUT)
     }
 
-    fn before(&self, n: usize) -> HigherRanked {
-        let heard: Vec<usize> = (0..n).filter(|m| self.is_heard(*m)).collect();
-        let blind = heard.iter().filter(|m| self.health[**m] == Health::Blind).count();
-        HigherRanked { daemons: n, readers: heard.len() - blind, blind }
+    fn higher_ranked(&self, n: usize) -> HigherRanked {
+        let readers: Vec<usize> = (0..n).filter(|m| self.is_reporting(*m)).collect();
+        let blind = readers.iter().filter(|m| self.health[**m] == Health::Blind).count();
+        HigherRanked { daemons: n, readers: readers.len() - blind, blind }
     }
 
-    /// All daemons look once.
+    /// Updates the role of every daemon that runs.
     fn tick(&mut self) {
         self.now += TICK;
-        for n in 0..self.duties.len() {
+        for n in 0..self.roles.len() {
             if self.health[n] == Health::Dead {
                 continue;
             }
-            let before = self.before(n);
-            if self.duties[n].update(before, self.now) {
-                self.heard[n] = Some(self.now);
+            let higher_ranked = self.higher_ranked(n);
+            if self.roles[n].update(higher_ranked, self.now) {
+                self.reported_at[n] = Some(self.now);
             }
         }
     }
@@ -71,11 +71,12 @@
     }
 
     fn readers(&self) -> Vec<usize> {
-        (0..self.duties.len()).filter(|n| self.is_heard(*n)).collect()
+        (0..self.roles.len()).filter(|n| self.is_reporting(*n)).collect()
     }
 }
 
-/// Forty daemons each ask the store for the same records; two are enough, whoever starts first.
+/// Forty daemons start and none reads yet. Only the first two by rank may end up as readers; otherwise each
+/// would poll the store for the same records.
 #[test]
 fn two_read() {
     let mut centre = Centre::new(40);
@@ -83,8 +84,8 @@
     assert_eq!(centre.readers(), [0, 1]);
 }
 
-/// Both readers are killed at the same moment. The next two take over within two seconds, and not all that
-/// notice it.
+/// Both readers are killed at the same moment. The next two daemons, and only these, must take over within
+/// two seconds.
 #[test]
 fn both_lost() {
     let mut centre = Centre::new(40);
@@ -97,7 +98,7 @@
     assert_eq!(centre.readers(), [2, 3]);
 }
 
-/// The first readers come back. Those that took over cease, but not in the same instant.
+/// The first readers recover. Those that replaced them must stop reading, but only after an overlap.
 #[test]
 fn place_given_back() {
     let mut centre = Centre::new(10);
@@ -105,15 +106,16 @@
     centre.health[1] = Health::Dead;
     centre.run(Duration::from_secs(4));
     assert_eq!(centre.readers(), [2, 3]);
-    centre.health[0] = Health::Well;
-    centre.health[1] = Health::Well;
+    centre.health[0] = Health::Healthy;
+    centre.health[1] = Health::Healthy;
     centre.run(TICK * 2);
-    assert_eq!(centre.readers(), [0, 1, 2, 3], "they overlap");
+    assert_eq!(centre.readers(), [0, 1, 2, 3], "old and new readers must overlap");
     centre.run(Duration::from_secs(4));
     assert_eq!(centre.readers(), [0, 1]);
 }
 
-/// The store turns both readers away and serves the others; these take over though the readers are heard.
+/// The store refuses both readers and answers the others. The next two must take over although the readers
+/// still report.
 #[test]
 fn blind_replaced() {
     let mut centre = Centre::new(10);
@@ -125,8 +127,8 @@
     assert!(readers.contains(&2) && readers.contains(&3), "{readers:?}");
 }
 
-/// The store is away for all for nine seconds. Each reader that hears nothing looked like one to be replaced, and
-/// all forty daemons asked a store that could not answer.
+/// The store is unavailable to all daemons for nine seconds. Blind readers look as if they had to be
+/// replaced, which must not lead all forty daemons to call a store that cannot answer.
 #[test]
 fn outage_bounded() {
     let mut centre = Centre::new(40);
@@ -135,7 +137,7 @@
     centre.run(Duration::from_secs(9));
     let readers = centre.readers();
     assert!(readers.len() <= 16, "{readers:?}");
-    centre.health.fill(Health::Well);
+    centre.health.fill(Health::Healthy);
     centre.run(Duration::from_secs(5));
     assert_eq!(centre.readers(), [0, 1]);
 }
