--- a/lib/src/cluster/run_times.rs
+++ b/lib/src/cluster/run_times.rs
@@ -6,27 +6,28 @@
 
 use crate::cluster::configuration::ServiceName;
 
-/// Time of a run before any was seen: a hundred and fifty tokens at one in ten milliseconds.
-const FIRST_GUESS: Duration = Duration::from_millis(1500);
-/// Weight of the newest run in the mean: some twenty runs, which is seconds of a daemon's streams.
-const NEWEST: f64 = 0.05;
+/// Assumed run time before any run has ended: 150 tokens at 10 ms each.
+const INITIAL_MEAN: Duration = Duration::from_millis(1500);
+/// Weight of the newest run in the moving average: it spans about twenty runs, which is seconds of a daemon's
+/// streams.
+const NEWEST_WEIGHT: f64 = 0.05;
 
-/// Mean times of runs, by service.
+/// Moving averages of run times in seconds, by service.
 #[derive(Debug, Default)]
 pub struct RunTimes {
     means: RefCell<HashMap<ServiceName, f64>>,
 }
 
 impl RunTimes {
-    /// Takes in a run that ended well, from its first event on.
+    /// Records a run that succeeded, with its time from the first event to the end.
     pub fn record(&self, service: &ServiceName, time: Duration) {
         let mut means = self.means.borrow_mut();
-        let mean = means.entry(service.clone()).or_insert(FIRST_GUESS.as_secs_f64());
-        *mean += NEWEST * (time.as_secs_f64() - *mean);
+        let mean = means.entry(service.clone()).or_insert(INITIAL_MEAN.as_secs_f64());
+        *mean += NEWEST_WEIGHT * (time.as_secs_f64() - *mean);
     }
 
-    /// Returns how long a run of a service takes on the mean.
+    /// Returns the mean run time of a service.
     pub fn mean(&self, service: &str) -> Duration {
-        self.means.borrow().get(service).map_or(FIRST_GUESS, |mean| Duration::from_secs_f64(*mean))
+        self.means.borrow().get(service).map_or(INITIAL_MEAN, |mean| Duration::from_secs_f64(*mean))
     }
 }
--- a/lib/src/cluster/unreadable_records.rs
+++ b/lib/src/cluster/unreadable_records.rs
@@ -1,4 +1,4 @@
-//! Records of the store that cannot be read, and which of them are worth a line in the log.
+//! Records of the store that cannot be parsed, and which of them are logged.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,50 +8,52 @@
 use crate::boot_clock::Moment;
 use crate::store::Feed;
 
-/// Most lines within `WINDOW`: another program may write thousands of records, or new ones all the time.
-const LINES: u32 = 20;
-/// Time in which so many lines are allowed.
+/// Most log lines in a `WINDOW`: another program may write thousands of unreadable records, or new ones all
+/// the time.
+const MAX_LINES: u32 = 20;
+/// Time in which at most `MAX_LINES` are logged.
 const WINDOW: Duration = Duration::from_mins(1);
-/// Most records that are remembered; of further ones each sight would be a change.
-const KEPT: usize = 500;
+/// Most records that are remembered; each time that a further one is met counts as a change.
+const MAX_RECORDS: usize = 500;
 /// Longest text of a key or reason in characters; both come from the other program.
-const TEXT: usize = 120;
+const MAX_CHARS: usize = 120;
 
-/// Records that cannot be read, by feed and key.
+/// Reasons why records cannot be parsed, by feed and key.
 #[derive(Debug, Default)]
 pub struct UnreadableRecords {
     reasons: BTreeMap<(Feed, SmolStr), String>,
-    /// When the window of the last lines began.
-    began: Moment,
-    /// Lines in that window.
+    /// Start of the current window.
+    window_start: Moment,
+    /// Lines logged in that window.
     lines: u32,
-    /// Changes without a line since the last one.
+    /// Changes since the last line that were not logged.
     unlogged: u64,
 }
 
-/// What the log says of a record that cannot be read.
+/// What is logged about an unreadable record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UnreadableReport {
-    /// Its key, or what there is of it.
+    /// The record's key, or as much of it as could be read.
     pub key: SmolStr,
-    /// Why it cannot be read.
+    /// Why the record cannot be parsed.
     pub reason: String,
-    /// Changes before this one that had no line.
+    /// Changes since the previous line that were not logged.
     pub unlogged: u64,
 }
 
-fn cut(text: &str) -> String {
-    text.chars().take(TEXT).collect()
+fn truncate(text: &str) -> String {
+    text.chars().take(MAX_CHARS).collect()
 }
 
-/// A reason without the place in the text, which moves with each number that grows by a digit.
-fn plain(reason: &str) -> String {
+/// Returns a reason without the position in the text, which shifts with each number that gains a digit.
+fn strip_position(reason: &str) -> String {
     let end = reason.find(" at line ").unwrap_or(reason.len());
-    cut(&reason[..end])
+    truncate(&reason[..end])
 }
 
 impl UnreadableRecords {
-    /// Takes in a record that cannot be read; returns what to log, where that changed.
+    /// Records an unreadable record; returns what to log if the record or its reason is new and the line
+    /// limit allows.
     pub fn record(
         &mut self,
         feed: Feed,
@@ -59,19 +61,19 @@
         reason: &str,
         now: Moment,
     ) -> Option<UnreadableReport> {
-        let (key, reason) = (SmolStr::from(cut(key)), plain(reason));
-        let place = (feed, key.clone());
-        if self.reasons.get(&place) == Some(&reason) {
+        let (key, reason) = (SmolStr::from(truncate(key)), strip_position(reason));
+        let record_key = (feed, key.clone());
+        if self.reasons.get(&record_key) == Some(&reason) {
             return None;
         }
-        if self.reasons.len() < KEPT || self.reasons.contains_key(&place) {
-            self.reasons.insert(place, reason.clone());
+        if self.reasons.len() < MAX_RECORDS || self.reasons.contains_key(&record_key) {
+            self.reasons.insert(record_key, reason.clone());
         }
-        if now >= self.began + WINDOW {
-            self.began = now;
+        if now >= self.window_start + WINDOW {
+            self.window_start = now;
             self.lines = 0;
         }
-        if self.lines >= LINES {
+        if self.lines >= MAX_LINES {
             self.unlogged += 1;
             return None;
         }
@@ -79,10 +81,10 @@
         Some(UnreadableReport { key, reason, unlogged: std::mem::take(&mut self.unlogged) })
     }
 
-    /// Takes in that the record under a key can be read, or was removed.
+    /// Records that the record under a key can be parsed again, or was removed.
     pub fn clear(&mut self, feed: Feed, key: &str) {
         if !self.reasons.is_empty() {
-            self.reasons.remove(&(feed, SmolStr::from(cut(key))));
+            self.reasons.remove(&(feed, SmolStr::from(truncate(key))));
         }
     }
 }
--- a/lib/tests/test_server_health.rs
+++ b/lib/tests/test_server_health.rs
@@ -1,4 +1,4 @@
-//! Which backend servers are avoided.
+//! Tests which backend servers are avoided.
 
 use std::time::Duration;
 
@@ -6,87 +6,88 @@
 use comfreymux_lib::cluster::server_health::ServerHealth;
 use smol_str::SmolStr;
 
-struct Bench {
+struct Fixture {
     health: ServerHealth,
     now: Duration,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         Self { health: ServerHealth::default(), now: Duration::from_secs(1) }
     }
 
-    fn note(&mut self, server: &str, evidence: Evidence) -> Option<Duration> {
+    fn record(&mut self, server: &str, evidence: Evidence) -> Option<Duration> {
         self.now += Duration::from_millis(20);
         self.health.record(&SmolStr::new("draft"), &server.into(), self.now, evidence)
     }
 
-    fn avoided(&self, server: &str) -> bool {
+    fn is_avoided(&self, server: &str) -> bool {
         self.health.is_avoided(&server.into(), self.now)
     }
 }
 
-/// A server cannot be reached; each request that is sent there loses a third of a second.
+/// An unreachable server must be avoided at once: each request that is sent to it loses a third of a second.
 #[test]
 fn unreachable_avoided() {
-    let mut bench = Bench::new();
-    assert!(bench.note("a", Evidence::Unreachable).is_some());
-    assert!(bench.avoided("a"));
-    assert!(!bench.avoided("b"));
+    let mut fixture = Fixture::new();
+    assert!(fixture.record("a", Evidence::Unreachable).is_some());
+    assert!(fixture.is_avoided("a"));
+    assert!(!fixture.is_avoided("b"));
 }
 
-/// A seventh of all answers of a service are failures, from each server alike. Avoiding them in turn
-/// would leave none.
+/// A seventh of a service's responses are failures, on every server alike. If these counted against the
+/// servers, all of them would be avoided.
 #[test]
 fn usual_failures() {
-    let mut bench = Bench::new();
+    let mut fixture = Fixture::new();
     for round in 0..700 {
         let evidence = if round % 7 == 0 { Evidence::Failed } else { Evidence::Sound };
         for server in ["a", "b", "c"] {
-            assert_eq!(bench.note(server, evidence), None);
+            assert_eq!(fixture.record(server, evidence), None);
         }
     }
 }
 
-/// One server fails half of its requests while its health answers are good.
+/// A server that fails half of its requests must be avoided, even though it passes its health checks.
 #[test]
 fn grey_avoided() {
-    let mut bench = Bench::new();
+    let mut fixture = Fixture::new();
     let mut paused = false;
     for round in 0..40 {
-        bench.note("b", Evidence::Sound);
+        fixture.record("b", Evidence::Sound);
         let evidence = if round % 2 == 0 { Evidence::Failed } else { Evidence::Sound };
-        paused |= bench.note("a", evidence).is_some();
+        paused |= fixture.record("a", evidence).is_some();
     }
     assert!(paused);
 }
 
-/// A recovered server is tried again within seconds, and one good answer after another clears it.
+/// A server that was avoided several times must be used again within seconds after it recovers, and
+/// successful responses must reset its pause to the first length.
 #[test]
 fn recovered_used() {
-    let mut bench = Bench::new();
+    let mut fixture = Fixture::new();
     for _ in 0..10 {
-        bench.note("a", Evidence::Unreachable);
-        bench.now += Duration::from_secs(5);
+        fixture.record("a", Evidence::Unreachable);
+        fixture.now += Duration::from_secs(5);
     }
-    assert!(!bench.avoided("a"));
+    assert!(!fixture.is_avoided("a"));
     for _ in 0..30 {
-        bench.note("a", Evidence::Sound);
+        fixture.record("a", Evidence::Sound);
     }
-    let pause = bench.note("a", Evidence::Unreachable).expect("avoided anew");
+    let pause = fixture.record("a", Evidence::Unreachable).expect("the second pause begins");
     assert!(pause <= Duration::from_millis(500));
 }
 
-/// A crashed engine is listed for seconds yet. It must not look like one that merely fails: the
-/// models that it held have to be loaded elsewhere.
+/// A crashed engine stays listed for seconds. It must be marked as unreachable, unlike one that only fails
+/// requests: the models that it had loaded must be loaded elsewhere.
 #[test]
 fn crashed_dark() {
-    let mut bench = Bench::new();
-    bench.note("a", Evidence::Unreachable);
-    assert!(bench.health.is_unreachable(&"a".into(), bench.now));
+    let mut fixture = Fixture::new();
+    fixture.record("a", Evidence::Unreachable);
+    assert!(fixture.health.is_unreachable(&"a".into(), fixture.now));
     for _ in 0..20 {
-        bench.note("b", Evidence::Failed);
+        fixture.record("b", Evidence::Failed);
     }
-    assert!(bench.avoided("b"));
-    assert!(!bench.health.is_unreachable(&"b".into(), bench.now));
+    assert!(fixture.is_avoided("b"));
+    assert!(!fixture.health.is_unreachable(&"b".into(), fixture.now));
 }
