--- a/lib/src/serve/accept.rs
+++ b/lib/src/serve/accept.rs
@@ -1,4 +1,4 @@
-//! Listeners: callers' connections, the balancer's question for readiness, metrics.
+//! Listeners for callers, for the load balancer's readiness checks and for metrics.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -26,21 +26,21 @@
 use crate::serve::handle::handle_request;
 use crate::serve::socket;
 
-/// Limits before the first configuration.
-const FIRST_LIMITS: CallerLimits = CallerLimits {
+/// Limits until the first configuration is read.
+const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     max_head: 16 * 1024,
     max_body: 1024 * 1024,
     head_timeout: Duration::from_secs(5),
     idle_timeout: Duration::from_mins(1),
 };
-/// Added to the idle time that callers rely on, for a request that is on its way when it ends.
+/// Added to the idle timeout that callers rely on, for a request that is in transit when it expires.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// Smallest buffer that the HTTP library takes for a head.
-const LEAST_HEAD: usize = 8192;
-/// Pause after a connection could not be accepted, as when descriptors ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Smallest buffer that the HTTP library accepts for a request head.
+const MIN_BUFFER_BYTES: usize = 8192;
+/// Delay after a failed accept, for example when no file descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts callers for as long as the daemon runs.
+/// Accepts and serves callers' connections; never returns.
 pub async fn serve_callers(daemon: Rc<DaemonState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -50,7 +50,7 @@
             }
             Err(error) => {
                 slog::warn!(daemon.log, "accept-failed"; "error" => %error);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -60,30 +60,30 @@
     if socket::configure_accepted(&stream).is_err() {
         return;
     }
-    let limits = daemon.config().map_or(FIRST_LIMITS, |c| c.limits);
+    let limits = daemon.config().map_or(DEFAULT_LIMITS, |c| c.limits);
     let requests = ActiveRequests::new(Rc::clone(&daemon));
     let socket = CallerSocket::new(stream, Rc::clone(&requests));
-    let for_requests = Rc::clone(&daemon);
+    let service_daemon = Rc::clone(&daemon);
     let service = service_fn(move |request: Request<Incoming>| {
-        let daemon = Rc::clone(&for_requests);
+        let daemon = Rc::clone(&service_daemon);
         let active = requests.begin();
         async move { Ok::<_, Infallible>(handle_request(daemon, active, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout.max(limits.head_timeout) + IDLE_MARGIN)
-        .max_buf_size(limits.max_head.max(LEAST_HEAD))
+        .max_buf_size(limits.max_head.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(socket), service);
     if let Err(error) = connection.await {
         slog::debug!(daemon.log, "caller-connection-ended"; "error" => %error);
     }
 }
 
-/// Answers whether new callers are welcome.
+/// Answers readiness checks: 200 while the daemon accepts new callers, else 503.
 pub async fn serve_ready(daemon: Rc<DaemonState>, listener: TcpListener) {
-    let path = daemon.protocol.ready_path();
-    serve_small(daemon, listener, move |daemon, asked| {
-        if asked != path {
+    let ready_path = daemon.protocol.ready_path();
+    serve_text(daemon, listener, move |daemon, path| {
+        if path != ready_path {
             return (StatusCode::NOT_FOUND, String::new());
         }
         if daemon.is_ready() {
@@ -95,9 +95,9 @@
     .await;
 }
 
-/// Serves metrics as text.
+/// Serves `/metrics` in the text format.
 pub async fn serve_metrics(daemon: Rc<DaemonState>, listener: TcpListener) {
-    serve_small(daemon, listener, |daemon, asked| match asked {
+    serve_text(daemon, listener, |daemon, path| match path {
         "/metrics" => {
             daemon.metrics.set_requests(daemon.model_waits.total(), daemon.active.get());
             let version = daemon.config_version();
@@ -109,28 +109,29 @@
     .await;
 }
 
-async fn serve_small(
+/// Serves short text responses, which `respond` computes from a request's path.
+async fn serve_text(
     daemon: Rc<DaemonState>,
     listener: TcpListener,
-    answer: impl Fn(&DaemonState, &str) -> (StatusCode, String) + 'static,
+    respond: impl Fn(&DaemonState, &str) -> (StatusCode, String) + 'static,
 ) {
-    let answer = Rc::new(answer);
+    let respond = Rc::new(respond);
     loop {
         let Ok((stream, _peer)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let daemon = Rc::clone(&daemon);
-        let answer = Rc::clone(&answer);
+        let respond = Rc::clone(&respond);
         spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
-                let (status, text) = answer(&daemon, request.uri().path());
+                let (status, text) = respond(&daemon, request.uri().path());
                 let mut response = Response::new(ReplyBody::whole(Bytes::from(text)));
                 *response.status_mut() = status;
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Whoever asks may end the connection as it likes.
+            // The client may close the connection at any time, so its end is not an error.
             let _ended = connection.await;
         });
     }
--- a/lib/src/serve/active_request.rs
+++ b/lib/src/serve/active_request.rs
@@ -1,15 +1,18 @@
-//! One request in progress.
+//! A guard that counts one caller's request as in progress.
 
 use std::rc::Rc;
 
 use crate::serve::active_requests::ActiveRequests;
 
-/// A request in progress; its answer's body holds it until the HTTP library has taken the last of it.
+/// A request in progress.
+///
+/// The response body owns it, so it is dropped when the HTTP library has read the whole body. The
+/// request then counts as buffered, until the connection is flushed.
 #[derive(Debug)]
 pub struct ActiveRequest(Rc<ActiveRequests>);
 
 impl ActiveRequest {
-    /// A request of a connection.
+    /// Makes the guard of a request on `connection`, which has already counted it.
     pub fn new(connection: Rc<ActiveRequests>) -> Self {
         Self(connection)
     }
--- a/lib/src/serve/active_requests.rs
+++ b/lib/src/serve/active_requests.rs
@@ -6,44 +6,44 @@
 use crate::serve::active_request::ActiveRequest;
 use crate::serve::daemon_state::DaemonState;
 
-/// Counts a connection's requests from their heads to the last bytes of their answers.
+/// Counts a connection's requests from their heads until the last byte of their responses is written.
 ///
-/// A daemon that stops waits for all of them. One that counted an answer as given while most of it
-/// waited for a slow caller ended, and the caller got a part of it.
+/// A stopping daemon waits for all of them. When a response counted as finished while most of it was
+/// still buffered for a slow caller, the daemon exited and the caller received a truncated response.
 #[derive(Debug)]
 pub struct ActiveRequests {
     daemon: Rc<DaemonState>,
-    /// Requests that the HTTP library has whole answers to, which may not have been written; the
-    /// daemon's count still holds them.
-    unwritten: Cell<u32>,
+    /// Requests whose whole response the HTTP library has, but may not have written yet. They are
+    /// still included in the daemon's count.
+    buffered: Cell<u32>,
 }
 
 impl ActiveRequests {
-    /// Counts for a connection without requests.
+    /// Makes the counter of a new connection.
     pub fn new(daemon: Rc<DaemonState>) -> Rc<Self> {
-        Rc::new(Self { daemon, unwritten: Cell::default() })
+        Rc::new(Self { daemon, buffered: Cell::default() })
     }
 
-    /// Counts a request until its answer is written.
+    /// Counts a request as in progress until its response is written.
     pub fn begin(self: &Rc<Self>) -> ActiveRequest {
         self.daemon.active.set(self.daemon.active.get() + 1);
         ActiveRequest::new(Rc::clone(self))
     }
 
-    /// Takes in that a request's answer lies whole with the HTTP library.
+    /// Records that the HTTP library has a request's whole response.
     pub fn mark_buffered(&self) {
-        self.unwritten.set(self.unwritten.get() + 1);
+        self.buffered.set(self.buffered.get() + 1);
     }
 
-    /// Takes in that nothing is left to write.
+    /// Records that all buffered responses are written, which ends their requests.
     pub fn mark_flushed(&self) {
         let active = self.daemon.active.get();
-        self.daemon.active.set(active.saturating_sub(self.unwritten.take()));
+        self.daemon.active.set(active.saturating_sub(self.buffered.take()));
     }
 }
 
 impl Drop for ActiveRequests {
-    /// The connection has ended.
+    /// Ends the buffered requests, since nothing more can be written to a closed connection.
     fn drop(&mut self) {
         self.mark_flushed();
     }
--- a/lib/src/serve/body.rs
+++ b/lib/src/serve/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! Response bodies for callers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -15,46 +15,46 @@
 
 use crate::serve::active_request::ActiveRequest;
 
-/// Chunks that wait for a caller who reads slowly; a full channel slows the backend server down.
-const CHUNKS: usize = 64;
+/// Capacity of a stream's channel. A slow caller fills it, which applies backpressure to the backend server.
+const CHANNEL_CHUNKS: usize = 64;
 
-/// The answer ends early: the connection is closed without the end of the body, so that it cannot
-/// look complete.
+/// A response was aborted: the connection is closed without the end of the body, so that the caller
+/// cannot take the response as complete.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the answer broke off")]
 pub struct BodyAborted;
 
-/// Where a stream's chunks go.
+/// Sends the chunks of a streamed body.
 pub type ChunkSender = mpsc::Sender<Result<Bytes, BodyAborted>>;
 
 #[derive(Debug)]
 enum Content {
     Whole(Full<Bytes>),
-    /// Ends when its sender is dropped.
+    /// The body ends when the sender is dropped.
     Stream(mpsc::Receiver<Result<Bytes, BodyAborted>>),
 }
 
-/// A body that is known whole, or whose chunks come one by one.
+/// A response body, either whole or streamed in chunks.
 #[derive(Debug)]
 pub struct ReplyBody {
     content: Content,
-    /// The request that it answers, where callers are waited for.
+    /// The request that it answers; `None` for responses that a stopping daemon does not wait for.
     active: Option<ActiveRequest>,
 }
 
 impl ReplyBody {
-    /// Makes a whole body.
+    /// Makes a body whose bytes are all known.
     pub fn whole(bytes: Bytes) -> Self {
         Self { content: Content::Whole(Full::new(bytes)), active: None }
     }
 
-    /// Makes a stream and where its chunks go.
+    /// Makes a streamed body and the sender of its chunks.
     pub fn stream() -> (ChunkSender, Self) {
-        let (sender, receiver) = mpsc::channel(CHUNKS);
+        let (sender, receiver) = mpsc::channel(CHANNEL_CHUNKS);
         (sender, Self { content: Content::Stream(receiver), active: None })
     }
 
-    /// Counts the request as in progress for as long as this body lives.
+    /// Counts the request as in progress until this body is dropped.
     pub fn attach_request(&mut self, active: ActiveRequest) {
         self.active = Some(active);
     }
--- a/lib/src/serve/call.rs
+++ b/lib/src/serve/call.rs
@@ -1,4 +1,4 @@
-//! One call with a small answer, to the store or to an engine's own interface.
+//! HTTP calls with small responses, to the platform's store or to an engine's control interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,28 +15,28 @@
 use crate::serve::call_guard::CallGuard;
 use crate::serve::pool::ConnectionPool;
 
-/// How long connections for calls stay open between them.
-const KEEP: Duration = Duration::from_secs(8);
+/// Time that an idle connection stays open after a call.
+const KEEP_ALIVE: Duration = Duration::from_secs(8);
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum CallError {
-    /// No byte of it was sent.
+    /// No byte of the request was sent.
     #[error("no connection")]
     Unsent,
-    /// It may have been carried out, now or later.
+    /// The request may have been sent and may still be carried out.
     #[error("no answer")]
     Unanswered,
 }
 
-/// Makes a call that must be answered within `limit`.
+/// Sends a request and returns the status and body of the response, which must be complete within `limit`.
 ///
-/// A connection whose call had no answer, or was dropped before, is closed: nothing more comes on it. So are
-/// the idle ones to the same address.
+/// If the call times out, fails or is dropped, its connection is closed, so that no late response can
+/// be read from it. On a timeout or a drop, idle connections to the same address are closed as well.
 ///
 /// # Errors
 ///
-/// There is no whole answer.
+/// Returns an error if no complete response was received.
 pub async fn call(
     pool: &ConnectionPool,
     peer: impl Into<ServerInstance>,
@@ -64,10 +64,10 @@
         let body = body.map_err(|_broken| CallError::Unanswered)?.to_bytes();
         Ok((status, body))
     };
-    let mut outstanding = CallGuard::new(pool, &peer);
+    let mut guard = CallGuard::new(pool, &peer);
     let answer = timeout(limit, exchange).await.map_err(|_elapsed| CallError::Unanswered)?;
-    outstanding.mark_answered();
+    guard.mark_answered();
     let answer = answer?;
-    pool.release(connection, Some(KEEP));
+    pool.release(connection, Some(KEEP_ALIVE));
     Ok(answer)
 }
--- a/lib/src/serve/call_guard.rs
+++ b/lib/src/serve/call_guard.rs
@@ -1,12 +1,12 @@
-//! A call that is out.
+//! A guard that closes idle connections when a call ends without a response.
 
 use crate::cluster::server_instance::ServerInstance;
 use crate::serve::pool::ConnectionPool;
 
-/// A call that is out. It closes the idle connections to the same address when it ends without an answer,
-/// be it that its time is over or that its caller drops it.
+/// A call in progress. If it times out or is dropped, the idle connections to the same address are closed.
 ///
-/// What lost track of one connection has often lost them all, and each would cost another time limit.
+/// A peer that lost the state of one connection has often lost all of them, and each would cost another
+/// timeout.
 #[derive(Debug)]
 pub struct CallGuard<'a> {
     pool: &'a ConnectionPool,
@@ -15,12 +15,12 @@
 }
 
 impl<'a> CallGuard<'a> {
-    /// Begins a call.
+    /// Makes the guard of a call to `peer`.
     pub fn new(pool: &'a ConnectionPool, peer: &'a ServerInstance) -> Self {
         Self { pool, peer, answered: false }
     }
 
-    /// Takes in an answer, or a failure that showed at once.
+    /// Records a response, or an error that was returned before the timeout.
     pub fn mark_answered(&mut self) {
         self.answered = true;
     }
--- a/lib/src/serve/caller_socket.rs
+++ b/lib/src/serve/caller_socket.rs
@@ -1,4 +1,4 @@
-//! A caller's socket, which tells when all answers have been written to it.
+//! A caller's socket that reports when all responses have been written.
 
 use std::io;
 use std::io::IoSlice;
@@ -17,8 +17,8 @@
 
 /// A caller's socket.
 ///
-/// The HTTP library flushes it only when it has written all that it had; what the system has taken by
-/// then reaches the caller also after this process has ended.
+/// The HTTP library flushes it only after writing everything that it had buffered. The kernel delivers
+/// what was written even after this process has exited.
 #[derive(Debug)]
 pub struct CallerSocket {
     stream: TcpStream,
@@ -26,7 +26,7 @@
 }
 
 impl CallerSocket {
-    /// Watches the answers to `requests` on their way through `stream`.
+    /// Wraps `stream`; each completed flush marks the buffered responses of `requests` as written.
     pub fn new(stream: TcpStream, requests: Rc<ActiveRequests>) -> Self {
         Self { stream, requests }
     }
