--- a/lib/src/serve/event_stream.rs
+++ b/lib/src/serve/event_stream.rs
@@ -1,4 +1,4 @@
-//! Events of one server's answer, as they come.
+//! Reading of the events in one server's response.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -11,43 +11,43 @@
 use crate::serve::send::SendFailure;
 use crate::serve::send::ServerResponse;
 
-/// Events of one server's answer.
+/// The event stream of one server's response.
 #[derive(Debug)]
 pub struct EventStream {
-    /// The answer that they come in.
+    /// The response whose body holds the events.
     pub answer: ServerResponse,
     splitter: EventSplitter,
     order: EventOrder,
-    /// The request's work at the server.
+    /// Counts the request towards the server's workload until dropped.
     pub work: WorkloadGuard,
 }
 
-/// What came next in a stream.
+/// The next item of a stream.
 #[derive(Clone, Debug)]
 pub enum StreamItem {
-    /// Whole events.
+    /// One or more complete events.
     Events(Bytes),
-    /// The end of a whole stream.
+    /// The end of a complete stream.
     End,
 }
 
 impl EventStream {
-    /// Reads events after the last one that the caller has.
+    /// Makes a reader of `answer`, whose first event must follow `last`, the last one that the caller has.
     pub fn new(answer: ServerResponse, last: Option<u64>, work: WorkloadGuard) -> Self {
         let splitter = EventSplitter::default();
         Self { answer, splitter, order: EventOrder::after(last), work }
     }
 
-    /// Returns the id of the last event.
+    /// Returns the id of the last event, or the one that reading began after; `None` before the first event.
     pub fn last_id(&self) -> Option<u64> {
         self.order.last()
     }
 
-    /// Returns the next whole events, or the end. It may be dropped and called again.
+    /// Returns the next complete events, or the end. Cancel-safe: no event is lost if the future is dropped.
     ///
     /// # Errors
     ///
-    /// The stream broke off, or its events are not those that are due.
+    /// Returns an error if the stream is cut off, or if an event is out of order or too large.
     pub async fn next(&mut self) -> Result<StreamItem, SendFailure> {
         loop {
             let mut out = BytesMut::new();
--- a/lib/src/serve/events.rs
+++ b/lib/src/serve/events.rs
@@ -1,63 +1,63 @@
-//! Server-sent events, split out of a stream's bytes and checked for order.
+//! Server-sent events: splitting a byte stream into events, and checking their order.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use thiserror::Error;
 
-/// Largest event; a backend server that sends more without an end is faulty.
-const MAX_EVENT: usize = 1024 * 1024;
+/// Largest size of an event; a backend server that sends a larger one is faulty.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Why bytes are not the stream that they should be.
+/// Why a stream of events is invalid.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum EventError {
-    /// An event's id does not follow the one before.
-    #[error("event {found} came where {expected} was due")]
+    /// An event's id does not follow the previous one.
+    #[error("expected event {expected}, found {found}")]
     Order {
-        /// The id that was due.
+        /// The id that follows the previous one.
         expected: u64,
-        /// The id that came.
+        /// The id of the received event.
         found: u64,
     },
     /// An event has no id.
     #[error("an event has no id")]
     NoId,
-    /// An event is too large.
-    #[error("an event is larger than {MAX_EVENT} bytes")]
+    /// An event exceeds `MAX_EVENT_BYTES`.
+    #[error("an event is larger than {MAX_EVENT_BYTES} bytes")]
     TooLarge,
 }
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// Its id, where it has one.
+    /// Value of the `id` field; `None` if it is missing or not a number.
     pub id: Option<u64>,
-    /// Its bytes with the empty line that ends it.
+    /// Bytes of the event, with the empty line that ends it.
     pub bytes: Bytes,
 }
 
-/// Splits bytes into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes at the start of the buffer that hold no event's end.
+    /// Number of bytes at the start of the buffer that are known not to contain the end of an event.
     scanned: usize,
 }
 
 impl EventSplitter {
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event.
+    /// Returns the next complete event; `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// The event is too large.
+    /// Returns an error if the incomplete event is too large.
     pub fn next_event(&mut self) -> Result<Option<Event>, EventError> {
         let Some(end) = self.find_end() else {
             self.scanned = self.buffer.len().saturating_sub(3);
-            return if self.buffer.len() > MAX_EVENT {
+            return if self.buffer.len() > MAX_EVENT_BYTES {
                 Err(EventError::TooLarge)
             } else {
                 Ok(None)
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns whether bytes are left that are no whole event.
+    /// Returns whether the buffer holds anything but whitespace, such as part of an event.
     pub fn has_partial(&self) -> bool {
         self.buffer.iter().any(|b| !b.is_ascii_whitespace())
     }
@@ -90,28 +90,28 @@
     std::str::from_utf8(line).ok()?.trim().parse().ok()
 }
 
-/// Checks that events follow each other without a gap or a repeat.
+/// Checks that event ids follow each other without gaps or repetitions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventOrder {
     last: Option<u64>,
 }
 
 impl EventOrder {
-    /// Starts after the last event that the caller has.
+    /// Makes a check that expects the event after `last`, the last one that the caller has.
     pub fn after(last: Option<u64>) -> Self {
         Self { last }
     }
 
-    /// Returns the last event's id.
+    /// Returns the id of the last event.
     pub fn last(self) -> Option<u64> {
         self.last
     }
 
-    /// Takes in an event.
+    /// Checks an event against the previous one, and records it.
     ///
     /// # Errors
     ///
-    /// The event is not the one that is due.
+    /// Returns an error if the event has no id or does not follow the previous one.
     pub fn check(&mut self, event: &Event) -> Result<(), EventError> {
         let id = event.id.ok_or(EventError::NoId)?;
         if let Some(last) = self.last
--- a/lib/tests/test_events.rs
+++ b/lib/tests/test_events.rs
@@ -1,4 +1,4 @@
-//! Events split out of a stream's bytes.
+//! Splitting a byte stream into events, and checking their order.
 
 use comfreymux_lib::serve::events::EventError;
 use comfreymux_lib::serve::events::EventOrder;
@@ -20,7 +20,7 @@
 proptest! {
     #![proptest_config(Config { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..Config::default() })]
 
-    /// However the network cuts the bytes, the same events come out, and nothing of a cut one.
+    /// However the network splits the bytes, the splitter returns the same events, and never a partial one.
     #[test]
     fn any_cut(sizes in cuts()) {
         let bytes = stream(20);
@@ -32,8 +32,8 @@
             let end = (at + size).min(bytes.len());
             splitter.push(&bytes[at..end]);
             at = end;
-            while let Some(event) = splitter.next_event().expect("small events") {
-                order.check(&event).expect("in order");
+            while let Some(event) = splitter.next_event().expect("event within the size limit") {
+                order.check(&event).expect("event in order");
                 out.extend_from_slice(&event.bytes);
             }
         }
@@ -43,7 +43,8 @@
     }
 }
 
-/// A caller would see a gap, a repeat, or two runs joined.
+/// An event out of order is rejected: the caller would otherwise receive a gap, a repeated event, or the output of
+/// two runs in one stream.
 #[rstest]
 #[case::gap("id: 3\n\n")]
 #[case::repeat("id: 1\n\n")]
@@ -53,9 +54,9 @@
     let mut order = EventOrder::after(Some(0));
     splitter.push(b"id: 1\n\n");
     splitter.push(next.as_bytes());
-    let first = splitter.next_event().expect("small").expect("whole");
-    order.check(&first).expect("the first is due");
-    let second = splitter.next_event().expect("small").expect("whole");
+    let first = splitter.next_event().expect("small event").expect("complete event");
+    order.check(&first).expect("the first event is in order");
+    let second = splitter.next_event().expect("small event").expect("complete event");
     assert!(order.check(&second).is_err());
     assert_eq!(order.last(), Some(1));
 }
