--- a/lib/src/serve/admission.rs
+++ b/lib/src/serve/admission.rs
@@ -1,52 +1,53 @@
-//! Whether a request goes to an engine whose places are all taken.
+//! Admission of requests to engines that have no free slot.
 //!
-//! An engine queues what it cannot run, and more of it makes everybody late: once a queue has grown longer than
-//! callers' goals, each of them is served just too late, for as long as demand stays above what the engines do. So a
-//! request joins a queue only where it is short enough for a punctual answer. Others are told at once when to come
-//! back, but for those that are late already, since they had to wait for their model: these come after all that can
-//! still be punctual.
+//! An engine queues the requests that it cannot run yet. Once the wait in the queue exceeds the latency goal, every
+//! queued request is answered just too late, for as long as demand exceeds the engines' capacity. So a request is
+//! queued only if the queue is short enough for it to meet its goal. Other requests are refused at once with a time
+//! to retry after, except those that are late already because they waited for their model: these are queued behind
+//! all requests that can still meet their goals.
 
 use std::time::Duration;
 
-/// Time of a prompt's reading, and the way to the caller, for a first event after the wait.
-const FIRST_EVENT: Duration = Duration::from_millis(200);
-/// Part of a caller's patience that an expected wait may take: the expectation may be short by a third.
-const PATIENCE_PART: f64 = 0.75;
-/// Least time after which a refused caller is asked to come back.
-const LEAST_RETRY: Duration = Duration::from_millis(200);
+/// Time from a free slot to the caller's first event: prompt processing and the network.
+const FIRST_EVENT_TIME: Duration = Duration::from_millis(200);
+/// Fraction of the time until the caller's timeout that an expected wait may take: the actual wait may be a
+/// third longer than expected.
+const TIMEOUT_FRACTION: f64 = 0.75;
+/// Shortest retry time given to a refused caller.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What a request has before it.
+/// The expected wait of a request and the time that it has left.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionInput {
-    /// Expected time in the queue of the best engine.
+    /// Expected wait in the queue of the best engine.
     pub queue_wait: Duration,
-    /// Time left for a punctual first event.
-    pub due: Duration,
-    /// Time left until the caller leaves.
-    pub patience: Duration,
+    /// Time left until the latency goal of the first event; zero if it has passed.
+    pub goal_left: Duration,
+    /// Time left until the caller times out.
+    pub timeout_left: Duration,
 }
 
-/// What becomes of it.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It is sent.
-    Now,
-    /// It is sent, to be run after those that can still be punctual.
+    /// The request is sent at its normal priority.
+    Normal,
+    /// The request is sent, to run after those that can still meet their goals.
     Late,
-    /// It is refused; a caller that comes back after this time may be served punctually.
+    /// The request is refused; a retry after this time may meet the goal.
     Refused(Duration),
 }
 
 impl AdmissionInput {
-    /// Decides.
+    /// Decides whether the request is sent, and with which priority.
     pub fn admit(self) -> Admission {
-        if self.queue_wait.is_zero() || self.queue_wait + FIRST_EVENT <= self.due {
-            return Admission::Now;
+        if self.queue_wait.is_zero() || self.queue_wait + FIRST_EVENT_TIME <= self.goal_left {
+            return Admission::Normal;
         }
-        let is_late = self.due < FIRST_EVENT;
-        if is_late && self.queue_wait <= self.patience.mul_f64(PATIENCE_PART) {
+        let is_late = self.goal_left < FIRST_EVENT_TIME;
+        if is_late && self.queue_wait <= self.timeout_left.mul_f64(TIMEOUT_FRACTION) {
             return Admission::Late;
         }
-        Admission::Refused(self.queue_wait.saturating_sub(self.due).max(LEAST_RETRY))
+        Admission::Refused(self.queue_wait.saturating_sub(self.goal_left).max(MIN_RETRY_AFTER))
     }
 }
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -1,4 +1,4 @@
-//! One request of a caller on its way: its terms, its time and what its sends came to.
+//! One attempt of a caller: the request, its deadline, and the results of its sends to servers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,80 +30,82 @@
 use crate::serve::trials::Trial;
 use crate::verdict::Verdict;
 
-/// Highest rank number that engines know.
-const LAST_PRIORITY: u8 = 9;
-/// Ranks by which a request that will be late comes after those that can still be punctual: more than there are
-/// kinds of requests.
-const LATE_RANKS: u8 = 5;
-/// A server is silent when a whole answer takes this many goals; a goal is several times the usual work.
-const SEND_GOALS: u32 = 3;
-/// A server is silent when a first event takes this part of the caller's patience: another one still has
-/// the rest of it.
-const FIRST_PART: f64 = 0.6;
+/// Largest priority number that engines accept; a larger number runs later.
+const MAX_PRIORITY: u8 = 9;
+/// Added to the priority number of a late request, so that it runs after those that can still meet their goals:
+/// more than there are kinds of requests.
+const LATE_PRIORITY_OFFSET: u8 = 5;
+/// A server counts as unresponsive if a whole response takes this many latency goals; a goal is several times the
+/// usual run time.
+const UNRESPONSIVE_GOALS: u32 = 3;
+/// A server counts as unresponsive after this fraction of the stall timeout without a first event, which leaves
+/// another server the rest.
+const FIRST_EVENT_FRACTION: f64 = 0.6;
 
-/// A request that was read whole and has a route.
+/// An attempt whose request was read whole and matched a route.
 #[derive(Debug)]
 pub struct Attempt {
     /// Method, path and headers as the caller sent them.
     pub parts: request::Parts,
-    /// The whole body.
+    /// Body of the request.
     pub body: Bytes,
-    /// What is the same in every attempt at this request.
+    /// Fingerprint of the request, the same for all its attempts.
     pub fingerprint: Fingerprint,
-    /// What the caller said beside them.
+    /// Parsed protocol headers of the caller.
     pub terms: CallerHeaders,
-    /// The configuration that was in force when it came.
+    /// Configuration in force when the request arrived.
     pub config: Rc<Configuration>,
-    /// Its route.
+    /// Route that the request matched.
     pub route: Route,
-    /// The service that it goes to.
+    /// Service that handles the request.
     pub service: ServiceName,
-    /// When it came.
+    /// Time of arrival.
     pub arrived: Moment,
-    /// When it must have its answer.
+    /// Time by which the caller must have the response.
     pub deadline: Moment,
-    /// What is known of it running, but for a send that is under way.
+    /// Whether the request has run, not counting a send in progress.
     pub verdict: Verdict,
-    /// Whether a send is under way.
+    /// Whether a send is in progress.
     pub sending: bool,
-    /// Servers that it was sent to in vain.
+    /// Servers at which a send failed or was refused.
     pub tried: Vec<ServerInstance>,
-    /// Whether it has left a silent server, which would have gone on.
+    /// Whether it failed over from an unresponsive server, which might still have answered.
     pub failed_over: bool,
-    /// Servers that may have run it.
+    /// Number of servers that may have run the request.
     pub possible_runs: u32,
-    /// Sends so far.
+    /// Number of sends so far.
     pub sends: u32,
-    /// Sends that reached a server; only further ones draw on the retry budget.
+    /// Number of failed sends that reached a server; a send after the first of them takes from the retry budget.
     pub deliveries: u32,
-    /// The server of the last send.
+    /// Server of the last send.
     pub last_server: Option<ServerInstance>,
-    /// Whether it comes after requests that can still be punctual.
+    /// Whether it runs after requests that can still meet their goals.
     pub is_late: bool,
-    /// How long the last server was expected to let it wait for a place.
+    /// Expected wait for a slot at the server of the last send.
     pub queue_wait: Duration,
-    /// What the last server's choice cost, in estimated milliseconds.
+    /// Estimated cost of the last chosen server, in milliseconds.
     pub cost: f64,
-    /// Servers that it was chosen among.
+    /// Number of servers that the last one was chosen from.
     pub candidate_count: usize,
-    /// Why the last send failed.
+    /// Reason why the last send failed.
     pub reason: &'static str,
-    /// How long it waited for a model.
+    /// Time spent waiting for a model.
     pub model_wait: Duration,
-    /// Set while it is at an engine as a suspect.
+    /// Trial of the request while it is a suspect; `None` otherwise.
     pub trial: Option<Trial>,
-    /// When it was last sent.
+    /// Time of the last send.
     pub sent_at: Moment,
-    /// When the server of the last send gave its first event.
+    /// Time of the first event from the server of the last send.
     pub first_event: Option<Moment>,
-    /// The same, until its events have gone on for a while.
+    /// Same as `first_event`, but cleared once events have been received for a while.
     pub young_since: Option<Moment>,
-    /// The longest pause between its events so far.
+    /// Longest pause between events so far.
     pub max_pause: Duration,
 }
 
 impl Attempt {
-    /// Returns what it needs of an engine, where its service has engines.
+    /// Returns the model and adapter that the request needs; `None` if its service has no engines or it names
+    /// no model.
     pub fn item(&self) -> Option<ModelTarget> {
         let service = self.config.services.get(&self.service)?;
         service.engine.as_ref()?;
@@ -114,33 +116,33 @@
         })
     }
 
-    /// Returns where its work counts at a server.
+    /// Returns the key under which the request counts towards the workload of `server`.
     pub fn workload_key(&self, server: &Server) -> WorkloadKey {
         WorkloadKey { server: server.instance(), model: self.item().map(|i| i.model) }
     }
 
-    /// Returns whether it must not run a second time.
+    /// Returns whether another send is ruled out: the request may have run, and its route allows no second run.
     pub fn must_not_retry(&self) -> bool {
         self.verdict != Verdict::DidNotRun && !self.route.is_retryable()
     }
 
-    /// Returns whether another server may still be tried, the budget aside.
+    /// Returns whether another server may be tried, not counting the retry budget.
     pub fn may_retry(&self, now: Moment) -> bool {
         now < self.deadline
             && !self.must_not_retry()
             && self.possible_runs < self.route.max_attempts
     }
 
-    /// Makes the request of a send to `server`.
+    /// Builds the request to send to `server`; a stream resumes after event `resume_after` if given.
     pub fn request(
         &self,
         daemon: &DaemonState,
         server: &Server,
         resume_after: Option<u64>,
     ) -> Request<Bytes> {
-        let behind = if self.is_late { LATE_RANKS } else { 0 };
-        let rank = self.route.priority.saturating_add(behind).min(LAST_PRIORITY);
-        let priority = self.item().map(|_| rank);
+        let offset = if self.is_late { LATE_PRIORITY_OFFSET } else { 0 };
+        let level = self.route.priority.saturating_add(offset).min(MAX_PRIORITY);
+        let priority = self.item().map(|_| level);
         let time_left = self.deadline.saturating_sub(daemon.now());
         let terms = SendHeaders { server: server.id.clone(), time_left, priority, resume_after };
         let mut request = Request::new(self.body.clone());
@@ -153,25 +155,25 @@
         request
     }
 
-    /// Returns whether it may run at another server though the one that has it now may run it too.
+    /// Returns whether the request may run at another server while the current one may also run it.
     pub fn may_fail_over(&self) -> bool {
         self.route.is_retryable() && self.possible_runs + 1 < self.route.max_attempts
     }
 
-    /// Returns how long the answer to a send is waited for before the server counts as silent.
+    /// Returns the time without a response after which a server counts as unresponsive.
     ///
-    /// A request in an engine's queue hears nothing until it has a place. With a fixed time a full engine was taken
-    /// for a dead one: its requests left it, and had their prompts read once more elsewhere.
-    pub fn silence_timeout(&self) -> Duration {
+    /// An engine sends nothing for a queued request until it has a slot. With a fixed timeout a full engine counted
+    /// as dead: its requests failed over, and other engines processed their prompts again.
+    pub fn response_timeout(&self) -> Duration {
         match self.route.kind {
             RouteKind::Streaming => {
-                self.route.stall_timeout().mul_f64(FIRST_PART) + self.queue_wait
+                self.route.stall_timeout().mul_f64(FIRST_EVENT_FRACTION) + self.queue_wait
             }
-            _ => self.route.latency_goal * SEND_GOALS,
+            _ => self.route.latency_goal * UNRESPONSIVE_GOALS,
         }
     }
 
-    /// Notes the first event of its answer.
+    /// Records the first event of the response.
     pub fn record_first_event(&mut self, daemon: &DaemonState, first: Moment) {
         self.first_event = Some(first);
         self.young_since = Some(first);
@@ -179,12 +181,12 @@
         daemon.record_passed(self, RequestProgress::FirstEvent);
     }
 
-    /// Returns the servers that it was sent to, the last one too.
+    /// Returns the tried servers and the server of the last send.
     pub fn all_tried(&self) -> Vec<ServerInstance> {
         self.tried.iter().chain(&self.last_server).cloned().collect()
     }
 
-    /// Notes that it leaves a silent server, and returns how it stood there.
+    /// Records a failover from an unresponsive server; returns the state for `cancel_failover`.
     pub fn begin_failover(&mut self, daemon: &DaemonState) -> FailoverOrigin {
         let (server, verdict, failed_over) =
             (self.last_server.clone(), self.verdict, self.failed_over);
@@ -194,7 +196,7 @@
         origin
     }
 
-    /// Takes in that the next server refused it, so that it stays with the silent one.
+    /// Records that the next server refused the request, and restores the state at the unresponsive one.
     pub fn cancel_failover(
         &mut self,
         daemon: &DaemonState,
@@ -211,7 +213,7 @@
         self.sending = true;
     }
 
-    /// Notes a send to a chosen server.
+    /// Records a send to a chosen server.
     pub fn record_send(&mut self, chosen: &ChosenServer, now: Moment) {
         self.sends += 1;
         self.sent_at = now;
@@ -224,7 +226,7 @@
         self.candidate_count = chosen.candidate_count;
     }
 
-    /// Gives the request up wherever it is; the caller is told whether it may have run.
+    /// Returns the refusal for a cancelled request; its verdict states whether the request may have run.
     pub fn give_up(&mut self, reason: &'static str, retry: Duration) -> Refusal {
         if self.sending {
             self.verdict = self.verdict.combine(Verdict::MayHaveRun);
@@ -232,7 +234,7 @@
         Refusal::failed(self.verdict, reason, retry)
     }
 
-    /// Takes in that a send failed.
+    /// Records a failed send, and what it shows about the server's health and models.
     pub fn record_failure(&mut self, daemon: &DaemonState, failure: &SendFailure) {
         self.sending = false;
         self.trial = None;
@@ -244,7 +246,7 @@
         }
         let Some(server) = self.last_server.clone() else { return };
         if failure.lacks_model {
-            self.note_lack(daemon, &server);
+            self.record_missing_model(daemon, &server);
         }
         daemon.record_health(&self.service, &server, failure.evidence);
         slog::info!(daemon.log, "send-failed"; "attempt" => self.id(), "print" => %self.fingerprint,
@@ -254,7 +256,7 @@
         self.tried.push(server);
     }
 
-    fn note_lack(&self, daemon: &DaemonState, server: &ServerInstance) {
+    fn record_missing_model(&self, daemon: &DaemonState, server: &ServerInstance) {
         let Some(item) = self.item() else { return };
         let directory = daemon.directory.borrow();
         if let Some(server) = directory.get(&server.id).filter(|s| s.born == server.born) {
@@ -266,7 +268,7 @@
         }
     }
 
-    /// Returns the caller's id of this attempt, for the log.
+    /// Returns the caller's id of this attempt for log lines, or `-` if there is none.
     pub fn id(&self) -> &str {
         self.terms.attempt.as_deref().unwrap_or("-")
     }
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request goes to.
+//! Choice of the backend server for a request, by estimated cost.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,78 +19,79 @@
 use crate::serve::near_best;
 use crate::serve::near_best::Candidate;
 
-/// Cost of another data centre, in milliseconds: the way there and back, and the bytes between data
-/// centres, which are paid for. A first token has some hundred milliseconds to spare.
-const DISTANCE: f64 = 30.0;
-/// The same for a plain service, whose answers are small and due within 100 ms.
-const PLAIN_DISTANCE: f64 = 6.0;
-/// Milliseconds that a running request adds to the steps of a batch until a first token.
-const PER_RUNNING: f64 = 0.8;
-/// Milliseconds that a request waits on the mean for a place at an engine whose places are just all taken as far
-/// as known: requests that are not known yet may fill it, the sooner the fewer places are left.
-const CROWDED: f64 = 100.0;
-/// How steeply that grows with the part of places that are taken: a sixteenth at half, a third at three
-/// quarters, as the wait in a queue with several servers does.
-const CROWDED_POWER: i32 = 4;
-/// Prompt tokens that an engine reads in a millisecond, a cautious figure.
-const PROMPT_PER_MS: f64 = 15.0;
+/// Cost of an engine in another data centre, in milliseconds: the round trip, and the traffic between data
+/// centres, which is billed. A first token has a few hundred milliseconds to spare.
+const REMOTE_CENTRE_COST_MS: f64 = 30.0;
+/// The same for a plain service, whose responses are small and due within 100 ms.
+const PLAIN_REMOTE_CENTRE_COST_MS: f64 = 6.0;
+/// Milliseconds that a running request adds to another one's first token by making batch steps longer.
+const RUNNING_COST_MS: f64 = 0.8;
+/// Mean wait in milliseconds for a slot at an engine whose slots are just all taken by known requests. Requests
+/// that this daemon does not know of yet may take the free slots, more likely the fewer are left.
+const OCCUPANCY_COST_MS: f64 = 100.0;
+/// Exponent of that cost in the fraction of taken slots: a sixteenth at half, a third at three quarters, like
+/// the wait in a queue with several servers.
+const OCCUPANCY_EXPONENT: i32 = 4;
+/// Prompt tokens that an engine processes per millisecond, a conservative estimate.
+const PROMPT_TOKENS_PER_MS: f64 = 15.0;
 /// Milliseconds that a running request adds to another one's time at a plain service.
-const PLAIN_RUNNING: f64 = 1.0;
-/// Milliseconds by which such costs may be wrong. Requests of plain services end before peers hear of them,
-/// so only this daemon's own count, and those are known at once.
-const PLAIN_SCATTER: f64 = 1.0;
-/// Milliseconds of a request at a plain service.
-const PLAIN_WORK: f64 = 15.0;
+const PLAIN_RUNNING_COST_MS: f64 = 1.0;
+/// Uncertainty of a plain service's cost, in milliseconds. Its requests end before peers receive a report of
+/// them, so only this daemon's own requests matter, and these are known at once.
+const PLAIN_COST_ERROR_MS: f64 = 1.0;
+/// Run time of a request at a plain service, in milliseconds.
+const PLAIN_RUN_MS: f64 = 15.0;
 
-/// A request waits for a turn that comes within this time, rather than ask for its model elsewhere.
-const SOON: Duration = Duration::from_millis(500);
+/// A request waits for a send permit that is granted within this time, rather than request its model at
+/// another engine.
+const MAX_PERMIT_WAIT: Duration = Duration::from_millis(500);
 
-/// What a choice looks at.
+/// The state that a choice is based on.
 #[derive(Debug)]
 pub struct Chooser<'a> {
-    /// The servers.
+    /// All known servers.
     pub directory: &'a Directory,
-    /// What engines hold.
+    /// Models and adapters that engines hold and are loading.
     pub inventories: &'a EngineInventories,
-    /// Work at the servers.
+    /// Workload of each server.
     pub workloads: &'a Workloads,
-    /// Servers to avoid.
+    /// Health of the servers: which to avoid, which are unreachable.
     pub health: &'a ServerHealth,
-    /// How long requests run.
+    /// Mean run time of requests by service.
     pub run_times: &'a RunTimes,
-    /// Turns at servers that name limits.
+    /// Send permits for rate-limited servers.
     pub turns: &'a SendPermits,
     /// This daemon's data centre.
     pub centre: &'a CentreId,
-    /// Now.
+    /// Current time.
     pub now: Moment,
-    /// Requests at an engine that peers may have begun or ended without this daemon's knowledge.
+    /// Number of requests at an engine that peers may have begun or ended since their last reports.
     pub load_uncertainty: f64,
-    /// A random number from 0 to 1, which decides among servers that are nearly as good as the best.
+    /// Random number from 0 to 1, used to choose among servers that cost nearly as little as the cheapest.
     pub random: f64,
 }
 
-/// A chosen server and what decided.
+/// A chosen server and the estimates for it.
 #[derive(Clone, Debug)]
 pub struct ChosenServer {
-    /// The server.
+    /// The chosen server.
     pub server: Rc<Server>,
-    /// Its estimated cost in milliseconds.
+    /// Estimated cost in milliseconds.
     pub cost: f64,
-    /// Servers that it was chosen among.
+    /// Number of servers that it was chosen from.
     pub candidate_count: usize,
-    /// How long a request is expected to wait there for a place.
+    /// Expected wait for a slot there; zero unless `choose_engine` chose the server.
     pub queue_wait: Duration,
 }
 
-/// What there is for a request to an engine.
+/// Result of the choice of an engine.
 #[derive(Clone, Debug)]
 pub enum EngineChoice {
-    /// A server.
+    /// An engine that holds the model and adapter.
     Server(ChosenServer),
-    /// No engine holds the model or adapter, or only such as cannot be used.
+    /// No usable engine holds the model and adapter.
     NotLoaded,
-    /// The service has no server at all.
+    /// The service has no server.
     NoServer,
 }
 
@@ -98,43 +99,49 @@
     /// Chooses a server of a plain service, other than those in `tried`.
     pub fn choose_plain(&self, service: &str, tried: &[ServerInstance]) -> Option<ChosenServer> {
         let cost = |s: &Server, w| self.plain_cost(s, w);
-        self.choose(service, tried, |_| true, cost, PLAIN_SCATTER)
+        self.choose(service, tried, |_| true, cost, PLAIN_COST_ERROR_MS)
     }
 
     fn plain_cost(&self, server: &Server, work: Workload) -> f64 {
-        let over = (work.running + 1).saturating_sub(server.slots);
-        f64::from(work.running) * PLAIN_RUNNING
-            + f64::from(over) * PLAIN_WORK
-            + self.distance(server, PLAIN_DISTANCE)
+        let excess = (work.running + 1).saturating_sub(server.slots);
+        f64::from(work.running) * PLAIN_RUNNING_COST_MS
+            + f64::from(excess) * PLAIN_RUN_MS
+            + self.centre_cost(server, PLAIN_REMOTE_CENTRE_COST_MS)
     }
 
     fn engine_cost(&self, server: &Server, work: Workload) -> f64 {
-        let filled = f64::from(work.running) / f64::from(server.slots.max(1));
-        // Prompts of queued requests are read when these have a place.
-        let placed = (1.0 / filled).min(1.0);
-        f64::from(work.running.min(server.slots)) * PER_RUNNING
-            + f64::from(work.prompt_tokens) * placed / PROMPT_PER_MS
-            + CROWDED * filled.min(1.0).powi(CROWDED_POWER)
+        let occupancy = f64::from(work.running) / f64::from(server.slots.max(1));
+        // The prompt of a queued request is processed once it has a slot.
+        let running_share = (1.0 / occupancy).min(1.0);
+        f64::from(work.running.min(server.slots)) * RUNNING_COST_MS
+            + f64::from(work.prompt_tokens) * running_share / PROMPT_TOKENS_PER_MS
+            + OCCUPANCY_COST_MS * occupancy.min(1.0).powi(OCCUPANCY_EXPONENT)
             + self.queue_wait(server, work).as_secs_f64() * 1000.0
-            + self.distance(server, DISTANCE)
+            + self.centre_cost(server, REMOTE_CENTRE_COST_MS)
     }
 
-    /// Returns how long a request waits for a place at an engine: its places come free one after the other.
+    /// Returns the expected wait for a slot at an engine, whose slots become free one after the other.
     fn queue_wait(&self, server: &Server, work: Workload) -> Duration {
-        let before = (work.running + 1).saturating_sub(server.slots);
-        self.run_times.mean(&server.service) * before / server.slots.max(1)
+        let ahead = (work.running + 1).saturating_sub(server.slots);
+        self.run_times.mean(&server.service) * ahead / server.slots.max(1)
     }
 
     /// Chooses an engine that holds what `item` names.
     pub fn choose_engine(&self, item: &ModelTarget, tried: &[ServerInstance]) -> EngineChoice {
-        // An engine that cannot be reached serves nobody, though its entry may stand for seconds: the
-        // request waits, and the model is loaded elsewhere.
+        // The directory may list an unreachable engine for seconds, but it can serve no request: the request
+        // waits, and the model is loaded at another engine.
         let holds = |s: &Server| {
             !self.health.is_unreachable(&s.instance(), self.now)
                 && self.inventories.holds(s, &item.model, item.adapter.as_deref())
         };
         let cost = |s: &Server, w| self.engine_cost(s, w);
-        match self.choose(&item.service, tried, holds, cost, self.load_uncertainty * PER_RUNNING) {
+        match self.choose(
+            &item.service,
+            tried,
+            holds,
+            cost,
+            self.load_uncertainty * RUNNING_COST_MS,
+        ) {
             Some(chosen) => {
                 let work = self.workloads.at(&chosen.server.instance(), self.now);
                 let queue_wait = self.queue_wait(&chosen.server, work);
@@ -147,15 +154,15 @@
         }
     }
 
-    /// Chooses a server that can take a request at once: sound, with a place free, and holding what
-    /// `item` names where its service has engines.
+    /// Chooses a server that can take a request at once: healthy, with a free slot, and with the model and
+    /// adapter of `item` loaded if given.
     pub fn choose_available(
         &self,
         service: &str,
         item: Option<&ModelTarget>,
         tried: &[ServerInstance],
     ) -> Option<ChosenServer> {
-        let fits = |s: &Server| {
+        let is_available = |s: &Server| {
             let holds = |i: &ModelTarget| self.inventories.holds(s, &i.model, i.adapter.as_deref());
             !self.health.is_avoided(&s.instance(), self.now)
                 && item.is_none_or(holds)
@@ -163,72 +170,80 @@
         };
         if item.is_some() {
             let cost = |s: &Server, w| self.engine_cost(s, w);
-            return self.choose(service, tried, fits, cost, self.load_uncertainty * PER_RUNNING);
+            return self.choose(
+                service,
+                tried,
+                is_available,
+                cost,
+                self.load_uncertainty * RUNNING_COST_MS,
+            );
         }
         let cost = |s: &Server, w| self.plain_cost(s, w);
-        self.choose(service, tried, fits, cost, PLAIN_SCATTER)
+        self.choose(service, tried, is_available, cost, PLAIN_COST_ERROR_MS)
     }
 
-    /// Returns whether a model is held by an engine, or its weights lie on the host of one.
+    /// Returns whether a usable engine holds the model or its host has a local copy of the weights.
     ///
-    /// Where no engine of the service tells of copies, every model may have some.
+    /// If no engine of the service reports local copies, any model may have one, so returns true.
     pub fn has_copy(&self, item: &ModelTarget) -> bool {
         let engines = self.directory.all_servers().filter(|s| s.service == item.service);
-        let mut tells = false;
+        let mut reports_copies = false;
         for server in engines {
             let copies = &server.copies;
-            tells |= !copies.disk.is_empty() || !copies.memory.is_empty();
+            reports_copies |= !copies.disk.is_empty() || !copies.memory.is_empty();
             let is_usable =
                 !server.leaving && !self.health.is_unreachable(&server.instance(), self.now);
-            let is_near = copies.disk.contains(&item.model)
+            let has_weights = copies.disk.contains(&item.model)
                 || copies.memory.contains(&item.model)
                 || self.inventories.holds(server, &item.model, None);
-            if is_usable && is_near {
+            if is_usable && has_weights {
                 return true;
             }
         }
-        !tells
+        !reports_copies
     }
 
-    /// Returns the engines of a service that cannot be reached from here.
+    /// Returns the servers of a service that are unreachable from this daemon.
     pub fn unreachable_servers(&self, service: &str) -> Vec<ServerInstance> {
-        let is_dark = |s: &&Rc<Server>| {
+        let unreachable = |s: &&Rc<Server>| {
             s.service == service && self.health.is_unreachable(&s.instance(), self.now)
         };
-        self.directory.servers().filter(is_dark).map(|s| s.instance()).collect()
+        self.directory.servers().filter(unreachable).map(|s| s.instance()).collect()
     }
 
-    fn distance(&self, server: &Server, cost: f64) -> f64 {
+    fn centre_cost(&self, server: &Server, cost: f64) -> f64 {
         if server.centre == *self.centre { 0.0 } else { cost }
     }
 
-    /// Returns when a request may be sent to a server that named a limit.
-    fn turn(&self, server: &Server) -> Option<&SendPermit> {
+    /// Returns the send permit for a server; `None` if it has no rate limit.
+    fn permit(&self, server: &Server) -> Option<&SendPermit> {
         if self.turns.is_empty() { None } else { self.turns.get(&server.instance()) }
     }
 
-    /// Leaves limited servers out while another one has a free place: their turns are for requests that have no
-    /// other server. One that is due gets a request all the same.
-    fn unlimited_first<'s>(&self, list: Vec<&'s Rc<Server>>) -> Vec<&'s Rc<Server>> {
-        let is_open = |s: &&Rc<Server>| self.turn(s).is_none_or(|turn| turn.probe_due);
-        let has_place =
+    /// Drops rate-limited servers from `list` if another one has a free slot: their permits are kept for requests
+    /// that have no other server. A server whose probe is due stays, since only a request shows whether its limit
+    /// still holds.
+    fn prefer_unlimited<'s>(&self, list: Vec<&'s Rc<Server>>) -> Vec<&'s Rc<Server>> {
+        let is_open = |s: &&Rc<Server>| self.permit(s).is_none_or(|permit| permit.probe_due);
+        let has_free_slot =
             |s: &Rc<Server>| self.workloads.at(&s.instance(), self.now).running < s.slots;
-        if self.turns.is_empty() || !list.iter().any(|s| is_open(s) && has_place(s)) {
+        if self.turns.is_empty() || !list.iter().any(|s| is_open(s) && has_free_slot(s)) {
             return list;
         }
         list.into_iter().filter(is_open).collect()
     }
 
-    /// Returns the limited servers of a service whose turn does not come soon.
+    /// Returns the rate-limited servers of a service whose send permits are not granted within `MAX_PERMIT_WAIT`.
     pub fn rate_limited(&self, service: &str) -> Vec<ServerInstance> {
-        let is_late = |turn: &SendPermit| turn.wait.is_none_or(|wait| wait > SOON);
+        let is_late = |permit: &SendPermit| permit.wait.is_none_or(|wait| wait > MAX_PERMIT_WAIT);
         let servers = self.directory.servers().filter(|s| s.service == service);
-        servers.filter(|s| self.turn(s).is_some_and(is_late)).map(|s| s.instance()).collect()
+        servers.filter(|s| self.permit(s).is_some_and(is_late)).map(|s| s.instance()).collect()
     }
 
-    /// Returns when a limited server can be sent a request that has no other server: an engine that holds what `item`
-    /// names, where one is given. None where another one is in reach, or there is none at all.
-    pub fn next_turn(&self, service: &str, item: Option<&ModelTarget>) -> Option<SendPermit> {
+    /// Returns the earliest send permit for a request that only rate-limited servers can take; with `item`, only
+    /// engines that hold its model and adapter count. `None` if a usable server has no rate limit, or if no server is
+    /// usable.
+    pub fn next_permit(&self, service: &str, item: Option<&ModelTarget>) -> Option<SendPermit> {
         let holds = |s: &Server| {
             item.is_none_or(|i| self.inventories.holds(s, &i.model, i.adapter.as_deref()))
         };
@@ -238,42 +253,42 @@
                 && !self.health.is_unreachable(&s.instance(), self.now)
         };
         let servers = self.directory.servers().filter(|s| is_usable(s) && holds(s));
-        let turns: Option<Vec<SendPermit>> = servers.map(|s| self.turn(s).copied()).collect();
-        turns?.into_iter().min_by_key(|turn| turn.wait.unwrap_or(Duration::MAX))
+        let permits: Option<Vec<SendPermit>> = servers.map(|s| self.permit(s).copied()).collect();
+        permits?.into_iter().min_by_key(|permit| permit.wait.unwrap_or(Duration::MAX))
     }
 
-    /// One of the cheapest sound servers; avoided ones only where there is no other. Costs may be wrong
-    /// by `scatter` milliseconds.
+    /// Chooses one of the cheapest healthy servers, or of the avoided ones if no other is left. Costs may be
+    /// wrong by `cost_error` milliseconds.
     fn choose(
         &self,
         service: &str,
         tried: &[ServerInstance],
-        fits: impl Fn(&Server) -> bool,
+        is_suitable: impl Fn(&Server) -> bool,
         cost: impl Fn(&Server, Workload) -> f64,
-        scatter: f64,
+        cost_error: f64,
     ) -> Option<ChosenServer> {
-        let open: Vec<&Rc<Server>> = self
+        let usable: Vec<&Rc<Server>> = self
             .directory
             .servers()
             .filter(|s| {
                 s.service == service
                     && !s.leaving
                     && !tried.contains(&s.instance())
-                    && self.turn(s).is_none_or(SendPermit::is_granted)
-                    && fits(s)
+                    && self.permit(s).is_none_or(SendPermit::is_granted)
+                    && is_suitable(s)
             })
             .collect();
-        let is_sound = |s: &&&Rc<Server>| !self.health.is_avoided(&s.instance(), self.now);
-        let sound: Vec<&Rc<Server>> = open.iter().filter(is_sound).copied().collect();
-        let list = self.unlimited_first(if sound.is_empty() { open } else { sound });
+        let is_healthy = |s: &&&Rc<Server>| !self.health.is_avoided(&s.instance(), self.now);
+        let healthy: Vec<&Rc<Server>> = usable.iter().filter(is_healthy).copied().collect();
+        let list = self.prefer_unlimited(if healthy.is_empty() { usable } else { healthy });
         let candidate = |s: &&Rc<Server>| {
             let work = self.workloads.at(&s.instance(), self.now);
             Candidate { cost: cost(s, work), free_slots: s.slots.saturating_sub(work.running) }
         };
         let candidates: Vec<Candidate> = list.iter().map(candidate).collect();
-        let place = near_best::pick(&candidates, scatter, self.random)?;
-        let server = Rc::clone(list[place]);
-        let (cost, candidate_count) = (candidates[place].cost, list.len());
+        let index = near_best::pick(&candidates, cost_error, self.random)?;
+        let server = Rc::clone(list[index]);
+        let (cost, candidate_count) = (candidates[index].cost, list.len());
         Some(ChosenServer { server, cost, candidate_count, queue_wait: Duration::ZERO })
     }
 }
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -1,4 +1,4 @@
-//! Requests with one whole answer.
+//! Requests with a single, complete response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,18 +21,18 @@
 use crate::serve::suspects;
 use crate::verdict::Verdict;
 
-/// Largest answer that is read whole before it is passed on.
-const ANSWER_LIMIT: usize = 8 * 1024 * 1024;
-/// When a caller should come back after all servers were full.
-const FULL: Duration = Duration::from_millis(300);
-/// Pause before servers that were all full are asked again.
-const FULL_PAUSE: Duration = Duration::from_millis(20);
+/// Largest response; it is read whole before it is sent to the caller.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+/// Retry time given to a caller when all servers are full.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Delay before the request is sent again to servers that were all full.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Sends a request until it has its answer or none can be had.
+/// Sends a request, with retries and failover, until there is a response or no further send is allowed.
 ///
 /// # Errors
 ///
-/// Returns the answer of our own that the caller gets.
+/// Returns the refusal to send to the caller.
 pub async fn run(
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
@@ -40,43 +40,47 @@
     loop {
         let now = daemon.now();
         if now >= attempt.deadline {
-            return Err(Refusal::timeout(attempt.verdict, "out of time", FULL));
+            return Err(Refusal::timeout(attempt.verdict, "out of time", FULL_RETRY_AFTER));
         }
         if let Some(refusal) = daemon.quarantine_refusal(attempt) {
             return Err(refusal);
         }
         let Some(chosen) = choose(daemon, attempt) else {
-            let turn =
-                daemon.with_chooser(|c| c.next_turn(&attempt.service, attempt.item().as_ref()));
-            if let Some(turn) = turn.filter(|_| !attempt.must_not_retry()) {
-                let left = (attempt.arrived + attempt.route.latency_goal).saturating_sub(now);
-                if let Some(retry) = retry_after(turn, left) {
+            let permit =
+                daemon.with_chooser(|c| c.next_permit(&attempt.service, attempt.item().as_ref()));
+            if let Some(permit) = permit.filter(|_| !attempt.must_not_retry()) {
+                let goal_left = (attempt.arrived + attempt.route.latency_goal).saturating_sub(now);
+                if let Some(retry) = retry_after(permit, goal_left) {
                     return Err(Refusal::failed(attempt.verdict, RATE_LIMITED, retry));
                 }
-                tokio::time::sleep(FULL_PAUSE).await;
+                tokio::time::sleep(FULL_RETRY_DELAY).await;
                 continue;
             }
             if attempt.tried.is_empty() {
-                return Err(Refusal::failed(attempt.verdict, "no server", FULL));
+                return Err(Refusal::failed(attempt.verdict, "no server", FULL_RETRY_AFTER));
             }
             if attempt.must_not_retry() || attempt.verdict != Verdict::DidNotRun {
-                return Err(Refusal::failed(attempt.verdict, attempt.reason, FULL));
+                return Err(Refusal::failed(attempt.verdict, attempt.reason, FULL_RETRY_AFTER));
             }
-            // Each server refused it: they are asked once more after a pause, within the goal.
+            // Every server refused it. They are tried again after a delay, until the latency goal.
             if now > attempt.arrived + attempt.route.latency_goal {
-                return Err(Refusal::not_run("all servers are full", FULL));
+                return Err(Refusal::not_run("all servers are full", FULL_RETRY_AFTER));
             }
-            tokio::time::sleep(FULL_PAUSE).await;
+            tokio::time::sleep(FULL_RETRY_DELAY).await;
             attempt.tried.clear();
             continue;
         };
         if attempt.deliveries > 0 && !daemon.take_retry(&attempt.service) {
-            return Err(Refusal::failed(attempt.verdict, "the retry budget is spent", FULL));
+            return Err(Refusal::failed(
+                attempt.verdict,
+                "the retry budget is spent",
+                FULL_RETRY_AFTER,
+            ));
         }
         let sent = send_once(daemon, attempt, &chosen);
         match await_with_failover(daemon, attempt, sent, send_once).await {
             Ok((head, body)) => {
-                if is_retried(daemon, attempt, &head) {
+                if should_retry(daemon, attempt, &head) {
                     continue;
                 }
                 daemon.metrics.record_first_byte(daemon.now().saturating_sub(attempt.arrived));
@@ -87,9 +91,9 @@
                 suspects::check_for_crash(daemon, attempt, &failure).await;
                 if !attempt.may_retry(daemon.now()) {
                     let refusal = if daemon.now() >= attempt.deadline {
-                        Refusal::timeout(attempt.verdict, attempt.reason, FULL)
+                        Refusal::timeout(attempt.verdict, attempt.reason, FULL_RETRY_AFTER)
                     } else {
-                        Refusal::failed(attempt.verdict, attempt.reason, FULL)
+                        Refusal::failed(attempt.verdict, attempt.reason, FULL_RETRY_AFTER)
                     };
                     return Err(refusal);
                 }
@@ -108,9 +112,9 @@
     }
 }
 
-/// Whether a failure of the server's own is worth another server: only where the request may run
-/// again and both limits allow it.
-fn is_retried(daemon: &DaemonState, attempt: &mut Attempt, head: &response::Parts) -> bool {
+/// Returns whether to try another server after a server error. This requires an idempotent route, attempts left,
+/// another usable server and a retry budget. Also records the server's health.
+fn should_retry(daemon: &DaemonState, attempt: &mut Attempt, head: &response::Parts) -> bool {
     let failed = head.status.is_server_error();
     let Some(server) = attempt.last_server.clone() else { return false };
     let evidence = if failed { Evidence::Failed } else { Evidence::Sound };
@@ -123,12 +127,13 @@
     attempt.verdict = Verdict::Ran;
     attempt.sending = false;
     attempt.tried.push(server);
-    let is_open = attempt.may_retry(daemon.now()) && choose(daemon, attempt).is_some();
-    // The next round takes the repeat out of the budget; a server's own answer is better than ours.
-    is_open && daemon.has_retry(&attempt.service)
+    let can_retry = attempt.may_retry(daemon.now()) && choose(daemon, attempt).is_some();
+    // The retry is taken from the budget when it is sent. Without a budget the caller receives the server's own
+    // error, which is better than a refusal.
+    can_retry && daemon.has_retry(&attempt.service)
 }
 
-/// Sends the request; the answer is read whole.
+/// Starts a send; its future returns the complete response.
 fn send_once(
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
@@ -143,7 +148,7 @@
     let daemon = Rc::clone(daemon);
     Box::pin(async move {
         let _work = work;
-        let answer = send::send(&daemon, &server, id.as_ref(), request).await?;
-        send::read_whole(&daemon.pool, answer, ANSWER_LIMIT).await
+        let response = send::send(&daemon, &server, id.as_ref(), request).await?;
+        send::read_whole(&daemon.pool, response, MAX_RESPONSE_BYTES).await
     })
 }
--- a/lib/src/serve/exchange_stream.rs
+++ b/lib/src/serve/exchange_stream.rs
@@ -1,4 +1,4 @@
-//! Requests answered by a stream of events, which may go on at another server.
+//! Requests whose response is an event stream, which may be resumed at another server.
 
 use std::rc::Rc;
 
@@ -27,36 +27,36 @@
 use crate::serve::send::SendFailure;
 use crate::serve::suspects;
 
-/// Largest answer other than a stream.
-const ANSWER_LIMIT: usize = 8 * 1024 * 1024;
+/// Largest response other than a stream.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// A stream whose first events have come.
+/// A stream whose first events were received.
 #[derive(Debug)]
 pub struct StartedStream {
-    /// Status and headers.
+    /// Status and headers of the response.
     pub head: response::Parts,
-    /// The events to come.
+    /// Reader of the further events.
     pub stream: EventStream,
-    /// The events that have come.
+    /// Events received so far; may be empty if the stream was resumed.
     pub first_events: Bytes,
-    /// When they came.
+    /// Time at which the first events were received.
     pub first_event: Moment,
 }
 
-/// What a send to an engine came to.
+/// Response to a send to an engine.
 #[derive(Debug)]
 pub enum OpenOutcome {
-    /// A stream.
+    /// A started event stream.
     Stream(Box<StartedStream>),
-    /// Another answer, whole.
+    /// Another response, read whole.
     Whole(response::Parts, Bytes),
 }
 
-/// Finds a server that begins to answer.
+/// Sends the request, with retries and failover, until a server begins a stream or returns another final response.
 ///
 /// # Errors
 ///
-/// Returns the answer of our own that the caller gets.
+/// Returns the refusal to send to the caller.
 pub async fn open_stream(
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
@@ -72,7 +72,7 @@
             ));
         }
         let sent = start_stream(daemon, attempt, &chosen, resume);
-        match await_with_failover(daemon, attempt, sent, |e, a, c| start_stream(e, a, c, resume))
+        match await_with_failover(daemon, attempt, sent, |d, a, c| start_stream(d, a, c, resume))
             .await
         {
             Ok(OpenOutcome::Whole(head, body)) => {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Sends the request; the answer is read until the first event.
+/// Starts a send; its future returns once the first event, or another response as a whole, was received.
 pub fn start_stream(
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
@@ -126,16 +126,16 @@
     let id = attempt.terms.attempt.clone();
     let daemon = Rc::clone(daemon);
     Box::pin(async move {
-        let answer = send::send(&daemon, &server, id.as_ref(), request).await?;
-        if answer.head.status != StatusCode::OK {
-            let (head, body) = send::read_whole(&daemon.pool, answer, ANSWER_LIMIT).await?;
+        let response = send::send(&daemon, &server, id.as_ref(), request).await?;
+        if response.head.status != StatusCode::OK {
+            let (head, body) = send::read_whole(&daemon.pool, response, MAX_RESPONSE_BYTES).await?;
             return Ok(OpenOutcome::Whole(head, body));
         }
-        let head = answer.head.clone();
-        let mut stream = EventStream::new(answer, resume, work);
+        let head = response.head.clone();
+        let mut stream = EventStream::new(response, resume, work);
         let first_events = match stream.next().await? {
             StreamItem::Events(events) => events,
-            // Nothing may be left of a stream that its caller takes up again.
+            // A caller may resume a stream after its last event, so an empty rest is valid.
             StreamItem::End if resume.is_some() => Bytes::new(),
             StreamItem::End => {
                 return Err(SendFailure::disconnected(
@@ -154,7 +154,7 @@
     })
 }
 
-/// Begins the answer to the caller and leaves the rest to a task.
+/// Returns the response to the caller and spawns a task that relays the events to its body.
 pub fn spawn_relay(
     daemon: &Rc<DaemonState>,
     attempt: Attempt,
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -1,4 +1,4 @@
-//! Silence of a server: the request leaves it only for another server that takes it.
+//! Failover from an unresponsive server: the request is moved only once another server accepts it.
 
 use std::future::pending;
 use std::future::ready;
@@ -21,34 +21,35 @@
 use crate::serve::send::SendFailure;
 use crate::verdict::Verdict;
 
-/// Time between looks for another server, where nothing is told meanwhile: some steps of a batch, after
-/// which a full server may have a free place.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Longest time between checks for another server, if no change of inventories is reported: a few batch steps,
+/// after which a full server may have a free slot.
+const SERVER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time in which a server that refuses a request says so: some steps of a busy host's event loop. A request
-/// may be at two servers for 400 ms at most.
-const OFFER_TIME: Duration = Duration::from_millis(150);
+/// Time within which a server returns a refusal: a few iterations of a busy host's event loop. A request may
+/// be at two servers for at most 400 ms.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A send that is under way, with its connection.
+/// A send in progress; dropping it closes its connection.
 pub type SendFuture<T> = Pin<Box<dyn Future<Output = Result<T, SendFailure>>>>;
 
-/// What a wait for a server's answer came to.
+/// Result of a wait for a server's response.
 #[derive(Debug)]
 pub enum WaitOutcome<T> {
-    /// The server answered, or broke off.
+    /// The server responded, or the send failed.
     Answer(T),
-    /// The server is silent, and this one can take the request: its repeat is taken out of the budget,
-    /// and a connection to it is open.
+    /// The server is unresponsive, and this other one can take the request: the retry is taken from the
+    /// budget, and a connection is open.
     FailOver(ChosenServer),
     /// The deadline has passed.
     OutOfTime,
 }
 
-/// Waits for the answer to a send, and goes on at other servers where one is silent; `begin` sends anew.
+/// Waits for the response to a send, and fails over to other servers if one is unresponsive. `begin` starts
+/// a send to another server.
 ///
 /// # Errors
 ///
-/// There is no usable answer.
+/// Returns an error if the last send failed or the deadline has passed.
 pub async fn await_with_failover<T: 'static>(
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
@@ -57,24 +58,24 @@
 ) -> Result<T, SendFailure> {
     let mut current = sent;
     loop {
-        match wait_answer(daemon, attempt, attempt.silence_timeout(), &mut current).await {
-            WaitOutcome::Answer(answer) => return answer,
+        match wait_answer(daemon, attempt, attempt.response_timeout(), &mut current).await {
+            WaitOutcome::Answer(response) => return response,
             WaitOutcome::OutOfTime => return Err(SendFailure::may_have_run("no answer in time")),
             WaitOutcome::FailOver(next) => {
-                if let Some(taken) = try_failover(daemon, attempt, &next, &begin).await {
-                    current = taken;
+                if let Some(new_send) = try_failover(daemon, attempt, &next, &begin).await {
+                    current = new_send;
                 }
             }
         }
     }
 }
 
-/// Offers a request to another server while the silent one still has it. Returns the send there, for which
-/// the silent one must be let go at once; nothing where the other one refused.
+/// Sends a request to another server while it is still at the unresponsive one. Returns the new send, and the
+/// caller must then cancel the old one at once. Returns `None` if the other server refused.
 ///
-/// What is known of another server's free places is up to seconds old in a large fleet. When the silent one
-/// was let go first, a refusal left the request nowhere, and its answer was cut or replaced by a failure. A
-/// refusal comes at once, so the silent one is kept until then.
+/// In a large fleet, information on another server's free slots may be seconds old. When the old send was
+/// cancelled first, a refusal left the request at no server, and its response was cut off or replaced by a
+/// failure. A refusal is returned within `REFUSAL_TIMEOUT`, so the old send is kept until then.
 pub async fn try_failover<T: 'static>(
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
@@ -82,74 +83,76 @@
     begin: impl Fn(&Rc<DaemonState>, &mut Attempt, &ChosenServer) -> SendFuture<T>,
 ) -> Option<SendFuture<T>> {
     let origin = attempt.begin_failover(daemon);
-    let mut offered = begin(daemon, attempt, next);
-    match timeout(OFFER_TIME, &mut offered).await {
+    let mut new_send = begin(daemon, attempt, next);
+    match timeout(REFUSAL_TIMEOUT, &mut new_send).await {
         Ok(Err(failure)) if failure.verdict == Verdict::DidNotRun => {
             attempt.cancel_failover(daemon, &failure, origin);
             None
         }
         Ok(ended) => Some(Box::pin(ready(ended))),
-        Err(_elapsed) => Some(offered),
+        Err(_elapsed) => Some(new_send),
     }
 }
 
-/// Waits for `answer` of the server of the last send.
+/// Waits for `response`, the whole or the next part of a response from the server of the last send.
 ///
-/// A server that is silent for `patience` is left when, and only when, the request can go on elsewhere.
-/// Given up for nothing, it cut answers that were coming: the caller saw a broken stream or a failure, and
-/// the server's log a run that would have ended well. So attempts, budget, place and connection come first.
+/// A server that is unresponsive for `response_timeout` is abandoned only once the request can continue at
+/// another one. Cancelling earlier cut off responses that were still in progress: the caller received a broken
+/// stream or a failure, though the run would have succeeded. So attempts, retry budget, a free slot and a
+/// connection are checked first.
 pub async fn wait_answer<T>(
     daemon: &Rc<DaemonState>,
     attempt: &Attempt,
-    patience: Duration,
-    answer: impl Future<Output = T>,
+    response_timeout: Duration,
+    response: impl Future<Output = T>,
 ) -> WaitOutcome<T> {
     let left = attempt.deadline.saturating_sub(daemon.now());
     tokio::select! {
         biased;
-        answer = answer => WaitOutcome::Answer(answer),
+        response = response => WaitOutcome::Answer(response),
         () = sleep(left) => WaitOutcome::OutOfTime,
-        chosen = elsewhere(daemon, attempt, patience) => WaitOutcome::FailOver(chosen),
+        chosen = wait_for_other_server(daemon, attempt, response_timeout) =>
+            WaitOutcome::FailOver(chosen),
     }
 }
 
-/// Returns once the request can go on at another server; never, where it may not.
-async fn elsewhere(
+/// Returns once the request can continue at another server; never returns if its route or attempts do not allow it.
+async fn wait_for_other_server(
     daemon: &Rc<DaemonState>,
     attempt: &Attempt,
-    patience: Duration,
+    response_timeout: Duration,
 ) -> ChosenServer {
     if !attempt.route.is_retryable() {
         return pending().await;
     }
-    sleep(patience).await;
+    sleep(response_timeout).await;
     if !attempt.may_fail_over() {
-        note(daemon, attempt);
+        record_unresponsive(daemon, attempt);
         return pending().await;
     }
     let mut guard = None;
-    let until = daemon.now() + RESUME_TIMEOUT;
-    let mut is_noted = false;
+    let request_until = daemon.now() + RESUME_TIMEOUT;
+    let mut is_recorded = false;
     loop {
         let changed = daemon.model_waits.inventories_changed.notified();
-        if let Some(chosen) = able(daemon, attempt).await {
+        if let Some(chosen) = reserve_server(daemon, attempt).await {
             return chosen;
         }
-        if !is_noted {
-            note(daemon, attempt);
-            is_noted = true;
+        if !is_recorded {
+            record_unresponsive(daemon, attempt);
+            is_recorded = true;
         }
-        if daemon.now() < until {
-            guard = guard.or_else(|| want(daemon, attempt, until));
+        if daemon.now() < request_until {
+            guard = guard.or_else(|| request_model(daemon, attempt, request_until));
         } else {
             guard = None;
         }
-        let _notified = timeout(LOOK_EVERY, changed).await;
+        let _notified = timeout(SERVER_CHECK_INTERVAL, changed).await;
     }
 }
 
-/// Returns another server that can take the request now, its repeat taken out of the budget.
-async fn able(daemon: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
+/// Returns another server that can take the request now, after taking the retry from the budget.
+async fn reserve_server(daemon: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
     if daemon.is_quarantined(&attempt.fingerprint) || !daemon.has_retry(&attempt.service) {
         return None;
     }
@@ -162,20 +165,22 @@
         daemon.record_health(&attempt.service, &server.instance(), Evidence::Unreachable);
         return None;
     }
-    // Nothing is awaited from here until the caller of `wait_answer` has the server.
+    // There is no await from here until the caller of `wait_answer` has the server: a future dropped in between
+    // would lose the retry taken from the budget.
     daemon.take_retry(&attempt.service).then_some(chosen)
 }
 
-/// Tells of a silent server that cannot be left yet, and lets other requests avoid it.
-fn note(daemon: &DaemonState, attempt: &Attempt) {
+/// Logs an unresponsive server that the request has to stay at for now, and marks it as failed so that other
+/// requests avoid it.
+fn record_unresponsive(daemon: &DaemonState, attempt: &Attempt) {
     let Some(server) = &attempt.last_server else { return };
     slog::info!(daemon.log, "server-silent"; "attempt" => attempt.id(), "server" => %server,
         "ms" => daemon.now().saturating_sub(attempt.arrived).as_millis());
     daemon.record_health(&attempt.service, server, Evidence::Failed);
 }
 
-/// Asks for the model at another engine, where no other holds it.
-fn want(daemon: &DaemonState, attempt: &Attempt, until: Moment) -> Option<WaitGuard> {
+/// Requests a load of the model at another engine, if no other usable engine holds it.
+fn request_model(daemon: &DaemonState, attempt: &Attempt, until: Moment) -> Option<WaitGuard> {
     let item = attempt.item()?;
     let tried = attempt.all_tried();
     if matches!(daemon.with_chooser(|c| c.choose_engine(&item, &tried)), EngineChoice::Server(_)) {
--- a/lib/src/serve/failover_origin.rs
+++ b/lib/src/serve/failover_origin.rs
@@ -1,15 +1,15 @@
-//! How a request stands at a server that it leaves.
+//! State of a request before a failover.
 
 use crate::cluster::server_instance::ServerInstance;
 use crate::verdict::Verdict;
 
-/// How a request stands at a silent server that it leaves, in case the next one refuses it.
+/// State of a request at an unresponsive server, restored if the next server refuses the request.
 #[derive(Clone, Debug)]
 pub struct FailoverOrigin {
-    /// The server.
+    /// The unresponsive server.
     pub server: Option<ServerInstance>,
-    /// What was known of the request running elsewhere before.
+    /// Whether the request had run, not counting the send to this server.
     pub verdict: Verdict,
-    /// Whether it had left another silent server before.
+    /// Whether it had failed over before.
     pub failed_over: bool,
 }
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -1,4 +1,4 @@
-//! The server for a stream, and the wait for a model that none holds yet.
+//! Finds a server for a request, waiting for the model to be loaded if no engine holds it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,24 +24,26 @@
 use crate::serve::suspects::QUARANTINED_REASON;
 use crate::verdict::Verdict;
 
-/// When a caller should come back where nothing better is known.
+/// Retry time given to a caller when no better estimate is available.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Left of a caller's patience for the engine's first event, after a wait for a model.
-const FIRST_EVENT: Duration = Duration::from_millis(200);
-/// Time in which the holder of the placement lease says what it does about a wait.
-const WORD_TIME: Duration = Duration::from_millis(700);
-/// Pause before engines that all refused a request are asked again.
-const FULL_PAUSE: Duration = Duration::from_millis(80);
-/// Time over which suspects of one crash are spread: some ways of a datagram between data centres.
-const SPREAD: Duration = Duration::from_millis(60);
-/// Time in which another engine must be found for a stream that broke off.
+/// Time reserved for the engine's first event after a wait for a model.
+const FIRST_EVENT_TIME: Duration = Duration::from_millis(200);
+/// Longest usual time until the lease holder publishes its decision on a wait for a model, such as a load.
+const ORDER_TIME: Duration = Duration::from_millis(700);
+/// Delay before a request is sent again to engines that all refused it.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(80);
+/// Longest random delay before a trial, so that suspects of one crash do not start at the same time: a few times
+/// the one-way delay of a datagram between data centres.
+const MAX_TRIAL_DELAY: Duration = Duration::from_millis(60);
+/// Time within which another engine must be found for an interrupted stream.
 pub const RESUME_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Chooses a server, waiting for a model or adapter to be loaded where none has it.
+/// Chooses a server, and waits for the model or adapter to be loaded if no engine holds it.
 ///
 /// # Errors
 ///
-/// Returns the answer of our own where the wait is hopeless.
+/// Returns the refusal to send to the caller if there is no server, the request is quarantined, the engines are full
+/// or the wait cannot end in time.
 pub async fn find_server(
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
@@ -56,13 +58,13 @@
     };
     let began = daemon.now();
     let mut guard = None;
-    take_turns(daemon, attempt).await;
+    wait_for_trial(daemon, attempt).await;
     loop {
         let changed = daemon.model_waits.inventories_changed.notified();
         if let Some(refusal) = daemon.quarantine_refusal(attempt) {
             return Err(refusal);
         }
-        match engine(daemon, attempt, &item) {
+        match select_engine(daemon, attempt, &item) {
             EngineChoice::Server(chosen) => {
                 attempt.model_wait += daemon.now().saturating_sub(began);
                 return admit(daemon, attempt, chosen);
@@ -73,9 +75,9 @@
             EngineChoice::NotLoaded => {}
         }
         let now = daemon.now();
-        let patience = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
-        let give_up = patience.min(daemon.latest_start(attempt.deadline));
-        if let Some(refusal) = hopeless(daemon, attempt, &item, began, give_up) {
+        let caller_timeout = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
+        let wait_until = caller_timeout.min(daemon.latest_start(attempt.deadline));
+        if let Some(refusal) = refuse_wait(daemon, attempt, &item, began, wait_until) {
             attempt.model_wait += now.saturating_sub(began);
             return Err(refusal);
         }
@@ -83,76 +85,76 @@
             slog::info!(daemon.log, "request-waits"; "attempt" => attempt.id(),
                 "model" => item.model.as_str(), "adapter" => item.adapter.as_deref().unwrap_or("-"),
                 "ahead" => daemon.model_waits.waiting_for(&item),
-                "give_up_ms" => give_up.saturating_sub(now).as_millis());
+                "give_up_ms" => wait_until.saturating_sub(now).as_millis());
             guard = Some(daemon.model_waits.begin(
                 item.clone(),
-                (attempt.arrived + attempt.route.latency_goal).saturating_sub(FIRST_EVENT),
-                give_up,
+                (attempt.arrived + attempt.route.latency_goal).saturating_sub(FIRST_EVENT_TIME),
+                wait_until,
                 unusable_engines(daemon, &attempt.service, &attempt.tried),
             ));
         }
-        // Engines that refused it may have room again.
-        let _notified = timeout(FULL_PAUSE * 2, changed).await;
-        if daemon.now() > began + FULL_PAUSE && attempt.verdict == Verdict::DidNotRun {
+        // Engines that refused the request may have a free slot again.
+        let _notified = timeout(FULL_RETRY_DELAY * 2, changed).await;
+        if daemon.now() > began + FULL_RETRY_DELAY && attempt.verdict == Verdict::DidNotRun {
             attempt.tried.clear();
         }
     }
 }
 
-/// Lets a suspect wait for its turn.
+/// Waits until the trial of a suspect may start; returns at once if the request is no suspect.
 ///
-/// All suspects of a crash would go to the next engine in the same moment, from every daemon, before any of these
-/// could tell that it has one there. Attempts at one request go one after the other over all daemons, and one that may
-/// crash one too many waits until the others of its last crash have had time to show that they did not do it.
-async fn take_turns(daemon: &Rc<DaemonState>, attempt: &mut Attempt) {
+/// Without this wait, all daemons would send the suspects of a crash to the next engine at the same time, before any daemon
+/// could report that one is there. Attempts at one request are tried one at a time across all daemons. A request that
+/// would be quarantined after one more crash also waits until the other suspects of its last crash have had time to
+/// be cleared.
+async fn wait_for_trial(daemon: &Rc<DaemonState>, attempt: &mut Attempt) {
     attempt.trial = None;
     if !daemon.is_suspect(&attempt.fingerprint) {
         return;
     }
     attempt.trial = Some(daemon.trials.enqueue(attempt.fingerprint, daemon.now()));
-    sleep(SPREAD.mul_f64(rand::rng().random_range(0.5..1.0))).await;
+    sleep(MAX_TRIAL_DELAY.mul_f64(rand::rng().random_range(0.5..1.0))).await;
     while daemon.now() < attempt.deadline && daemon.quarantine_refusal(attempt).is_none() {
         let changed = daemon.model_waits.inventories_changed.notified();
-        let undecided =
-            daemon.quarantine.borrow().decision_delay(&attempt.fingerprint, daemon.now());
-        if undecided.is_zero() && may_go(daemon, attempt) {
+        let delay = daemon.quarantine.borrow().decision_delay(&attempt.fingerprint, daemon.now());
+        if delay.is_zero() && may_send(daemon, attempt) {
             return;
         }
-        let _changed = timeout(undecided.max(FULL_PAUSE), changed).await;
+        let _changed = timeout(delay.max(FULL_RETRY_DELAY), changed).await;
     }
 }
 
-/// Returns whether it is an attempt's turn, or it needs none.
-fn may_go(daemon: &DaemonState, attempt: &mut Attempt) -> bool {
+/// Returns whether the request may be sent now: it is no suspect, or its trial is next.
+fn may_send(daemon: &DaemonState, attempt: &mut Attempt) -> bool {
     if !daemon.is_suspect(&attempt.fingerprint) {
         attempt.trial = None;
         return true;
     }
-    // It may have become a suspect while it waited for a model.
+    // The request may have become a suspect while it waited for a model.
     let trial = attempt
         .trial
         .get_or_insert_with(|| daemon.trials.enqueue(attempt.fingerprint, daemon.now()));
     daemon.trials.is_next(trial, &daemon.settings().id, daemon.now())
 }
 
-/// Chooses an engine; a suspect gets one to itself among suspects, when it is its turn.
-fn engine(daemon: &DaemonState, attempt: &mut Attempt, item: &ModelTarget) -> EngineChoice {
-    if !may_go(daemon, attempt) {
+/// Chooses an engine. A suspect gets one only when its trial is next, and never one that has another suspect.
+fn select_engine(daemon: &DaemonState, attempt: &mut Attempt, item: &ModelTarget) -> EngineChoice {
+    if !may_send(daemon, attempt) {
         return EngineChoice::NotLoaded;
     }
     let Some(trial) = &attempt.trial else {
         return daemon.with_chooser(|c| c.choose_engine(item, &attempt.tried));
     };
-    let mut closed = daemon.trials.occupied_servers(daemon.now());
-    closed.extend_from_slice(&attempt.tried);
-    let choice = daemon.with_chooser(|c| c.choose_engine(item, &closed));
+    let mut excluded = daemon.trials.occupied_servers(daemon.now());
+    excluded.extend_from_slice(&attempt.tried);
+    let choice = daemon.with_chooser(|c| c.choose_engine(item, &excluded));
     if let EngineChoice::Server(chosen) = &choice {
         trial.assign(chosen.server.instance());
     }
     choice
 }
 
-/// Lets a request go to a chosen engine, unless its queue is too long for the caller.
+/// Returns the chosen engine, or a refusal if its queue is too long for the caller.
 fn admit(
     daemon: &DaemonState,
     attempt: &mut Attempt,
@@ -160,14 +162,14 @@
 ) -> Result<ChosenServer, Refusal> {
     let now = daemon.now();
     let left = |until: Moment| until.saturating_sub(now);
-    let leaves = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
-    let outlook = AdmissionInput {
+    let caller_timeout = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
+    let input = AdmissionInput {
         queue_wait: chosen.queue_wait,
-        due: left(attempt.arrived + attempt.route.latency_goal),
-        patience: left(leaves),
+        goal_left: left(attempt.arrived + attempt.route.latency_goal),
+        timeout_left: left(caller_timeout),
     };
-    match outlook.admit() {
-        Admission::Now => attempt.is_late = false,
+    match input.admit() {
+        Admission::Normal => attempt.is_late = false,
         Admission::Late => attempt.is_late = true,
         Admission::Refused(retry) => {
             attempt.queue_wait = chosen.queue_wait;
@@ -181,7 +183,7 @@
     Ok(chosen)
 }
 
-/// Engines that this request cannot use: those that failed it, and those out of reach.
+/// Returns the engines that a request cannot use: those already tried, unreachable ones and rate-limited ones.
 pub fn unusable_engines(
     daemon: &DaemonState,
     service: &str,
@@ -193,13 +195,14 @@
     list
 }
 
-/// Refuses a wait that cannot end in time, as soon as that is known.
-fn hopeless(
+/// Returns a refusal if the wait for `item` cannot end by `wait_until`, as soon as this is known; `None` while the
+/// wait may still succeed.
+fn refuse_wait(
     daemon: &DaemonState,
     attempt: &Attempt,
     item: &ModelTarget,
     began: Moment,
-    give_up: Moment,
+    wait_until: Moment,
 ) -> Option<Refusal> {
     let now = daemon.now();
     let expected = daemon.with_chooser(|c| {
@@ -210,13 +213,15 @@
         times.min()
     });
     let verdict = attempt.verdict;
-    if expected.is_none() && now > began + WORD_TIME {
-        let turn = daemon.with_chooser(|c| c.next_turn(&item.service, Some(item)));
-        if let Some(retry) = turn.and_then(|turn| retry_after(turn, give_up.saturating_sub(now))) {
+    if expected.is_none() && now > began + ORDER_TIME {
+        let permit = daemon.with_chooser(|c| c.next_permit(&item.service, Some(item)));
+        if let Some(retry) =
+            permit.and_then(|permit| retry_after(permit, wait_until.saturating_sub(now)))
+        {
             return Some(Refusal::failed(verdict, RATE_LIMITED, retry));
         }
     }
-    if expected.is_none() && nobody_loads(daemon) {
+    if expected.is_none() && is_without_lease_holder(daemon) {
         return Some(Refusal::failed(
             verdict,
             "this data centre is cut off",
@@ -224,67 +229,70 @@
         ));
     }
     match expected {
-        Some(at) if at + FIRST_EVENT > give_up && now < give_up => {
-            let retry = at.saturating_sub(now).max(FIRST_EVENT);
+        Some(at) if at + FIRST_EVENT_TIME > wait_until && now < wait_until => {
+            let retry = at.saturating_sub(now).max(FIRST_EVENT_TIME);
             Some(Refusal::failed(verdict, "the model will be loaded too late", retry))
         }
-        _ if now + FIRST_EVENT > give_up => {
+        _ if now + FIRST_EVENT_TIME > wait_until => {
             Some(Refusal::failed(verdict, "the model was not loaded in time", DEFAULT_RETRY_AFTER))
         }
         None if !daemon.with_chooser(|c| c.has_copy(item)) => {
-            let load = load_time(attempt, item);
-            let is_silent = now > began + WORD_TIME;
-            (is_silent || now + load > give_up)
+            let load = fetch_time(attempt, item);
+            let is_overdue = now > began + ORDER_TIME;
+            (is_overdue || now + load > wait_until)
                 .then(|| Refusal::failed(verdict, "no host has a copy of the model", load))
         }
-        None if give_up < now + soonest(attempt, item) && now > began + WORD_TIME => Some(
+        None if wait_until < now + min_delay(attempt, item) && now > began + ORDER_TIME => Some(
             Refusal::failed(verdict, "no engine can load the model in time", DEFAULT_RETRY_AFTER),
         ),
         _ => None,
     }
 }
 
-/// Whether this daemon is cut off from the store and other data centres, and from whoever orders loads: callers are
-/// better off with another one, where the balancer takes them.
-fn nobody_loads(daemon: &DaemonState) -> bool {
+/// Returns whether this daemon is isolated from the store and other data centres, and neither holds the lease nor
+/// knows its holder, so that no load can be ordered. Callers should then retry at another daemon, to which the load
+/// balancer sends them.
+fn is_without_lease_holder(daemon: &DaemonState) -> bool {
     let has_holder = || daemon.peers.borrow().holder(daemon.now()).is_some();
     daemon.isolated.get() && daemon.fence().is_none() && !has_holder()
 }
 
-/// What the configuration says of a model.
+/// Returns the configuration of a model.
 fn model_spec<'a>(attempt: &'a Attempt, item: &ModelTarget) -> Option<&'a ModelSpec> {
     let engine = attempt.config.services.get(&item.service)?.engine.as_ref()?;
     engine.models.get(&item.model)
 }
 
-/// Time of the model's load from the weight store.
-fn load_time(attempt: &Attempt, item: &ModelTarget) -> Duration {
+/// Returns the time that a fetch of the model takes.
+fn fetch_time(attempt: &Attempt, item: &ModelTarget) -> Duration {
     model_spec(attempt, item).map_or(DEFAULT_RETRY_AFTER, |m| m.store_load)
 }
 
-/// Time that an item which is not on its way takes at least until its first event.
-fn soonest(attempt: &Attempt, item: &ModelTarget) -> Duration {
+/// Returns the least time until the first event of a model or adapter that no engine is loading yet.
+fn min_delay(attempt: &Attempt, item: &ModelTarget) -> Duration {
     let spec = model_spec(attempt, item).filter(|_| item.adapter.is_none());
-    spec.map_or(WORD_TIME, |m| m.memory_load.min(m.disk_load).min(m.store_load) + FIRST_EVENT)
+    spec.map_or(ORDER_TIME, |m| m.memory_load.min(m.disk_load).min(m.store_load) + FIRST_EVENT_TIME)
 }
 
-/// Chooses another server for a stream that broke off; callers wait for events, so not for long.
+/// Chooses another server for an interrupted stream; `None` if none is found in time. The wait is short, because the
+/// caller is waiting for events.
 pub async fn find_replacement(
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Option<ChosenServer> {
     let item = attempt.item()?;
-    // A stream that left a server by itself would still have one: it is not broken off before its time.
+    // A stream that failed over might still have continued at its former server, so it is not cut off before its
+    // deadline.
     let until = if attempt.failed_over { attempt.deadline } else { daemon.now() + RESUME_TIMEOUT };
     let mut guard = None;
-    take_turns(daemon, attempt).await;
+    wait_for_trial(daemon, attempt).await;
     loop {
         let changed = daemon.model_waits.inventories_changed.notified();
         if daemon.quarantine_refusal(attempt).is_some() {
             attempt.reason = QUARANTINED_REASON;
             return None;
         }
-        if let EngineChoice::Server(chosen) = engine(daemon, attempt, &item) {
+        if let EngineChoice::Server(chosen) = select_engine(daemon, attempt, &item) {
             return Some(chosen);
         }
         let left = until.saturating_sub(daemon.now());
@@ -295,6 +303,6 @@
             let avoid = unusable_engines(daemon, &attempt.service, &attempt.tried);
             daemon.model_waits.begin(item.clone(), until, until, avoid)
         });
-        let _notified = timeout(left.min(FULL_PAUSE * 2), changed).await;
+        let _notified = timeout(left.min(FULL_RETRY_DELAY * 2), changed).await;
     }
 }
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -1,4 +1,4 @@
-//! More requests for a model than its engines run: who joins a queue, who comes after, who is refused.
+//! Admission under overload: which requests are queued, run later, or refused.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 const SLOTS: usize = 12;
 const RUN: Duration = Duration::from_millis(1500);
 const GOAL: Duration = Duration::from_millis(800);
-/// Callers leave when they have heard nothing for this long.
-const PATIENCE: Duration = Duration::from_millis(3200);
-const READ: Duration = Duration::from_millis(100);
+/// Callers time out after this long without a response.
+const CALLER_TIMEOUT: Duration = Duration::from_millis(3200);
+const PROMPT_TIME: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
@@ -22,7 +22,7 @@
     is_late: bool,
 }
 
-/// An engine that runs twelve requests at once, and queues others, those that are not late first.
+/// An engine that runs `SLOTS` requests at once and queues the others, late ones last.
 #[derive(Debug, Default)]
 struct Engine {
     ends: Vec<Duration>,
@@ -31,34 +31,34 @@
 
 #[derive(Debug, Default)]
 struct Tally {
-    punctual: u32,
+    on_time: u32,
     late: u32,
     refused: u32,
-    left: u32,
+    timed_out: u32,
 }
 
 impl Engine {
-    fn outlook(&self) -> AdmissionInput {
+    fn input(&self) -> AdmissionInput {
         let before = (self.ends.len() + self.queue.len() + 1).saturating_sub(SLOTS);
         AdmissionInput {
             queue_wait: RUN * before as u32 / SLOTS as u32,
-            due: GOAL,
-            patience: PATIENCE,
+            goal_left: GOAL,
+            timeout_left: CALLER_TIMEOUT,
         }
     }
 
     fn step(&mut self, now: Duration, rng: &mut ChaCha8Rng, tally: &mut Tally) {
         self.ends.retain(|end| now < *end);
         let before = self.queue.len();
-        self.queue.retain(|w| now < w.arrived + PATIENCE);
-        tally.left += (before - self.queue.len()) as u32;
+        self.queue.retain(|w| now < w.arrived + CALLER_TIMEOUT);
+        tally.timed_out += (before - self.queue.len()) as u32;
         self.queue.sort_by_key(|w| (w.is_late, w.arrived));
         while self.ends.len() < SLOTS && !self.queue.is_empty() {
             let waiter = self.queue.remove(0);
             let run = RUN.mul_f64(rng.random_range(0.2..1.8));
             self.ends.push(now + run);
-            if now + READ <= waiter.arrived + GOAL {
-                tally.punctual += 1;
+            if now + PROMPT_TIME <= waiter.arrived + GOAL {
+                tally.on_time += 1;
             } else {
                 tally.late += 1;
             }
@@ -66,8 +66,8 @@
     }
 }
 
-/// Twenty seconds of requests for one engine's model, `load` times what it can run.
-fn day(load: f64, admit: impl Fn(AdmissionInput) -> Admission) -> Tally {
+/// Simulates 20 s of requests for one engine's model, at `load` times its capacity.
+fn simulate(load: f64, admit: impl Fn(AdmissionInput) -> Admission) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut tally = Tally::default();
     let mut engine = Engine::default();
@@ -76,8 +76,8 @@
         let now = Duration::from_millis(ms);
         if rng.random::<f64>() < per_second / 1000.0 {
             let waiter = |is_late| Waiter { arrived: now, is_late };
-            match admit(engine.outlook()) {
-                Admission::Now => engine.queue.push(waiter(false)),
+            match admit(engine.input()) {
+                Admission::Normal => engine.queue.push(waiter(false)),
                 Admission::Late => engine.queue.push(waiter(true)),
                 Admission::Refused(_) => tally.refused += 1,
             }
@@ -87,43 +87,50 @@
     tally
 }
 
-/// A model is asked for a little more often than its engine can serve it. The queue settles at the length at which
-/// callers leave: nearly all are late, and those who leave have waited for nothing.
+/// Without admission control, demand even slightly above an engine's capacity grows the queue until callers time out:
+/// nearly all responses miss their goal, and the callers that time out have waited for nothing.
 #[rstest]
 #[case::a_little(1.1, 0.75)]
 #[case::by_half(1.5, 0.55)]
 fn queue_short(#[case] load: f64, #[case] least: f64) {
-    let joined = day(load, |_| Admission::Now);
-    let served = f64::from(joined.punctual + joined.late + joined.refused + joined.left);
-    assert!(f64::from(joined.punctual) / served < 0.45, "{joined:?}: no queue to keep short");
-    let tally = day(load, AdmissionInput::admit);
-    let asked = f64::from(tally.punctual + tally.late + tally.refused + tally.left);
-    assert!(f64::from(tally.punctual) / asked >= least, "{tally:?}");
-    assert_eq!(tally.left, 0, "who is refused knows at once: {tally:?}");
+    let joined = simulate(load, |_| Admission::Normal);
+    let served = f64::from(joined.on_time + joined.late + joined.refused + joined.timed_out);
+    assert!(
+        f64::from(joined.on_time) / served < 0.45,
+        "{joined:?}: the test must overload the engine"
+    );
+    let tally = simulate(load, AdmissionInput::admit);
+    let total = f64::from(tally.on_time + tally.late + tally.refused + tally.timed_out);
+    assert!(f64::from(tally.on_time) / total >= least, "{tally:?}");
+    assert_eq!(tally.timed_out, 0, "queued requests must not time out: {tally:?}");
 }
 
-/// Nobody is turned away or put behind where there is room.
+/// No request is refused, and hardly any is late, while the engine has free slots.
 #[test]
 fn room_used() {
-    let tally = day(0.6, AdmissionInput::admit);
-    assert_eq!((tally.refused, tally.left), (0, 0), "{tally:?}");
-    assert!(tally.late * 50 <= tally.punctual, "{tally:?}");
+    let tally = simulate(0.6, AdmissionInput::admit);
+    assert_eq!((tally.refused, tally.timed_out), (0, 0), "{tally:?}");
+    assert!(tally.late * 50 <= tally.on_time, "{tally:?}");
 }
 
-/// A request that is late already, since its model had to be loaded, goes to an idle engine as any other.
+/// A request that is already late, because its model had to be loaded, is sent to an idle engine at normal priority,
+/// and queued behind others at a busy one.
 #[test]
 fn late_unqueued() {
-    let outlook =
-        AdmissionInput { queue_wait: Duration::ZERO, due: Duration::ZERO, patience: PATIENCE };
-    assert_eq!(outlook.admit(), Admission::Now);
-    let outlook = AdmissionInput { queue_wait: Duration::from_millis(500), ..outlook };
-    assert_eq!(outlook.admit(), Admission::Late);
+    let input = AdmissionInput {
+        queue_wait: Duration::ZERO,
+        goal_left: Duration::ZERO,
+        timeout_left: CALLER_TIMEOUT,
+    };
+    assert_eq!(input.admit(), Admission::Normal);
+    let input = AdmissionInput { queue_wait: Duration::from_millis(500), ..input };
+    assert_eq!(input.admit(), Admission::Late);
 }
 
-/// A refused caller is told to come back when the queue is short enough for it, not later.
+/// The retry time of a refused caller is when the queue will be short enough for it, not later.
 #[test]
 fn return_told() {
     let queue_wait = Duration::from_secs(3);
-    let outlook = AdmissionInput { queue_wait, due: GOAL, patience: PATIENCE };
-    assert_eq!(outlook.admit(), Admission::Refused(queue_wait.saturating_sub(GOAL)));
+    let input = AdmissionInput { queue_wait, goal_left: GOAL, timeout_left: CALLER_TIMEOUT };
+    assert_eq!(input.admit(), Admission::Refused(queue_wait.saturating_sub(GOAL)));
 }
