--- a/lib/src/serve/freshness.rs
+++ b/lib/src/serve/freshness.rs
@@ -1,45 +1,46 @@
-//! How recent a daemon's picture of the platform is, and whose word it stands on.
+//! How up to date a daemon's list of servers and its configuration are, and whether its directory matches the readers'.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use crate::boot_clock::Moment;
 
-/// What the picture of the platform stands on.
+/// How up to date the list of servers and the configuration are, and where the list came from.
 #[derive(Debug, Default)]
 pub struct Freshness {
-    /// The moment up to which the list of servers is complete but for what they hold, by this daemon's own reads or
-    /// by readers' words.
+    /// Time up to which the list of servers, apart from the models that they hold, is complete, according to this
+    /// daemon's own reads of the store or to reader reports.
     pub servers_at: Cell<Moment>,
-    /// The moment up to which the configuration in force is the newest, as readers tell.
+    /// Time up to which the configuration in force is known to be the newest, according to reader reports.
     pub config_at: Cell<Moment>,
-    /// Whether a part of the list came by words, which leave out what servers hold.
+    /// Whether a part of the list came from reader reports, which omit the models that servers hold.
     pub is_partial: Cell<bool>,
-    /// Whether a reader told of changes behind some that were missed, or has another picture.
+    /// Whether changes before those in a reader report were missed, or the directory has differed from a reader's for
+    /// `REFETCH_AFTER`.
     pub has_gap: Cell<bool>,
-    /// Since when the picture differs from readers', and since its last fetch for that.
-    differs: Cell<Option<Moment>>,
+    /// Time since which the directory has differed from a reader's, or of the last fetch that was due for that reason.
+    differs_since: Cell<Option<Moment>>,
 }
 
-/// A picture that differs from a reader's for this long is fetched anew. For a moment it may differ well: one of
-/// the two has heard of a server's notice elsewhere.
-const DIFFER_FOR: Duration = Duration::from_secs(1);
+/// A directory that differs from a reader's for this long is fetched again. Short differences are normal: one of the
+/// two daemons may have learned from another source that a server is leaving.
+const REFETCH_AFTER: Duration = Duration::from_secs(1);
 
 impl Freshness {
-    /// Notes whether the picture is the same as a reader's; returns whether it must be fetched anew.
+    /// Records whether the directory is the same as a reader's; returns whether it must be fetched again.
     pub fn record_comparison(&self, is_same: bool, now: Moment) -> bool {
         if is_same {
-            self.differs.set(None);
+            self.differs_since.set(None);
             return false;
         }
-        let since = self.differs.get().unwrap_or(now);
-        let is_due = now >= since + DIFFER_FOR;
-        self.differs.set(Some(if is_due { now } else { since }));
+        let since = self.differs_since.get().unwrap_or(now);
+        let is_due = now >= since + REFETCH_AFTER;
+        self.differs_since.set(Some(if is_due { now } else { since }));
         self.has_gap.set(self.has_gap.get() || is_due);
         is_due
     }
 
-    /// Notes that the list of servers is complete up to a moment.
+    /// Records that the list of servers is complete up to `at`.
     pub fn advance_servers(&self, at: Moment) {
         self.servers_at.set(self.servers_at.get().max(at));
     }
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its head to its answer.
+//! Handles a caller's request: reads it, finds its route, and answers with a server's response or a refusal.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,19 +35,20 @@
 use crate::serve::reply::forward_response;
 use crate::verdict::Verdict;
 
-/// Bodies of requests that are held at once; more would not fit a small host's memory.
-const HELD_BYTES: usize = 64 * 1024 * 1024;
-/// Time for a caller to send a body.
-const BODY_TIME: Duration = Duration::from_secs(15);
-/// When a caller should come back to a daemon that does not know enough yet.
-const LEARNING: Duration = Duration::from_millis(500);
+/// Largest declared length of a body in bytes, whatever the configuration allows: longer ones would not fit in a
+/// small host's memory.
+const MAX_DECLARED_BODY: usize = 64 * 1024 * 1024;
+/// Time limit for a caller to send the body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Retry delay for a caller if this daemon's configuration is missing, incomplete or possibly old.
+const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// When a caller should try another daemon in place of one that stops or is cut off.
+/// Retry delay for a caller if this daemon is stopping or isolated, so that another daemon should take the request.
 pub const OTHER_DAEMON_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Why a request has no answer, where a stop is the cause.
+/// Reason for the log and the caller if a request ends without an answer because the daemon stops.
 pub const STOPPING_REASON: &str = "this daemon stops";
 
-/// Answers a request, which is in progress until its answer is written.
+/// Answers a request, which counts as in progress until its response is written.
 pub async fn handle_request(
     daemon: Rc<DaemonState>,
     active: ActiveRequest,
@@ -55,7 +56,7 @@
 ) -> Response<ReplyBody> {
     let arrived = daemon.now();
     let (parts, body) = request.into_parts();
-    let mut response = match read(&daemon, parts, body, arrived).await {
+    let mut response = match read_request(&daemon, parts, body, arrived).await {
         Ok(attempt) => answer(&daemon, attempt).await,
         Err((parts, refusal)) => refuse_unrouted(&daemon, &parts, &refusal),
     };
@@ -86,15 +87,15 @@
     header.or_else(|| parts.uri.authority().map(http::uri::Authority::as_str)).unwrap_or("")
 }
 
-/// Reads the whole body and finds the route.
-async fn read(
+/// Reads the whole body, finds the route and picks its service.
+async fn read_request(
     daemon: &DaemonState,
     parts: request::Parts,
     body: Incoming,
     arrived: Moment,
 ) -> Result<Attempt, (request::Parts, Refusal)> {
     let Some(config) = daemon.config() else {
-        let refusal = Refusal::not_run("no configuration yet", LEARNING);
+        let refusal = Refusal::not_run("no configuration yet", UNREADY_RETRY_AFTER);
         return Err((parts, refusal));
     };
     let body = tokio::select! {
@@ -106,21 +107,21 @@
         Ok(body) => body,
         Err(refusal) => return Err((parts, refusal)),
     };
-    // The configuration may have changed while the body came.
+    // The configuration may have changed while the body was received.
     let config = daemon.config().unwrap_or(config);
     let Some(route) = config.route(host(&parts), parts.uri.path()).cloned() else {
         let refusal = if daemon.is_config_stale(daemon.now()) {
-            Refusal::not_run("no such route, but the configuration may be old", LEARNING)
+            Refusal::not_run("no such route, but the configuration may be old", UNREADY_RETRY_AFTER)
         } else {
             Refusal::client_error(StatusCode::NOT_FOUND, "no such route")
         };
         return Err((parts, refusal));
     };
     let Some(service) = pick_service(&route) else {
-        return Err((parts, Refusal::not_run("the route has no service", LEARNING)));
+        return Err((parts, Refusal::not_run("the route has no service", UNREADY_RETRY_AFTER)));
     };
     let terms = daemon.protocol.parse_caller_headers(&parts.headers);
-    let time = terms.timeout.map_or(route.timeout, |p| p.min(route.timeout));
+    let time_limit = terms.timeout.map_or(route.timeout, |p| p.min(route.timeout));
     let target = parts.uri.path_and_query().map_or("/", PathAndQuery::as_str);
     let fingerprint = Fingerprint::new(&parts.method, host(&parts), target, &body);
     Ok(Attempt {
@@ -132,7 +133,7 @@
         route,
         service,
         arrived,
-        deadline: arrived + time,
+        deadline: arrived + time_limit,
         verdict: Verdict::DidNotRun,
         sending: false,
         tried: Vec::new(),
@@ -158,11 +159,11 @@
 async fn read_body(mut body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
     let too_large =
         || Refusal::client_error(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
-    if body.size_hint().lower() > limit.min(HELD_BYTES) as u64 {
+    if body.size_hint().lower() > limit.min(MAX_DECLARED_BODY) as u64 {
         return Err(too_large());
     }
     let mut bytes = BytesMut::new();
-    let whole = async {
+    let receive = async {
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_broken| {
                 Refusal::client_error(StatusCode::BAD_REQUEST, "the body broke off")
@@ -176,7 +177,7 @@
         }
         Ok(())
     };
-    match timeout(BODY_TIME, whole).await {
+    match timeout(BODY_TIMEOUT, receive).await {
         Ok(read) => read?,
         Err(_elapsed) => {
             return Err(Refusal::client_error(
@@ -188,17 +189,18 @@
     Ok(bytes.freeze())
 }
 
+/// Picks a service of the route at random in proportion to the weights.
 fn pick_service(route: &Route) -> Option<ServiceName> {
     let total: u32 = route.targets.iter().map(|(_, weight)| weight).sum();
     if total == 0 {
         return route.targets.first().map(|(name, _)| name.clone());
     }
-    let mut at = rand::rng().random_range(0..total);
+    let mut draw = rand::rng().random_range(0..total);
     for (name, weight) in &route.targets {
-        if at < *weight {
+        if draw < *weight {
             return Some(name.clone());
         }
-        at -= weight;
+        draw -= weight;
     }
     None
 }
@@ -253,13 +255,15 @@
     response
 }
 
-/// Writes the one line that tells how a request ended.
+/// Logs how a request ended, in one line, and counts its verdict.
+///
+/// `first_event` is the time of the first event of a stream.
 pub fn log_request(
     daemon: &DaemonState,
     attempt: &Attempt,
     status: StatusCode,
     reason: &str,
-    first: Option<Moment>,
+    first_event: Option<Moment>,
 ) {
     let now = daemon.now();
     let ms = |t: Moment| t.saturating_sub(attempt.arrived).as_millis();
@@ -273,7 +277,7 @@
         "status" => status.as_u16(), "verdict" => %attempt.verdict, "reason" => reason,
         "sends" => attempt.sends, "late" => attempt.is_late,
         "queued_ms" => attempt.queue_wait.as_millis(), "waited_ms" => attempt.model_wait.as_millis(),
-        "pause_ms" => attempt.max_pause.as_millis(), "first_ms" => first.map_or(-1, |t| ms(t) as i64), "ms" => ms(now),
+        "pause_ms" => attempt.max_pause.as_millis(), "first_ms" => first_event.map_or(-1, |t| ms(t) as i64), "ms" => ms(now),
         "left_ms" => attempt.deadline.saturating_sub(now).as_millis(),
         "config" => attempt.config.version);
 }
--- a/lib/src/serve/headers.rs
+++ b/lib/src/serve/headers.rs
@@ -1,9 +1,10 @@
-//! Headers that concern only one connection.
+//! Removal of hop-by-hop headers.
 
 use http::HeaderMap;
 use http::header;
 
-/// Removes the headers that concern only one connection, and the length, which is set anew.
+/// Removes the headers that apply to a single connection, including those that `Connection` names, and the
+/// content length, which is set again when the message is forwarded.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
--- a/lib/src/serve/model_waits.rs
+++ b/lib/src/serve/model_waits.rs
@@ -1,4 +1,4 @@
-//! Requests of this daemon that wait for a model or an adapter, and what callers asked for.
+//! This daemon's requests that wait for a model or an adapter, and the number of requests received for each.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,11 +14,11 @@
 use crate::cluster::server_instance::ServerInstance;
 use crate::placement::demand::ModelTarget;
 
-/// Arrivals of an item are told for this long after the last one.
-const TOLD_FOR: Duration = Duration::from_secs(4);
+/// The arrival count of a model target is published for this long after the last arrival.
+const REPORT_ARRIVALS_FOR: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingRequest {
     due: Moment,
     until: Moment,
     avoid: Vec<ServerInstance>,
@@ -26,91 +26,102 @@
 
 #[derive(Debug, Default)]
 struct Tables {
-    waiting: BTreeMap<ModelTarget, BTreeMap<u64, Waiting>>,
-    counts: BTreeMap<ModelTarget, (Moment, u32)>,
-    next: u64,
+    waiting: BTreeMap<ModelTarget, BTreeMap<u64, WaitingRequest>>,
+    arrival_counts: BTreeMap<ModelTarget, (Moment, u32)>,
+    next_id: u64,
 }
 
-/// The waiting requests by what they wait for.
+/// Waiting requests and arrival counts by model target.
 #[derive(Clone, Debug, Default)]
 pub struct ModelWaits {
     tables: Rc<RefCell<Tables>>,
-    /// Signalled when engines hold something else than before.
+    /// Signalled when the inventory of an engine changes.
     pub inventories_changed: Rc<Notify>,
-    /// Signalled when a request begins to wait for something new.
+    /// Signalled when a request begins to wait.
     pub wait_started: Rc<Notify>,
 }
 
-/// A waiting request; it ends when this is dropped.
+/// A waiting request; its wait ends when this is dropped.
 #[derive(Debug)]
 pub struct WaitGuard {
     waits: ModelWaits,
-    item: ModelTarget,
-    number: u64,
+    target: ModelTarget,
+    id: u64,
 }
 
 impl ModelWaits {
-    /// Counts an arrival.
-    pub fn count_arrival(&self, item: &ModelTarget, now: Moment) {
+    /// Counts the arrival of a request for a model target.
+    pub fn count_arrival(&self, target: &ModelTarget, now: Moment) {
         let mut tables = self.tables.borrow_mut();
-        let count = tables.counts.entry(item.clone()).or_insert((now, 0));
+        let count = tables.arrival_counts.entry(target.clone()).or_insert((now, 0));
         *count = (now, count.1 + 1);
     }
 
-    /// Begins a wait for a model that must be there by `due` for a punctual answer, and by `until` for
-    /// any; `avoid` are engines that this request cannot use.
+    /// Begins a wait for a model.
+    ///
+    /// The model must be loaded by `due` for an answer on time, and by `until` for any answer. `avoid` lists
+    /// the engines that this request cannot use.
     pub fn begin(
         &self,
-        item: ModelTarget,
+        target: ModelTarget,
         due: Moment,
         until: Moment,
         avoid: Vec<ServerInstance>,
     ) -> WaitGuard {
         let mut tables = self.tables.borrow_mut();
-        let number = tables.next;
-        tables.next += 1;
-        let list = tables.waiting.entry(item.clone()).or_default();
-        list.insert(number, Waiting { due, until, avoid });
+        let id = tables.next_id;
+        tables.next_id += 1;
+        let requests = tables.waiting.entry(target.clone()).or_default();
+        requests.insert(id, WaitingRequest { due, until, avoid });
         drop(tables);
         self.wait_started.notify_one();
-        WaitGuard { waits: self.clone(), item, number }
+        WaitGuard { waits: self.clone(), target, id }
     }
 
-    /// Returns how many requests wait for an item.
-    pub fn waiting_for(&self, item: &ModelTarget) -> usize {
-        self.tables.borrow().waiting.get(item).map_or(0, BTreeMap::len)
+    /// Returns how many requests wait for a model target.
+    pub fn waiting_for(&self, target: &ModelTarget) -> usize {
+        self.tables.borrow().waiting.get(target).map_or(0, BTreeMap::len)
     }
 
-    /// Returns how many requests wait.
+    /// Returns how many requests wait for any model target.
     pub fn total(&self) -> usize {
         self.tables.borrow().waiting.values().map(BTreeMap::len).sum()
     }
 
-    /// Returns the demand to be told.
+    /// Returns the demand to publish: waiting requests and the counts of recent arrivals.
     pub fn demand_note(&self, now: Moment) -> DemandReport {
         let tables = self.tables.borrow();
-        let queued = tables.waiting.iter().map(|(item, list)| want(item, list, now)).collect();
-        let fresh = tables.counts.iter().filter(|(_, (at, _))| now <= *at + TOLD_FOR);
-        let arrivals = fresh.map(|(item, (_, count))| ArrivalCount {
-            service: item.service.clone(),
-            model: item.model.clone(),
-            adapter: item.adapter.clone(),
+        let queued = tables
+            .waiting
+            .iter()
+            .map(|(target, requests)| queued_demand(target, requests, now))
+            .collect();
+        let recent =
+            tables.arrival_counts.iter().filter(|(_, (at, _))| now <= *at + REPORT_ARRIVALS_FOR);
+        let arrivals = recent.map(|(target, (_, count))| ArrivalCount {
+            service: target.service.clone(),
+            model: target.model.clone(),
+            adapter: target.adapter.clone(),
             count: *count,
         });
         DemandReport { queued, arrivals: arrivals.collect() }
     }
 }
 
-fn want(item: &ModelTarget, list: &BTreeMap<u64, Waiting>, now: Moment) -> QueuedDemand {
-    let until = list.values().map(|w| w.until).max().unwrap_or_default();
-    let due = list.values().map(|w| w.due).max().unwrap_or_default();
-    let mut avoid = list.values().next().map(|w| w.avoid.clone()).unwrap_or_default();
-    avoid.retain(|id| list.values().all(|w| w.avoid.contains(id)));
+fn queued_demand(
+    target: &ModelTarget,
+    requests: &BTreeMap<u64, WaitingRequest>,
+    now: Moment,
+) -> QueuedDemand {
+    let until = requests.values().map(|w| w.until).max().unwrap_or_default();
+    let due = requests.values().map(|w| w.due).max().unwrap_or_default();
+    let mut avoid = requests.values().next().map(|w| w.avoid.clone()).unwrap_or_default();
+    avoid.retain(|id| requests.values().all(|w| w.avoid.contains(id)));
     QueuedDemand {
-        service: item.service.clone(),
-        model: item.model.clone(),
-        adapter: item.adapter.clone(),
-        waiting: list.len() as u32,
+        service: target.service.clone(),
+        model: target.model.clone(),
+        adapter: target.adapter.clone(),
+        waiting: requests.len() as u32,
         remaining_ms: until.saturating_sub(now).as_millis() as u32,
         due_ms: due.saturating_sub(now).as_millis() as u32,
         avoid,
@@ -120,10 +131,10 @@
 impl Drop for WaitGuard {
     fn drop(&mut self) {
         let mut tables = self.waits.tables.borrow_mut();
-        if let Some(list) = tables.waiting.get_mut(&self.item) {
-            list.remove(&self.number);
-            if list.is_empty() {
-                tables.waiting.remove(&self.item);
+        if let Some(requests) = tables.waiting.get_mut(&self.target) {
+            requests.remove(&self.id);
+            if requests.is_empty() {
+                tables.waiting.remove(&self.target);
             }
         }
     }
--- a/lib/src/serve/pool.rs
+++ b/lib/src/serve/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers and to the store, reused while they are sound.
+//! Pooled connections to backend servers and to the store.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,24 +17,25 @@
 use crate::cluster::server_instance::ServerInstance;
 use crate::serve::socket;
 
-/// Time for a connection: some round trips between data centres, and less than a goal.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// Idle time of a connection whose server does not say how long it keeps it.
-const DEFAULT_KEEP: Duration = Duration::from_millis(700);
-/// Part of the time that a server keeps a connection for which it is reused: a request that
-/// crosses the server's close may or may not have run.
-const KEEP_PART: f64 = 0.7;
-/// An idle connection is used again for this long at most.
+/// Time limit to connect: some round trips between data centres, and less than a latency goal.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Keep-alive time that is assumed if the server does not state one.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(700);
+/// Fraction of the server's keep-alive time for which an idle connection is reused: a request that is sent
+/// while the server closes the connection may or may not have run.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
+/// Longest idle time after which a connection is reused. Periodic reads of the servers' feed fit within it.
 ///
-/// Where a partition began meanwhile, the kernel ends it three seconds after its last sign of life. What was
-/// sent on it just before is then not taken back, as a reset of our own would, and reached its server
-/// three seconds after the partition had healed, when that had given notice. Within this time a request has left
-/// a silent server by itself before, and its connection is reset. Long enough for reads of the servers' feed.
-const REUSE_WITHIN: Duration = Duration::from_millis(1200);
-/// Most idle connections kept to one server.
-const MAX_IDLE: usize = 32;
-
-/// A connection that can take one request.
+/// If a partition began while a connection was idle, the kernel ends the connection three seconds after the last
+/// packet from the server. Unlike a reset of our own, this does not discard a request that was sent just before:
+/// such a request reached its server three seconds after the partition had healed, when the server had already
+/// announced that it was leaving. Within this limit, the request fails over from the unresponsive server before
+/// the kernel ends the connection, and the connection is reset.
+const MAX_IDLE_TIME: Duration = Duration::from_millis(1200);
+/// Largest number of idle connections that are kept to one server.
+const MAX_IDLE_PER_SERVER: usize = 32;
+
+/// A connection to a server instance, ready for one request.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -42,15 +43,15 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Idle connections by start of a server: what was opened to the last start is never used for the next.
+/// Idle connections by server instance: a connection to one instance is never used for the next instance.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionPool {
-    idle: Rc<RefCell<HashMap<ServerInstance, Vec<Idle>>>>,
+    idle: Rc<RefCell<HashMap<ServerInstance, Vec<IdleConnection>>>>,
 }
 
 impl Connection {
@@ -61,24 +62,24 @@
 }
 
 impl ConnectionPool {
-    /// Returns an idle connection that is still sound.
+    /// Returns an idle connection that is open and has not expired.
     fn take_idle(&self, server: &ServerInstance) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let list = idle.get_mut(server)?;
+        let connections = idle.get_mut(server)?;
         let now = Instant::now();
-        while let Some(Idle { sender, until }) = list.pop() {
-            if now < until && sender.is_ready() {
+        while let Some(IdleConnection { sender, expires_at }) = connections.pop() {
+            if now < expires_at && sender.is_ready() {
                 return Some(Connection { sender, server: server.clone() });
             }
         }
         None
     }
 
-    /// Returns a connection to a server: an idle one, else a new one.
+    /// Returns a connection to a server: an idle one if there is one, otherwise a new one.
     ///
     /// # Errors
     ///
-    /// The server cannot be reached; nothing was sent.
+    /// Returns an error if the server cannot be reached; nothing was sent.
     pub async fn acquire(
         &self,
         server: &ServerInstance,
@@ -94,27 +95,27 @@
     ///
     /// # Errors
     ///
-    /// The server cannot be reached; nothing was sent.
+    /// Returns an error if the server cannot be reached; nothing was sent.
     pub async fn connect(
         &self,
         server: &ServerInstance,
         addr: SocketAddr,
     ) -> std::io::Result<Connection> {
-        let stream = socket::connect(addr, CONNECT_LIMIT).await?;
+        let stream = socket::connect(addr, CONNECT_TIMEOUT).await?;
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream));
         let (sender, driver) = handshake.await.map_err(std::io::Error::other)?;
         spawn_local(async move {
-            // Its end shows at the sender; the reason is logged where a request met it.
-            let _ended = driver.await;
+            // The sender reports the end of the connection; a request that fails by it logs the reason.
+            let _result = driver.await;
         });
         Ok(Connection { sender, server: server.clone() })
     }
 
-    /// Makes sure that a sound connection to a server lies ready.
+    /// Ensures that the pool holds an open connection to a server.
     ///
     /// # Errors
     ///
-    /// The server cannot be reached.
+    /// Returns an error if the server cannot be reached.
     pub async fn ensure_idle(
         &self,
         server: &ServerInstance,
@@ -126,11 +127,11 @@
         self.open_idle(server, addr).await
     }
 
-    /// Opens another connection to a server, which then lies ready.
+    /// Opens a new connection to a server and adds it to the pool.
     ///
     /// # Errors
     ///
-    /// The server cannot be reached.
+    /// Returns an error if the server cannot be reached.
     pub async fn open_idle(
         &self,
         server: &ServerInstance,
@@ -138,37 +139,45 @@
     ) -> std::io::Result<()> {
         let Connection { mut sender, server } = self.connect(server, addr).await?;
         sender.ready().await.map_err(std::io::Error::other)?;
-        let until = Instant::now() + DEFAULT_KEEP.mul_f64(KEEP_PART);
-        self.idle.borrow_mut().entry(server).or_default().push(Idle { sender, until });
+        let expires_at = Instant::now() + DEFAULT_KEEP_ALIVE.mul_f64(KEEP_ALIVE_FRACTION);
+        self.idle
+            .borrow_mut()
+            .entry(server)
+            .or_default()
+            .push(IdleConnection { sender, expires_at });
         Ok(())
     }
 
     fn has_idle(&self, server: &ServerInstance) -> bool {
         let now = Instant::now();
         let idle = self.idle.borrow();
-        idle.get(server).is_some_and(|l| l.iter().any(|i| now < i.until && i.sender.is_ready()))
+        idle.get(server)
+            .is_some_and(|c| c.iter().any(|i| now < i.expires_at && i.sender.is_ready()))
     }
 
-    /// Takes a connection back after a complete answer to its request.
+    /// Returns a connection to the pool after a complete response.
     ///
-    /// It is offered again only when its request, too, is written whole and nothing followed the
-    /// answer: a server may answer early and read on.
-    pub fn release(&self, connection: Connection, keep: Option<Duration>) {
+    /// The connection is reused only after its request has been written completely too, and if nothing followed
+    /// the response: a server may respond before it has read the whole request.
+    pub fn release(&self, connection: Connection, keep_alive: Option<Duration>) {
         let Connection { mut sender, server, .. } = connection;
         if sender.is_closed() {
             return;
         }
-        let keep = keep.unwrap_or(DEFAULT_KEEP).mul_f64(KEEP_PART).min(REUSE_WITHIN);
-        let until = Instant::now() + keep;
+        let keep_alive = keep_alive
+            .unwrap_or(DEFAULT_KEEP_ALIVE)
+            .mul_f64(KEEP_ALIVE_FRACTION)
+            .min(MAX_IDLE_TIME);
+        let expires_at = Instant::now() + keep_alive;
         let idle = Rc::clone(&self.idle);
         spawn_local(async move {
             if sender.ready().await.is_err() {
                 return;
             }
             let mut idle = idle.borrow_mut();
-            let list = idle.entry(server).or_default();
-            if list.len() < MAX_IDLE {
-                list.push(Idle { sender, until });
+            let connections = idle.entry(server).or_default();
+            if connections.len() < MAX_IDLE_PER_SERVER {
+                connections.push(IdleConnection { sender, expires_at });
             }
         });
     }
@@ -178,13 +187,13 @@
         self.idle.borrow_mut().remove(server);
     }
 
-    /// Closes idle connections that are too old, and all to servers other than `known`.
+    /// Closes idle connections that have expired, and all those to server instances that are not `known`.
     pub fn evict_idle(&self, known: impl Fn(&ServerInstance) -> bool) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        for list in idle.values_mut() {
-            list.retain(|i| now < i.until && !i.sender.is_closed());
+        for connections in idle.values_mut() {
+            connections.retain(|i| now < i.expires_at && !i.sender.is_closed());
         }
-        idle.retain(|start, list| known(start) && !list.is_empty());
+        idle.retain(|instance, connections| known(instance) && !connections.is_empty());
     }
 }
--- a/lib/src/serve/pooled_client.rs
+++ b/lib/src/serve/pooled_client.rs
@@ -1,4 +1,4 @@
-//! Calls to engines over a daemon's kept connections.
+//! Calls to engines over a daemon's connection pool.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,14 +14,14 @@
 use crate::serve::engine_client::EngineClient;
 use crate::store::LocalFuture;
 
-/// Calls engines over the connections of a daemon.
+/// An [`EngineClient`] that uses a daemon's connection pool.
 #[derive(Debug)]
 pub struct PooledCalls {
     daemon: Rc<DaemonState>,
 }
 
 impl PooledCalls {
-    /// Uses the connections of a daemon.
+    /// Creates a client that uses the connection pool of `daemon`.
     pub fn new(daemon: Rc<DaemonState>) -> Self {
         Self { daemon }
     }
--- a/lib/src/serve/random_source.rs
+++ b/lib/src/serve/random_source.rs
@@ -1,19 +1,19 @@
-//! Chance, which tests replace.
+//! Random numbers from a source that tests can replace.
 
 use std::fmt;
 
 use rand::RngExt as _;
 
-/// Where random numbers from 0 to 1 come from, which decide among servers that are nearly as good as the best.
+/// A source of random numbers from 0 to 1, for the choice among servers that are nearly as good as the best.
 pub struct RandomSource(Box<dyn Fn() -> f64>);
 
 impl RandomSource {
-    /// Takes numbers from a source other than chance.
+    /// Creates a source that takes its numbers from a function.
     pub fn from_fn(source: impl Fn() -> f64 + 'static) -> Self {
         Self(Box::new(source))
     }
 
-    /// Returns the next number.
+    /// Returns the next number, from 0 to 1.
     pub fn sample(&self) -> f64 {
         (self.0)()
     }
--- a/lib/src/serve/relay.rs
+++ b/lib/src/serve/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on to its caller, and goes on at another server where that is allowed.
+//! Relays a stream to its caller, and resumes it at another server if the route allows that.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,45 +32,45 @@
 use crate::serve::suspects;
 use crate::verdict::Verdict;
 
-/// A server is silent after this many punctual pauses without an event.
-const SILENT_GAPS: u32 = 5;
+/// A server is unresponsive if it sends no event for this many times the route's target pause between events.
+const UNRESPONSIVE_GAPS: u32 = 5;
 
-/// The reason in the log where nobody waits for the answer any more.
+/// Reason in the log if the caller closed its connection.
 const CALLER_LEFT: &str = "the caller left";
 
-/// Passes the events of a stream on to its caller.
+/// Relays the events of one stream to its caller.
 #[derive(Debug)]
 pub struct Relay {
-    /// The daemon.
+    /// The daemon that relays the stream.
     pub daemon: Rc<DaemonState>,
-    /// The request.
+    /// The caller's request and the state of its sends.
     pub attempt: Attempt,
-    /// Where its events go.
+    /// Sends events into the body of the caller's response.
     pub sender: ChunkSender,
-    /// When its last events came.
+    /// Time at which the last events were received.
     pub last_received: Moment,
 }
 
-/// Why no more events of a server are passed on.
-enum Stop {
+/// Why no more events of a server are relayed.
+enum RelayEnd {
     Complete,
     CallerLeft,
     OutOfTime,
-    DaemonEnds,
-    /// The server broke off, or another one has taken the request after a silence.
-    Broken(Option<SendFuture<OpenOutcome>>),
+    DaemonAborted,
+    /// The server failed (`None`), or it was unresponsive and another one has accepted the request.
+    Interrupted(Option<SendFuture<OpenOutcome>>),
 }
 
 impl Relay {
-    /// Passes events on until the stream ends, one way or another.
+    /// Relays events, from several servers if necessary, until the caller's response ends.
     pub async fn run(&mut self, started: StartedStream) {
         let StartedStream { mut stream, first_events, first_event, head } = started;
         let mut chunk = first_events;
         loop {
-            let stop = self.pass(&mut stream, chunk).await;
-            self.note(&stop);
-            let reason = match stop {
-                Stop::Complete => {
+            let end = self.relay_events(&mut stream, chunk).await;
+            self.record_success(&end);
+            let reason = match end {
+                RelayEnd::Complete => {
                     let run = self.daemon.now().saturating_sub(first_event);
                     self.daemon.run_times.record(&self.attempt.service, run);
                     self.attempt.verdict = Verdict::Ran;
@@ -81,115 +81,126 @@
                         .release(stream.answer.connection, stream.answer.terms.keep_alive);
                     return;
                 }
-                Stop::CallerLeft => CALLER_LEFT,
-                Stop::OutOfTime => "out of time",
-                Stop::DaemonEnds => STOPPING_REASON,
-                Stop::Broken(taken) => {
-                    let last = stream.last_id();
-                    // The old connection is closed before the stream goes on elsewhere.
+                RelayEnd::CallerLeft => CALLER_LEFT,
+                RelayEnd::OutOfTime => "out of time",
+                RelayEnd::DaemonAborted => STOPPING_REASON,
+                RelayEnd::Interrupted(accepted) => {
+                    let last_id = stream.last_id();
+                    // The old connection is closed before the stream is resumed at another server.
                     drop(stream);
-                    if let Some((next, events)) = self.resume(last, taken).await {
+                    if let Some((next, events)) = self.resume(last_id, accepted).await {
                         stream = next;
                         chunk = events;
                         continue;
                     }
-                    let has_left = self.sender.is_closed();
-                    let reason = if has_left { CALLER_LEFT } else { self.attempt.reason };
-                    self.break_off(head.status, reason, first_event, last).await;
+                    let caller_left = self.sender.is_closed();
+                    let reason = if caller_left { CALLER_LEFT } else { self.attempt.reason };
+                    self.abort_body(head.status, reason, first_event, last_id).await;
                     return;
                 }
             };
-            let last = stream.last_id();
+            let last_id = stream.last_id();
             drop(stream);
-            self.break_off(head.status, reason, first_event, last).await;
+            self.abort_body(head.status, reason, first_event, last_id).await;
             return;
         }
     }
 
-    fn note(&self, stop: &Stop) {
-        if let (Stop::Complete, Some(server)) = (stop, &self.attempt.last_server) {
+    fn record_success(&self, end: &RelayEnd) {
+        if let (RelayEnd::Complete, Some(server)) = (end, &self.attempt.last_server) {
             self.daemon.record_health(&self.attempt.service, server, Evidence::Sound);
         }
     }
 
-    /// Ends the answer so that it cannot look complete.
-    async fn break_off(&self, status: StatusCode, reason: &str, first: Moment, last: Option<u64>) {
-        self.log(status, reason, first, last);
-        let _caller_gone =
-            timeout(Duration::from_secs(1), self.sender.send(Err(BodyAborted))).await;
+    /// Ends the response with an error, so that it cannot look complete.
+    async fn abort_body(
+        &self,
+        status: StatusCode,
+        reason: &str,
+        first_event: Moment,
+        last_id: Option<u64>,
+    ) {
+        self.log(status, reason, first_event, last_id);
+        let _sent = timeout(Duration::from_secs(1), self.sender.send(Err(BodyAborted))).await;
     }
 
-    fn log(&self, status: StatusCode, reason: &str, first: Moment, last: Option<u64>) {
-        log_request(&self.daemon, &self.attempt, status, reason, Some(first));
-        self.daemon.metrics.record_events(last.unwrap_or(0));
+    fn log(&self, status: StatusCode, reason: &str, first_event: Moment, last_id: Option<u64>) {
+        log_request(&self.daemon, &self.attempt, status, reason, Some(first_event));
+        self.daemon.metrics.record_events(last_id.unwrap_or(0));
     }
 
-    /// Notes the pause before events that have just come.
-    fn note_pause(&mut self) {
+    /// Records the pause before the events that were just received.
+    fn record_pause(&mut self) {
         let now = self.daemon.now();
         let pause = now.saturating_sub(self.last_received);
         self.attempt.max_pause = self.attempt.max_pause.max(pause);
         self.last_received = now;
     }
 
-    /// Passes events on until the stream stops.
-    async fn pass(&mut self, stream: &mut EventStream, mut chunk: Bytes) -> Stop {
-        let gap = self.attempt.route.gap_target.unwrap_or(Duration::from_secs(1));
+    /// Relays the events of one server until its stream ends or must be abandoned.
+    async fn relay_events(&mut self, stream: &mut EventStream, mut chunk: Bytes) -> RelayEnd {
+        let gap_target = self.attempt.route.gap_target.unwrap_or(Duration::from_secs(1));
         loop {
             if !chunk.is_empty() && self.sender.send(Ok(chunk)).await.is_err() {
-                return Stop::CallerLeft;
+                return RelayEnd::CallerLeft;
             }
             if self.daemon.now() >= self.attempt.deadline {
-                return Stop::OutOfTime;
+                return RelayEnd::OutOfTime;
             }
-            let heard = tokio::select! {
+            let outcome = tokio::select! {
                 biased;
-                () = self.sender.closed() => return Stop::CallerLeft,
-                () = self.daemon.aborted() => return Stop::DaemonEnds,
-                heard = wait_answer(&self.daemon, &self.attempt, gap * SILENT_GAPS, stream.next()) => heard,
+                () = self.sender.closed() => return RelayEnd::CallerLeft,
+                () = self.daemon.aborted() => return RelayEnd::DaemonAborted,
+                outcome = wait_answer(
+                    &self.daemon,
+                    &self.attempt,
+                    gap_target * UNRESPONSIVE_GAPS,
+                    stream.next(),
+                ) => outcome,
             };
-            match heard {
+            match outcome {
                 WaitOutcome::Answer(Ok(StreamItem::Events(events))) => {
-                    self.note_pause();
+                    self.record_pause();
                     self.daemon.record_events(&mut self.attempt);
                     chunk = events;
                 }
-                WaitOutcome::Answer(Ok(StreamItem::End)) => return Stop::Complete,
+                WaitOutcome::Answer(Ok(StreamItem::End)) => return RelayEnd::Complete,
                 WaitOutcome::Answer(Err(failure)) => {
-                    self.failed(&failure).await;
-                    return Stop::Broken(None);
+                    self.record_failure(&failure).await;
+                    return RelayEnd::Interrupted(None);
                 }
                 WaitOutcome::FailOver(next) => {
-                    let last = stream.last_id();
-                    let again = |e: &Rc<DaemonState>, a: &mut Attempt, c: &ChosenServer| {
-                        start_stream(e, a, c, last)
+                    let last_id = stream.last_id();
+                    let resend = |d: &Rc<DaemonState>, a: &mut Attempt, c: &ChosenServer| {
+                        start_stream(d, a, c, last_id)
                     };
-                    let offered = tokio::select! {
+                    let failover = tokio::select! {
                         biased;
-                        () = self.sender.closed() => return Stop::CallerLeft,
-                        () = self.daemon.aborted() => return Stop::DaemonEnds,
-                        offered = try_failover(&self.daemon, &mut self.attempt, &next, again) => offered,
+                        () = self.sender.closed() => return RelayEnd::CallerLeft,
+                        () = self.daemon.aborted() => return RelayEnd::DaemonAborted,
+                        failover = try_failover(&self.daemon, &mut self.attempt, &next, resend) => failover,
                     };
-                    match offered {
+                    match failover {
                         None => chunk = Bytes::new(),
-                        Some(taken) => return Stop::Broken(Some(taken)),
+                        Some(accepted) => return RelayEnd::Interrupted(Some(accepted)),
                     }
                 }
-                WaitOutcome::OutOfTime => return Stop::OutOfTime,
+                WaitOutcome::OutOfTime => return RelayEnd::OutOfTime,
             }
         }
     }
 
-    /// Takes in that the server failed.
-    async fn failed(&mut self, failure: &SendFailure) {
+    /// Records that the server failed, and checks whether it crashed.
+    async fn record_failure(&mut self, failure: &SendFailure) {
         self.attempt.record_failure(&self.daemon, failure);
         suspects::check_for_crash(&self.daemon, &self.attempt, failure).await;
     }
 
-    /// Sends the request to another server, where that is allowed.
-    async fn send_again(&mut self, last: Option<u64>) -> Option<SendFuture<OpenOutcome>> {
+    /// Sends the request to another server, to resume after the event `after`, if the route, the attempt and the retry
+    /// budget allow it.
+    async fn send_retry(&mut self, after: Option<u64>) -> Option<SendFuture<OpenOutcome>> {
         let now = self.daemon.now();
-        if !self.attempt.route.resumable || last.is_none() || !self.attempt.may_retry(now) {
+        if !self.attempt.route.resumable || after.is_none() || !self.attempt.may_retry(now) {
             return None;
         }
         let chosen = tokio::select! {
@@ -201,42 +212,43 @@
         if !self.daemon.take_retry(&self.attempt.service) {
             return None;
         }
-        Some(start_stream(&self.daemon, &mut self.attempt, &chosen, last))
+        Some(start_stream(&self.daemon, &mut self.attempt, &chosen, after))
     }
 
-    /// Goes on with the stream at another server, one that has taken it or one to be found.
+    /// Resumes the stream after the event `after` at another server: the one that has accepted it, or else one that is
+    /// chosen here.
     async fn resume(
         &mut self,
-        last: Option<u64>,
-        mut taken: Option<SendFuture<OpenOutcome>>,
+        after: Option<u64>,
+        mut accepted: Option<SendFuture<OpenOutcome>>,
     ) -> Option<(EventStream, Bytes)> {
-        let again =
-            |e: &Rc<DaemonState>, a: &mut Attempt, c: &ChosenServer| start_stream(e, a, c, last);
+        let resend =
+            |d: &Rc<DaemonState>, a: &mut Attempt, c: &ChosenServer| start_stream(d, a, c, after);
         loop {
-            let sent = match taken.take() {
-                Some(taken) => taken,
-                None => self.send_again(last).await?,
+            let sent = match accepted.take() {
+                Some(accepted) => accepted,
+                None => self.send_retry(after).await?,
             };
             self.daemon.metrics.record_retry();
             let opened = tokio::select! {
                 biased;
                 () = self.sender.closed() => return None,
                 () = self.daemon.aborted() => return None,
-                opened = await_with_failover(&self.daemon, &mut self.attempt, sent, again) => opened,
+                opened = await_with_failover(&self.daemon, &mut self.attempt, sent, resend) => opened,
             };
             match opened {
                 Ok(OpenOutcome::Stream(started)) => {
                     self.attempt.record_first_event(&self.daemon, started.first_event);
                     slog::info!(self.daemon.log, "stream-resumed"; "attempt" => self.attempt.id(),
                         "server" => self.attempt.last_server.as_ref().map_or("-", |s| s.id.as_str()),
-                        "after" => last.unwrap_or(0));
+                        "after" => after.unwrap_or(0));
                     return Some((started.stream, started.first_events));
                 }
                 Ok(OpenOutcome::Whole(..)) => {
                     let failure = SendFailure::may_have_run("the server did not resume the stream");
                     self.attempt.record_failure(&self.daemon, &failure);
                 }
-                Err(failure) => self.failed(&failure).await,
+                Err(failure) => self.record_failure(&failure).await,
             }
         }
     }
--- a/lib/src/serve/reply.rs
+++ b/lib/src/serve/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: a server's, passed on whole, and our own.
+//! Responses to callers: forwarded ones of backend servers, and refusals of this daemon.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::serve::headers::strip_hop_by_hop;
 use crate::verdict::Verdict;
 
-/// Passes a server's whole answer on: its status, body and headers, less those of the connection.
+/// Forwards a server's complete response: its status, its body and its headers except the hop-by-hop ones.
 pub fn forward_response(head: response::Parts, body: Bytes) -> Response<ReplyBody> {
     let mut response = Response::new(ReplyBody::whole(body));
     *response.status_mut() = head.status;
@@ -22,24 +22,24 @@
     response
 }
 
-/// An answer of our own and why it was given.
+/// A response of this daemon itself, and the reason for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// When the caller should come back, where the request did not run.
+    /// Delay after which the caller should retry; `None` if the request may have run or is invalid.
     pub retry: Option<Duration>,
-    /// Why, for the log and the caller.
+    /// Reason, for the log and the caller.
     pub reason: &'static str,
 }
 
 impl Refusal {
-    /// A request that did not run and will not; the caller may come back after `retry`.
+    /// Refuses a request that did not run and will not run; the caller may retry after `retry`.
     pub fn not_run(reason: &'static str, retry: Duration) -> Self {
         Self { status: StatusCode::SERVICE_UNAVAILABLE, retry: Some(retry), reason }
     }
 
-    /// A request that has no answer; the status promises only what the verdict allows.
+    /// Refuses a request that no server answered: with status 503 and `retry` if it did not run, otherwise 502.
     pub fn failed(verdict: Verdict, reason: &'static str, retry: Duration) -> Self {
         match verdict {
             Verdict::DidNotRun => Self::not_run(reason, retry),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A request that ran out of time and may have run.
+    /// Refuses a request that ran out of time: with status 503 and `retry` if it did not run, otherwise 504.
     pub fn timeout(verdict: Verdict, reason: &'static str, retry: Duration) -> Self {
         match verdict {
             Verdict::DidNotRun => Self::not_run(reason, retry),
@@ -55,12 +55,12 @@
         }
     }
 
-    /// A request that is wrong in itself.
+    /// Refuses an invalid request, which no retry can help.
     pub fn client_error(status: StatusCode, reason: &'static str) -> Self {
         Self { status, retry: None, reason }
     }
 
-    /// Makes the response.
+    /// Builds the response.
     pub fn response(&self) -> Response<ReplyBody> {
         let mut response =
             Response::new(ReplyBody::whole(Bytes::from_static(self.reason.as_bytes())));
