--- a/lib/src/serve/pool.rs
+++ b/lib/src/serve/pool.rs
@@ -1,4 +1,4 @@
-//! Pooled connections to backend servers and to the store.
+//! Connections to backend servers and to the store, reused while they are open and were idle only briefly.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -105,7 +105,7 @@
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream));
         let (sender, driver) = handshake.await.map_err(std::io::Error::other)?;
         spawn_local(async move {
-            // The sender reports the end of the connection; a request that fails by it logs the reason.
+            // The sender reports the end of the connection; a request that fails because of it logs the reason.
             let _result = driver.await;
         });
         Ok(Connection { sender, server: server.clone() })
--- a/lib/src/serve/reply.rs
+++ b/lib/src/serve/reply.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Refuses an invalid request, which no retry can help.
+    /// Refuses a request with a client error, which offers no retry.
     pub fn client_error(status: StatusCode, reason: &'static str) -> Self {
         Self { status, retry: None, reason }
     }
--- a/lib/src/serve/send.rs
+++ b/lib/src/serve/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one backend server, and what is known of it afterwards.
+//! Sends a request to one backend server and classifies the result.
 
 use std::io;
 
@@ -19,25 +19,25 @@
 use crate::serve::pool::ConnectionPool;
 use crate::verdict::Verdict;
 
-/// The head of an answer, and what is needed to read the rest.
+/// The head of a server's response, and what is needed to read the rest.
 #[derive(Debug)]
 pub struct ServerResponse {
     /// Status and headers.
     pub head: response::Parts,
-    /// What the server said beside them.
+    /// Parsed values of the headers that the serving protocol defines.
     pub terms: ResponseHeaders,
     /// The body.
     pub body: Incoming,
-    /// The connection, to be given back after the whole body.
+    /// The connection, to be released to the pool after the whole body was read.
     pub connection: Connection,
 }
 
-/// Where a connection ended while a server had a request.
+/// When a connection ended while a server had a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Disconnect {
-    /// Before the head of the answer.
+    /// Before the head of the response.
     BeforeHead,
-    /// After it: the server had begun to answer.
+    /// After the head: the server had begun to respond.
     AfterHead,
 }
 
@@ -51,37 +51,37 @@
     }
 }
 
-/// A send without an answer that can be used.
+/// A send without a usable response.
 #[derive(Clone, Debug)]
 pub struct SendFailure {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// What it says of the server.
+    /// What the failure indicates about the server's health.
     pub evidence: Evidence,
     /// What happened, for the log.
     pub reason: &'static str,
-    /// Whether the server got the request at all.
+    /// Whether the server received the request.
     pub delivered: bool,
-    /// Whether the server says that it does not hold the model or adapter.
+    /// Whether the server reported that it does not hold the model or adapter.
     pub lacks_model: bool,
-    /// Where its connection ended, if that is what failed.
+    /// When the connection ended, if that is the failure.
     pub disconnect: Option<Disconnect>,
 }
 
 impl SendFailure {
     fn unreachable(reason: &'static str) -> Self {
-        Self { evidence: Evidence::Unreachable, delivered: false, ..Self::unrun(reason) }
+        Self { evidence: Evidence::Unreachable, delivered: false, ..Self::not_run(reason) }
     }
 
-    fn unconnected(error: &io::Error) -> Self {
+    fn connect_failed(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::ConnectionRefused => Self::unreachable("connection refused"),
             _ => Self::unreachable("no connection"),
         }
     }
 
-    /// A sound server's word that the request did not run.
-    fn unrun(reason: &'static str) -> Self {
+    /// A healthy server reported that the request did not run.
+    fn not_run(reason: &'static str) -> Self {
         let verdict = Verdict::DidNotRun;
         Self {
             verdict,
@@ -93,35 +93,35 @@
         }
     }
 
-    fn misdirected(is_other: bool) -> Self {
-        if is_other {
-            let other = Self::unrun("another server has the address");
+    fn misdirected(is_other_server: bool) -> Self {
+        if is_other_server {
+            let other = Self::not_run("another server has the address");
             return Self { evidence: Evidence::Misdirected, ..other };
         }
-        Self { lacks_model: true, ..Self::unrun("the server lacks the model") }
+        Self { lacks_model: true, ..Self::not_run("the server lacks the model") }
     }
 
     fn refused() -> Self {
-        Self::unrun("the server refused it unrun")
+        Self::not_run("the server refused it unrun")
     }
 
-    /// A failure after which the request may have run.
+    /// Returns a failure after which the request may have run.
     pub fn may_have_run(reason: &'static str) -> Self {
         let verdict = Verdict::MayHaveRun;
-        Self { verdict, evidence: Evidence::Failed, ..Self::unrun(reason) }
+        Self { verdict, evidence: Evidence::Failed, ..Self::not_run(reason) }
     }
 
-    /// A connection that ended while the server had the request.
-    pub fn disconnected(reason: &'static str, broke: Disconnect) -> Self {
-        Self { disconnect: Some(broke), ..Self::may_have_run(reason) }
+    /// Returns the failure of a connection that ended while the server had the request.
+    pub fn disconnected(reason: &'static str, disconnect: Disconnect) -> Self {
+        Self { disconnect: Some(disconnect), ..Self::may_have_run(reason) }
     }
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// There is no answer to this request, or the server says that it did not run.
+/// Returns a failure if there is no response to this request, or if the server reports that the request did not run.
 pub async fn send(
     daemon: &DaemonState,
     server: &Server,
@@ -129,12 +129,12 @@
     request: Request<Bytes>,
 ) -> Result<ServerResponse, SendFailure> {
     let mut request = request.map(Full::new);
-    let (start, pool, sent) = (server.instance(), &daemon.pool, daemon.now());
+    let (instance, pool, sent) = (server.instance(), &daemon.pool, daemon.now());
     let mut connection = pool
-        .acquire(&start, server.addr)
+        .acquire(&instance, server.addr)
         .await
-        .map_err(|error| SendFailure::unconnected(&error))?;
-    // A connection that ended while it was idle gives the request back unsent.
+        .map_err(|error| SendFailure::connect_failed(&error))?;
+    // If the pooled connection ended while it was idle, the request is returned unsent, and a new connection is tried.
     let mut tries = 0;
     let response = loop {
         match connection.sender().try_send_request(request).await {
@@ -150,35 +150,35 @@
                 }
                 request = unsent;
                 connection = pool
-                    .connect(&start, server.addr)
+                    .connect(&instance, server.addr)
                     .await
-                    .map_err(|error| SendFailure::unconnected(&error))?;
+                    .map_err(|error| SendFailure::connect_failed(&error))?;
             }
         }
     };
     let (head, body) = response.into_parts();
     let terms = daemon.protocol.parse_response_headers(&head);
-    let is_own = terms.attempt.as_ref() == attempt;
-    let is_other = terms.instance.as_ref().is_some_and(|id| *id != server.id);
-    if is_own && !is_other {
-        daemon.apply_server_feedback(&start, &terms, sent);
+    let matches_attempt = terms.attempt.as_ref() == attempt;
+    let is_other_server = terms.instance.as_ref().is_some_and(|id| *id != server.id);
+    if matches_attempt && !is_other_server {
+        daemon.apply_server_feedback(&instance, &terms, sent);
     }
-    judge(server, ServerResponse { head, terms, body, connection }, attempt)
+    check_response(server, ServerResponse { head, terms, body, connection }, attempt)
 }
 
-fn judge(
+fn check_response(
     server: &Server,
-    answer: ServerResponse,
+    response: ServerResponse,
     attempt: Option<&AttemptId>,
 ) -> Result<ServerResponse, SendFailure> {
-    let ServerResponse { head, terms, .. } = &answer;
-    // An answer that belongs to another request may stand where this one's is due.
+    let ServerResponse { head, terms, .. } = &response;
+    // The connection may deliver the response to another request in place of this one's.
     if attempt.is_some() && terms.attempt.is_some() && terms.attempt.as_ref() != attempt {
         return Err(SendFailure::may_have_run("the answer belongs to another request"));
     }
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        let is_other = terms.instance.as_ref().is_some_and(|id| *id != server.id);
-        return Err(SendFailure::misdirected(is_other));
+        let is_other_server = terms.instance.as_ref().is_some_and(|id| *id != server.id);
+        return Err(SendFailure::misdirected(is_other_server));
     }
     if terms.not_executed {
         return Err(SendFailure::refused());
@@ -186,23 +186,23 @@
     if head.status.is_success() && (!terms.signed || terms.attempt.as_ref() != attempt) {
         return Err(SendFailure::may_have_run("the answer is not signed"));
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Reads the rest of an answer, up to `limit` bytes.
+/// Reads the rest of a response, up to `limit` bytes, and releases its connection to the pool.
 ///
 /// # Errors
 ///
-/// The answer broke off or is too long.
+/// Returns a failure if the response is cut off or too long.
 pub async fn read_whole(
     pool: &ConnectionPool,
-    answer: ServerResponse,
+    response: ServerResponse,
     limit: usize,
 ) -> Result<(response::Parts, Bytes), SendFailure> {
-    let ServerResponse { head, terms, mut body, connection } = answer;
+    let ServerResponse { head, terms, mut body, connection } = response;
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_broken| {
+        let frame = frame.map_err(|_error| {
             SendFailure::disconnected("the answer broke off", Disconnect::AfterHead)
         })?;
         if let Ok(data) = frame.into_data() {
--- a/lib/src/serve/socket.rs
+++ b/lib/src/serve/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets that notice a peer that fell silent.
+//! TCP and UDP sockets; TCP connections end within three seconds if the other end is unresponsive.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,76 +16,77 @@
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
-/// Time without traffic after which the kernel asks whether the other end is there.
+/// Time without traffic after which the kernel sends keepalive probes.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Time between such questions, and their number.
-const KEEPALIVE_EVERY: Duration = Duration::from_secs(1);
-const KEEPALIVE_TRIES: u32 = 2;
-/// Sent bytes that stay unacknowledged for this long end the connection.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2500);
-/// Connections that wait to be accepted: a burst of callers at one daemon.
-const BACKLOG: i32 = 1024;
+/// Time between keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered probes after which the connection ends.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Time after which sent bytes that are still unacknowledged end the connection.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Connections that may wait to be accepted: enough for a burst of callers at one daemon.
+const LISTEN_BACKLOG: i32 = 1024;
 
-/// Sets what every connection has: a partition or a forgetful middlebox shows within three seconds,
-/// though no reset ever comes.
-fn watch(stream: &TcpStream) -> io::Result<()> {
+/// Sets the options of every connection, so that a partition, or a middlebox that has dropped its state of the
+/// connection, ends it within three seconds even if no reset arrives.
+fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
-        .with_interval(KEEPALIVE_EVERY)
-        .with_retries(KEEPALIVE_TRIES);
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(stream);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
 /// Connects to another process within `limit`.
 ///
-/// When such a connection is dropped it is reset, so that what was sent and not yet taken is lost: an
-/// order that was given up during a partition would otherwise be sent again by the kernel and reach its
-/// engine seconds after another daemon's orders. Whole answers are read before a connection is dropped.
+/// Dropping the connection resets it, which discards bytes that were sent but not yet received: the kernel would
+/// otherwise retransmit an order that was abandoned during a partition, and the order would reach its engine
+/// seconds after another daemon's orders. Whole responses are read before a connection is dropped.
 ///
 /// # Errors
 ///
-/// The other end refused, or could not be reached in time; nothing was sent.
+/// Returns an error if the other end refused the connection or could not be reached in time; nothing was sent.
 pub async fn connect(addr: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     let stream = timeout(limit, socket.connect(addr))
         .await
         .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch(&stream)?;
+    set_options(&stream)?;
     SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
     Ok(stream)
 }
 
-/// Sets up a connection that was accepted.
+/// Sets the options of an accepted connection.
 ///
 /// # Errors
 ///
-/// The connection has ended already.
+/// Returns an error if the connection has already ended.
 pub fn configure_accepted(stream: &TcpStream) -> io::Result<()> {
-    watch(stream)
+    set_options(stream)
 }
 
-/// Listens for connections.
+/// Listens for TCP connections.
 ///
 /// # Errors
 ///
-/// The address cannot be used.
+/// Returns an error if the address cannot be used.
 pub fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
-/// Opens a socket for datagrams.
+/// Binds a UDP socket.
 ///
 /// # Errors
 ///
-/// The address cannot be used.
+/// Returns an error if the address cannot be used.
 pub fn bind_udp(addr: SocketAddr) -> io::Result<UdpSocket> {
     let socket = std::net::UdpSocket::bind(addr)?;
     socket.set_nonblocking(true)?;
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests under which servers crash.
+//! Quarantine of requests under which servers crash: detects crashes, refuses, reports and stores quarantined requests.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -28,98 +28,102 @@
 use crate::store::Feed;
 use crate::store::FeedRecord;
 
-/// Why a request is held, for the log and its caller.
+/// Reason for the refusal of a quarantined request, for the log and the caller.
 pub const QUARANTINED_REASON: &str = "servers crash under this request";
-/// Time in which a host says that nothing listens at a port: some round trips between data centres.
-const REFUSAL_TIME: Duration = Duration::from_millis(100);
-/// Events go on for a while once the first one is older than this.
-const YOUNG: Duration = Duration::from_millis(500);
-/// Pause before a call to the store is made again.
-const STORE_PAUSE: Duration = Duration::from_secs(1);
-
-/// A held request in the store, for daemons that start later, and for operators.
+/// Time within which a host refuses a connection to a port without a listener: some round trips between data centres.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time after its first event during which a stream counts as just begun.
+const EARLY_STREAM_TIME: Duration = Duration::from_millis(500);
+/// Delay before a failed call to the store is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(1);
+
+/// A quarantined request in the store, for daemons that start later and for operators.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-struct HeldEntry {
-    /// Crashes that it is believed to have caused.
+struct QuarantineRecord {
+    /// Crashes that the request is suspected to have caused.
     crashes: Vec<CrashId>,
 }
 
 impl DaemonState {
-    /// Returns whether a request may go to no server; asking keeps it held.
+    /// Returns whether a request must not be sent to any server; each call extends its quarantine.
     pub fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
         self.quarantine.borrow_mut().is_held(fingerprint, self.now())
     }
 
-    /// Takes in how far a server came with a request.
-    pub fn record_passed(&self, attempt: &Attempt, passed: RequestProgress) {
-        if self.quarantine.borrow_mut().record_progress(attempt.fingerprint, passed, self.now()) {
+    /// Records how far a server progressed with a request.
+    pub fn record_passed(&self, attempt: &Attempt, progress: RequestProgress) {
+        if self.quarantine.borrow_mut().record_progress(attempt.fingerprint, progress, self.now()) {
             self.quarantine_changed.notify_one();
         }
     }
 
-    /// Takes in that events of a stream have just come.
+    /// Records that events of a stream were just received.
     pub fn record_events(&self, attempt: &mut Attempt) {
-        if attempt.young_since.is_some_and(|first| self.now() >= first + YOUNG) {
+        if attempt.young_since.is_some_and(|first| self.now() >= first + EARLY_STREAM_TIME) {
             attempt.young_since = None;
             self.record_passed(attempt, RequestProgress::Streaming);
         }
     }
 
-    /// Returns the answer to a request that is held.
+    /// Returns the refusal of a quarantined request; `None` if the request is not in quarantine.
     pub fn quarantine_refusal(self: &Rc<Self>, attempt: &Attempt) -> Option<Refusal> {
-        judge(self, attempt.fingerprint);
+        evaluate(self, attempt.fingerprint);
         let is_held = self.is_quarantined(&attempt.fingerprint);
         is_held.then(|| Refusal::failed(attempt.verdict, QUARANTINED_REASON, HOLD_TIME))
     }
 
-    /// Returns whether servers crashed under a request that nobody cleared of it.
+    /// Returns whether servers crashed under a request that has not been cleared of these crashes.
     pub fn is_suspect(&self, fingerprint: &Fingerprint) -> bool {
         !self.quarantine.borrow().suspected_crashes(fingerprint).is_empty()
     }
 }
 
-/// Takes in that a send failed: where its server crashed, the request may have done it.
+/// Checks after a failed send whether the server crashed; if so, records that the request may have caused it.
 ///
-/// A server that crashed refuses connections; one that only lost this connection, gives wrong answers or is cut off
-/// does not, and one that is leaving ends as planned.
+/// A crashed server refuses connections. One that only dropped this connection, sends wrong responses or is
+/// unreachable does not, and one that is leaving ends as planned.
 pub async fn check_for_crash(daemon: &Rc<DaemonState>, attempt: &Attempt, failure: &SendFailure) {
-    let (Some(broke), Some(server)) = (failure.disconnect, attempt.last_server.clone()) else {
+    let (Some(disconnect), Some(server)) = (failure.disconnect, attempt.last_server.clone()) else {
         return;
     };
-    let Some(addr) = address(daemon, &server) else { return };
-    let stage = stage(daemon, attempt, broke);
+    let Some(addr) = active_addr(daemon, &server) else { return };
+    let stage = crash_stage(daemon, attempt, disconnect);
     let is_known = daemon.quarantine.borrow().has_crashed(&server, attempt.sent_at);
-    if is_known || refuses(daemon, &server, addr).await {
-        note_crash(daemon, attempt, &server, stage);
+    if is_known || refuses_connections(daemon, &server, addr).await {
+        record_crash(daemon, attempt, &server, stage);
     }
 }
 
-/// Where a server listens, unless it is known to be leaving or gone.
-fn address(daemon: &DaemonState, server: &ServerInstance) -> Option<SocketAddr> {
+/// Returns the address of a server instance; `None` if it is leaving or no longer in the directory.
+fn active_addr(daemon: &DaemonState, server: &ServerInstance) -> Option<SocketAddr> {
     let directory = daemon.directory.borrow();
     let known = directory.get(&server.id).filter(|s| s.born == server.born && !s.leaving);
     known.map(|s| s.addr)
 }
 
-fn stage(daemon: &DaemonState, attempt: &Attempt, broke: Disconnect) -> CrashStage {
-    match (broke, attempt.first_event) {
+fn crash_stage(daemon: &DaemonState, attempt: &Attempt, disconnect: Disconnect) -> CrashStage {
+    match (disconnect, attempt.first_event) {
         (Disconnect::AfterHead, None) => CrashStage::BeforeEvents,
-        (Disconnect::AfterHead, Some(first)) if daemon.now() < first + YOUNG => {
+        (Disconnect::AfterHead, Some(first)) if daemon.now() < first + EARLY_STREAM_TIME => {
             CrashStage::FirstEvent
         }
         _ => CrashStage::Other,
     }
 }
 
-/// Returns whether a server refuses connections. One that takes this connection gets the next request on it.
-async fn refuses(daemon: &DaemonState, server: &ServerInstance, addr: SocketAddr) -> bool {
-    match timeout(REFUSAL_TIME, daemon.pool.open_idle(server, addr)).await {
+/// Returns whether a server refuses connections. If it accepts one, the connection is kept for the next request.
+async fn refuses_connections(
+    daemon: &DaemonState,
+    server: &ServerInstance,
+    addr: SocketAddr,
+) -> bool {
+    match timeout(REFUSAL_TIMEOUT, daemon.pool.open_idle(server, addr)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(())) | Err(_) => false,
     }
 }
 
-fn note_crash(
+fn record_crash(
     daemon: &Rc<DaemonState>,
     attempt: &Attempt,
     server: &ServerInstance,
@@ -139,26 +143,26 @@
         daemon.quarantine_changed.notify_one();
     }
     if is_held {
-        hold(daemon, fingerprint);
+        begin_quarantine(daemon, fingerprint);
     }
 }
 
-/// Holds a request if what peers have told since is enough.
-fn judge(daemon: &Rc<DaemonState>, fingerprint: Fingerprint) {
+/// Quarantines a request if the reports that peers have sent since then suffice for it.
+fn evaluate(daemon: &Rc<DaemonState>, fingerprint: Fingerprint) {
     let is_held = daemon.quarantine.borrow_mut().evaluate(fingerprint, daemon.now());
     if is_held {
-        hold(daemon, fingerprint);
+        begin_quarantine(daemon, fingerprint);
     }
 }
 
-/// Tells everybody of a request that this daemon holds from now on.
-fn hold(daemon: &Rc<DaemonState>, fingerprint: Fingerprint) {
+/// Logs a request that this daemon has just put in quarantine, and reports it to peers and the store.
+fn begin_quarantine(daemon: &Rc<DaemonState>, fingerprint: Fingerprint) {
     daemon.quarantine_changed.notify_one();
-    note_held(daemon, fingerprint, "own");
-    spawn_local(store_held(Rc::clone(daemon), fingerprint));
+    log_quarantined(daemon, fingerprint, "own");
+    spawn_local(store_quarantined(Rc::clone(daemon), fingerprint));
 }
 
-fn note_held(daemon: &DaemonState, fingerprint: Fingerprint, from: &str) {
+fn log_quarantined(daemon: &DaemonState, fingerprint: Fingerprint, from: &str) {
     let quarantine = daemon.quarantine.borrow();
     let servers: Vec<_> =
         quarantine.suspected_crashes(&fingerprint).iter().map(|c| c.server.id.as_str()).collect();
@@ -167,25 +171,26 @@
     daemon.metrics.set_quarantined(quarantine.held().count());
 }
 
-/// Takes in what a peer knows of such requests.
-pub fn receive_note(daemon: &Rc<DaemonState>, note: &QuarantineReport, from: &str) {
-    let held = daemon.quarantine.borrow_mut().merge(note, daemon.now());
+/// Merges a peer's quarantine report.
+pub fn receive_note(daemon: &Rc<DaemonState>, report: &QuarantineReport, from: &str) {
+    let held = daemon.quarantine.borrow_mut().merge(report, daemon.now());
     for fingerprint in held {
-        note_held(daemon, fingerprint, from);
-        // It may be that no daemon holds it by what it saw itself. One record is enough.
+        log_quarantined(daemon, fingerprint, from);
+        // Possibly no daemon quarantined the request by its own observations and stored it. The lease holder does so,
+        // since one record is enough.
         if daemon.fence().is_some() {
-            spawn_local(store_held(Rc::clone(daemon), fingerprint));
+            spawn_local(store_quarantined(Rc::clone(daemon), fingerprint));
         }
     }
 }
 
-/// Lets go of requests that nobody has asked for in a long time.
+/// Releases quarantined requests that no caller has sent again for [`HOLD_TIME`].
 pub fn release_expired(daemon: &Rc<DaemonState>) {
     let released = daemon.quarantine.borrow_mut().sweep(daemon.now());
     for fingerprint in released {
         slog::info!(daemon.log, "request-released"; "print" => %fingerprint);
         daemon.metrics.set_quarantined(daemon.quarantine.borrow().held().count());
-        // One record is enough.
+        // Only the lease holder appends the deletion, since one record is enough.
         if daemon.fence().is_some() {
             spawn_local(append(
                 Rc::clone(daemon),
@@ -195,12 +200,12 @@
     }
 }
 
-/// Writes a held request to the store, since all daemons may be replaced at once.
-async fn store_held(daemon: Rc<DaemonState>, fingerprint: Fingerprint) {
+/// Writes a quarantined request to the store, since all daemons may be replaced at once.
+async fn store_quarantined(daemon: Rc<DaemonState>, fingerprint: Fingerprint) {
     let crashes =
         daemon.quarantine.borrow().suspected_crashes(&fingerprint).into_iter().cloned().collect();
-    let held = HeldEntry { crashes };
-    append(daemon, FeedRecord { key: fingerprint.key(), value: Some(entries::encode(&held)) })
+    let entry = QuarantineRecord { crashes };
+    append(daemon, FeedRecord { key: fingerprint.key(), value: Some(entries::encode(&entry)) })
         .await;
 }
 
@@ -210,16 +215,16 @@
         if track_call(&daemon, Feed::Quarantine, call).await.is_ok() {
             return;
         }
-        sleep(STORE_PAUSE).await;
+        sleep(STORE_RETRY_DELAY).await;
     }
 }
 
-/// Reads which requests were held before this daemon started.
+/// Loads the requests that were quarantined before this daemon started.
 pub async fn load_quarantine(daemon: Rc<DaemonState>) {
     loop {
         let call = daemon.store.list_latest(Feed::Quarantine);
         let Ok(batch) = track_call(&daemon, Feed::Quarantine, call).await else {
-            sleep(STORE_PAUSE).await;
+            sleep(STORE_RETRY_DELAY).await;
             continue;
         };
         daemon.log_unreadable_records(Feed::Quarantine, &batch);
@@ -230,7 +235,7 @@
             match Fingerprint::try_from(record.key.as_str()) {
                 Ok(fingerprint) => {
                     daemon.quarantine.borrow_mut().hold(fingerprint, daemon.now());
-                    note_held(&daemon, fingerprint, "store");
+                    log_quarantined(&daemon, fingerprint, "store");
                 }
                 Err(error) => daemon.log_unreadable(Feed::Quarantine, &record.key, &error.0),
             }
