--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// Quarantines a request if the reports that peers have sent since then suffice for it.
+/// Quarantines a request if the evidence suffices by now; peers may have reported more since the last check.
 fn evaluate(daemon: &Rc<DaemonState>, fingerprint: Fingerprint) {
     let is_held = daemon.quarantine.borrow_mut().evaluate(fingerprint, daemon.now());
     if is_held {
@@ -176,8 +176,8 @@
     let held = daemon.quarantine.borrow_mut().merge(report, daemon.now());
     for fingerprint in held {
         log_quarantined(daemon, fingerprint, from);
-        // Possibly no daemon quarantined the request by its own observations and stored it. The lease holder does so,
-        // since one record is enough.
+        // If every daemon learned of the request only from reports, none has stored it. Only the lease holder writes
+        // the record, since one is enough.
         if daemon.fence().is_some() {
             spawn_local(store_quarantined(Rc::clone(daemon), fingerprint));
         }
