--- a/lib/src/serve.rs
+++ b/lib/src/serve.rs
@@ -1,4 +1,5 @@
-//! The path of a request through an entry host, a filter each: accept, route, wait, send, relay.
+//! The entry daemon. A request is accepted, routed, queued for a model, sent to a backend server and relayed
+//! back; other tasks exchange state with the store, peers and engines.
 
 pub mod accept;
 pub mod active_request;
--- a/lib/src/serve/adapter_loading.rs
+++ b/lib/src/serve/adapter_loading.rs
@@ -1,4 +1,4 @@
-//! The lease holder's orders for adapters, which take milliseconds where models take seconds.
+//! Loads adapters on engines for the lease holder. An adapter takes milliseconds to load, a model seconds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::serve::placement_controller::PlacementController;
 
 impl PlacementController {
-    /// Loads an adapter, and notes what came of it.
+    /// Loads an adapter, records the result in the engine table and publishes the engine's inventory.
     pub(super) async fn run_adapter_load(
         self: Rc<Self>,
         server: ServerInstance,
         job: AdapterJob,
         fence: Fence,
     ) {
-        let result = self.carry_out_adapter(&server, &job, fence).await;
+        let result = self.send_adapter_orders(&server, &job, fence).await;
         let daemon = &self.daemon;
         let now = daemon.now();
         slog::info!(daemon.log, "adapter"; "server" => %server, "model" => job.model.as_str(),
@@ -32,11 +32,11 @@
             engine.adapter_jobs.retain(|a| *a != job);
             match result {
                 Ok(()) => {
-                    let held = engine.models.iter_mut().find(|m| m.name == job.model);
-                    if let Some(held) = held
-                        && !held.adapters.contains(&job.adapter)
+                    let loaded = engine.models.iter_mut().find(|m| m.name == job.model);
+                    if let Some(loaded) = loaded
+                        && !loaded.adapters.contains(&job.adapter)
                     {
-                        held.adapters.push(job.adapter.clone());
+                        loaded.adapters.push(job.adapter.clone());
                         engine.changed = now;
                     }
                 }
@@ -49,20 +49,20 @@
         self.publish_inventory(&server, &job.model, fence);
     }
 
-    async fn carry_out_adapter(
+    async fn send_adapter_orders(
         &self,
         server: &ServerInstance,
         job: &AdapterJob,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
-        // Orders to one engine go one after the other: each expects the number of those before.
+        // Orders to one engine are sent one at a time: each names the number of orders accepted before it.
         while self
             .with_engine(server, |e| e.adapter_jobs.first().is_some_and(|first| first != job))
             .unwrap_or(false)
         {
             sleep(Duration::from_millis(3)).await;
         }
-        let change = self.engine_orders.begin_orders(server, fence);
+        let orders_guard = self.engine_orders.begin_orders(server, fence);
         if let Some((model, adapter)) = &job.victim {
             self.engine_orders
                 .execute(server, OrderKind::Unload, model, Some(adapter), fence)
@@ -71,7 +71,7 @@
         self.engine_orders
             .execute(server, OrderKind::Load, &job.model, Some(&job.adapter), fence)
             .await?;
-        drop(change);
+        drop(orders_guard);
         sleep(ADAPTER_LOAD_TIME).await;
         Ok(())
     }
--- a/lib/src/serve/apply_updates.rs
+++ b/lib/src/serve/apply_updates.rs
@@ -1,4 +1,5 @@
-//! Follows the platform's feed of daemons, and takes in what the store and peers tell.
+//! Applies configurations and server entries from the store and from peers to the daemon's state, and reads the
+//! platform's list of daemons.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,19 +24,19 @@
 use crate::store::FeedRecord;
 use crate::store::StoreError;
 
-/// The source of what a peer relays, in the log.
+/// Source of an update that a peer relayed, as logged under `from`.
 pub const FROM_PEER: &str = "peer";
-/// Key of the configuration's record.
+/// Key of the configuration's record in its feed.
 pub const CONFIG_KEY: &str = "config";
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Times of the looks at the list of daemons after this one is listed. Of two daemons that start together at
-/// least one finds the other in its first look, and tells it its state; the second look is for datagrams that
-/// were lost.
-const DAEMON_LOOKS: [Duration; 2] = [Duration::ZERO, Duration::from_secs(3)];
+/// Unit of the delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Times at which the list of daemons is read, counted from this daemon's own entry. Of two daemons that instance
+/// together at least one finds the other in its first read and sends it its state; the second read covers lost
+/// datagrams.
+const DAEMON_READS: [Duration; 2] = [Duration::ZERO, Duration::from_secs(3)];
 
-/// Takes in a configuration; an older one than that in force changes nothing, nor does one that cannot
-/// be read. Returns whether it can be read.
+/// Puts a configuration into force if it is newer than the current one. Returns whether it could be parsed; one
+/// that could not changes nothing.
 pub fn apply_config(daemon: &DaemonState, raw: &Bytes, from: &str) -> bool {
     let config = match daemon.protocol.parse_configuration(raw) {
         Ok(config) => config,
@@ -59,11 +60,19 @@
     true
 }
 
-/// Reads a server's entry.
-fn read_server(daemon: &DaemonState, key: &ServerId, raw: &[u8]) -> Result<Server, FormatError> {
+/// Parses a server's entry.
+///
+/// # Errors
+///
+/// The entry is malformed, or names another service than the known entry.
+fn parse_server_entry(
+    daemon: &DaemonState,
+    key: &ServerId,
+    raw: &[u8],
+) -> Result<Server, FormatError> {
     let server = daemon.protocol.parse_server(key, raw)?;
-    // A server stays in its service. Another writer's entry under its id, with a greater heartbeat,
-    // would hide all that the server itself says.
+    // A server never changes its service. An entry that another writer put under its id, with a greater
+    // heartbeat, would hide all later entries of the server itself.
     let directory = daemon.directory.borrow();
     match directory.get(key).filter(|known| known.service != server.service) {
         Some(known) => Err(FormatError(format!("its service was {} before", known.service))),
@@ -71,7 +80,7 @@
     }
 }
 
-/// Takes in one server's entry, or its removal.
+/// Applies one server's entry, or its removal if `value` is `None`.
 pub fn apply_server(
     daemon: &DaemonState,
     key: &ServerId,
@@ -79,20 +88,20 @@
     from: &str,
 ) -> Change {
     let now = daemon.now();
-    let read = value.map(|raw| (raw, read_server(daemon, key, raw)));
-    if let Some((_, Err(error))) = &read {
+    let parsed = value.map(|raw| (raw, parse_server_entry(daemon, key, raw)));
+    if let Some((_, Err(error))) = &parsed {
         daemon.log_unreadable(Feed::Servers, key, &error.0);
     } else {
         daemon.unreadable.borrow_mut().clear(Feed::Servers, key);
     }
     let mut directory = daemon.directory.borrow_mut();
-    let change = match read {
+    let change = match parsed {
         None => directory.remove(key, now),
         Some((raw, Ok(server))) if from == FROM_PEER => {
             directory.put_relayed(server, raw.clone(), now)
         }
         Some((raw, Ok(server))) => directory.put(server, raw.clone(), now),
-        Some((_, Err(_unread))) => directory.suspend(key, now),
+        Some((_, Err(_unreadable))) => directory.suspend(key, now),
     };
     drop(directory);
     if change != Change::None {
@@ -101,8 +110,8 @@
     change
 }
 
-/// Takes in that the record under a key names no server.
-fn take_unread(daemon: &DaemonState, key: &ServerId) -> Change {
+/// Suspends the server under a key whose record cannot be parsed.
+fn suspend_unreadable(daemon: &DaemonState, key: &ServerId) -> Change {
     let change = daemon.directory.borrow_mut().suspend(key, daemon.now());
     if change != Change::None {
         log_change(daemon, key, change, "store");
@@ -110,11 +119,11 @@
     change
 }
 
-/// Takes in that somebody named a start of a server, and returns how it stands to the newest one.
-pub fn apply_start(daemon: &DaemonState, start: &ServerInstance, from: &str) -> InstanceOrder {
-    let order = daemon.directory.borrow_mut().observe_instance(start, daemon.now());
-    if order == InstanceOrder::Newer && daemon.directory.borrow().is_current(start) {
-        log_change(daemon, &start.id, Change::Restarted, from);
+/// Records an instance that a peer, a server or a report named. Returns how it compares with the newest known one.
+pub fn apply_start(daemon: &DaemonState, instance: &ServerInstance, from: &str) -> InstanceOrder {
+    let order = daemon.directory.borrow_mut().observe_instance(instance, daemon.now());
+    if order == InstanceOrder::Newer && daemon.directory.borrow().is_current(instance) {
+        log_change(daemon, &instance.id, Change::Restarted, from);
         on_servers_changed(daemon);
     }
     order
@@ -131,7 +140,7 @@
         "born" => server.and_then(|s| s.born).unwrap_or(0), "feed_end" => directory.feed_end());
 }
 
-/// Takes in records of the servers' feed; the whole list, or what came after what was read before.
+/// Applies records of the servers' feed: the whole list if `is_whole`, otherwise those after the last read.
 pub fn apply_server_batch(daemon: &DaemonState, batch: &Batch, is_whole: bool) {
     let mut changed = false;
     daemon.directory.borrow_mut().record_read(daemon.now());
@@ -140,14 +149,15 @@
         changed |=
             apply_server(daemon, &record.key, record.value.as_ref(), "store") != Change::None;
     }
-    let unread: Vec<&SmolStr> = batch.unreadable.iter().filter_map(|r| r.key.as_ref()).collect();
-    for key in &unread {
-        changed |= take_unread(daemon, key) != Change::None;
+    let unreadable_keys: Vec<&SmolStr> =
+        batch.unreadable.iter().filter_map(|r| r.key.as_ref()).collect();
+    for key in &unreadable_keys {
+        changed |= suspend_unreadable(daemon, key) != Change::None;
     }
     if is_whole {
-        // A record that cannot be read is there all the same.
-        let read = batch.records.iter().map(|r| &r.key);
-        let listed: Vec<SmolStr> = read.chain(unread).cloned().collect();
+        // An unreadable record still counts as listed.
+        let parsed_keys = batch.records.iter().map(|r| &r.key);
+        let listed: Vec<SmolStr> = parsed_keys.chain(unreadable_keys).cloned().collect();
         let missing = daemon.directory.borrow().missing(&listed);
         for id in missing {
             changed |= apply_server(daemon, &id, None, "store") != Change::None;
@@ -165,26 +175,26 @@
     }
 }
 
-/// Drops servers whose entries did not come back in time, and takes up those that have.
+/// Drops servers whose entries did not return in time, and accepts those whose entries have returned.
 pub fn sweep_servers(daemon: &DaemonState) {
-    let gone = daemon.directory.borrow_mut().sweep(daemon.now());
-    for id in &gone {
+    let expired = daemon.directory.borrow_mut().sweep(daemon.now());
+    for id in &expired {
         slog::info!(daemon.log, "server"; "server" => %id, "change" => "Gone", "from" => "store");
     }
-    let back = daemon.directory.borrow_mut().confirm_returns(daemon.now());
-    for id in &back {
+    let returned = daemon.directory.borrow_mut().confirm_returns(daemon.now());
+    for id in &returned {
         log_change(daemon, id, Change::Joined, "store");
     }
-    if !gone.is_empty() || !back.is_empty() {
+    if !expired.is_empty() || !returned.is_empty() {
         on_servers_changed(daemon);
         daemon.report_due.notify_one();
     }
 }
 
-/// Tells the parts that depend on the list of servers.
+/// Discards state of instances that are no longer current, and wakes tasks that depend on the list of servers.
 pub fn on_servers_changed(daemon: &DaemonState) {
     let directory = daemon.directory.borrow();
-    let is_known = |start: &ServerInstance| directory.is_current(start);
+    let is_known = |instance: &ServerInstance| directory.is_current(instance);
     daemon.health.borrow_mut().retain(is_known);
     daemon.inventories.borrow_mut().retain(is_known);
     daemon.workloads.retain(daemon.now(), is_known);
@@ -194,39 +204,40 @@
     daemon.plan_due.notify_one();
 }
 
-/// Lists this daemon in the store, and learns of the others.
+/// Registers this daemon in the store, and reads the list of the others.
 pub async fn follow_daemons(daemon: Rc<DaemonState>) {
     let settings = daemon.settings();
-    let me = DaemonEntry {
+    let entry = DaemonEntry {
         addr: settings.peer,
         process: daemon.process,
         centre: settings.centre.clone(),
         small: settings.host.is_small(),
     };
-    let record = || FeedRecord { key: settings.id.clone(), value: Some(entries::encode(&me)) };
+    let record = || FeedRecord { key: settings.id.clone(), value: Some(entries::encode(&entry)) };
     loop {
         let call = daemon.store.append(Feed::Daemons, record(), None);
         if track_call(&daemon, Feed::Daemons, call).await.is_ok() {
             break;
         }
-        sleep(PAUSE * 2).await;
+        sleep(RETRY_DELAY * 2).await;
     }
-    let mut before = Duration::ZERO;
+    let mut last_read = Duration::ZERO;
     let mut from = None;
-    for look in DAEMON_LOOKS {
-        sleep(look.saturating_sub(before)).await;
-        // In a large fleet the second one would cost hundreds of calls, and newcomers tell all their state thrice.
+    for read_at in DAEMON_READS {
+        sleep(read_at.saturating_sub(last_read)).await;
+        // In a large fleet a second read by every daemon would cost hundreds of calls, and new daemons send all
+        // their state three times anyway.
         if from.is_some() && daemon.is_large_fleet() {
             return;
         }
-        before = look;
-        from = Some(look_at_daemons(&daemon, from).await);
+        last_read = read_at;
+        from = Some(read_daemons(&daemon, from).await);
         daemon.peers_known.set(true);
     }
 }
 
-/// Reads the list of daemons, from an offset on where one is known; returns where to read on.
-async fn look_at_daemons(daemon: &DaemonState, mut from: Option<Offset>) -> Offset {
+/// Reads the list of daemons, or only its changes if `from` is set. Returns the offset of the next read.
+async fn read_daemons(daemon: &DaemonState, mut from: Option<Offset>) -> Offset {
     loop {
         let call = match from {
             None => daemon.store.list_latest(Feed::Daemons),
@@ -234,16 +245,16 @@
         };
         match track_call(daemon, Feed::Daemons, call).await {
             Ok(batch) => {
-                take_daemons(daemon, &batch);
+                apply_daemons(daemon, &batch);
                 return batch.end;
             }
             Err(StoreError::Expired) => from = None,
-            Err(_failed) => sleep(PAUSE * 4).await,
+            Err(_failed) => sleep(RETRY_DELAY * 4).await,
         }
     }
 }
 
-fn take_daemons(daemon: &DaemonState, batch: &Batch) {
+fn apply_daemons(daemon: &DaemonState, batch: &Batch) {
     let id = &daemon.settings().id;
     let now = daemon.now();
     daemon.log_unreadable_records(Feed::Daemons, batch);
