--- a/lib/src/serve/apply_updates.rs
+++ b/lib/src/serve/apply_updates.rs
@@ -30,7 +30,7 @@
 pub const CONFIG_KEY: &str = "config";
 /// Unit of the delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Times at which the list of daemons is read, counted from this daemon's own entry. Of two daemons that instance
+/// Times at which the list of daemons is read, counted from this daemon's own entry. Of two daemons that start
 /// together at least one finds the other in its first read and sends it its state; the second read covers lost
 /// datagrams.
 const DAEMON_READS: [Duration; 2] = [Duration::ZERO, Duration::from_secs(3)];
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -53,166 +53,166 @@
 use crate::store::Feed;
 use crate::store::Store;
 
-/// Megabits a second from which a host's link carries the lease holder's word to a fleet of many daemons, which comes
-/// in bursts, beside engines' reports and callers' streams.
-const HOLDER_LINK: f64 = 50.0;
-/// Part of a core from which a host can hold the lease of such a fleet: its plans come beside callers' requests.
-const HOLDER_CORE: f64 = 0.2;
-/// Numbers that a process's identity is drawn from, where it stands for chance.
-const DRAWS: u64 = 1000;
-/// A daemon that lives by readers' words asks the store for the configuration itself when they have told nothing of
-/// it for this long: two readers' calls may have been lost by then, and callers notice after three seconds.
-const WORD_BLIND: Duration = Duration::from_secs(2);
+/// Link speed in Mbit/s that a lease holder of a large fleet needs: it sends inventories to many daemons in bursts,
+/// beside engines' reports and callers' streams.
+const MIN_HOLDER_MBPS: f64 = 50.0;
+/// CPU cores that a lease holder of a large fleet needs: it plans loads beside serving callers' requests.
+const MIN_HOLDER_CORES: f64 = 0.2;
+/// Resolution of the pseudo-random fraction of the bid delay, which is derived from the process id.
+const BID_DELAY_STEPS: u64 = 1000;
+/// A daemon that relies on readers polls the store for the configuration itself once their reports have not confirmed
+/// it for this long. Calls of two readers may have been lost by then, and callers notice after three seconds.
+const MAX_UNCONFIRMED: Duration = Duration::from_secs(2);
 
 /// Checked settings of an entry daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntrySettings {
-    /// Its name.
+    /// The daemon's id, unique in the fleet.
     pub id: DaemonId,
-    /// Its data centre.
+    /// The data centre of its host.
     pub centre: CentreId,
-    /// Where callers connect.
+    /// Address on which callers' HTTP requests are accepted.
     pub front: SocketAddr,
-    /// Where the balancer asks for readiness.
+    /// Address of the load balancer's readiness check.
     pub ready: SocketAddr,
-    /// Where operators ask for metrics.
+    /// Address on which metrics are served.
     pub metrics: SocketAddr,
-    /// Where other daemons connect and send datagrams.
+    /// Address for other daemons' connections (TCP) and digests (UDP).
     pub peer: SocketAddr,
-    /// Other daemons that may help while the store does not answer.
+    /// Peer addresses of daemons to fetch state from while the store does not answer.
     pub seeds: Vec<SocketAddr>,
-    /// Repeated sends of all daemons together.
+    /// Retry budget that all daemons share.
     pub budget: BudgetLimits,
     /// Time between SIGTERM and the kill that follows it.
     pub grace: Duration,
-    /// Time within which a server that leaves must get nothing more.
+    /// Time within which a leaving server must stop receiving requests.
     pub drain: Duration,
     /// Whether engines refuse orders with an old fencing number.
     pub fenced: bool,
-    /// How long orders of two holders must lie apart where engines do not check.
+    /// Least time between the orders of two successive lease holders if engines do not check fencing numbers.
     pub apart: Duration,
-    /// Length of the window in which loads from the weight store are counted.
+    /// Length of the window over which fetches are counted.
     pub load_window: Duration,
-    /// A configuration of which nobody has said for longer that it is the newest may lack a route that operators have
-    /// added since.
+    /// Age from which a configuration that nobody has confirmed as the newest counts as stale: it may lack a route that
+    /// operators have added since.
     pub stale_after: Duration,
-    /// What the host gives.
+    /// CPU and link of the host.
     pub host: HostSize,
-    /// Daemons from which on they hear of each other through readers. A change counts from the next start on.
+    /// Number of daemons from which a fleet is large, so that daemons get state through readers. A change takes
+    /// effect at the next start of the process.
     pub readers_from: usize,
 }
 
-/// The size of a host.
+/// CPU and link capacity of a host that the daemon may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostSize {
-    /// Part of a core, over all cores.
+    /// CPU share in cores, summed over all cores.
     pub core: f64,
-    /// Megabits a second of its link.
+    /// Link speed in Mbit/s.
     pub link: f64,
 }
 
 impl HostSize {
-    /// Returns whether it is better not to lay the work for many daemons on it.
+    /// Returns whether a lease holder or reader of a large fleet should preferably run on another host.
     pub fn is_small(self) -> bool {
-        self.link < HOLDER_LINK || self.core < HOLDER_CORE
+        self.link < MIN_HOLDER_MBPS || self.core < MIN_HOLDER_CORES
     }
 }
 
-/// The shared state.
+/// State of one entry daemon, shared by its tasks.
 #[derive(Debug)]
 pub struct DaemonState {
     /// Settings as of the last reload.
     pub settings: RefCell<Rc<EntrySettings>>,
-    /// This process.
+    /// Identity of this process; a restarted daemon has a new one.
     pub process: ProcessId,
-    /// The clock.
     clock: Rc<dyn HostClock>,
-    /// What callers, servers and the platform speak.
+    /// Formats of messages to and from callers, backend servers, engines and the platform.
     pub protocol: Rc<dyn Protocol>,
     /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// Connections.
+    /// Connections to backend servers.
     pub pool: ConnectionPool,
-    /// The configuration, swapped whole; none before the first.
+    /// The configuration in force, replaced as a whole; `None` before the first.
     pub config: RefCell<Option<Rc<Configuration>>>,
-    /// The configuration as the platform wrote it.
+    /// The bytes from which `config` was parsed, relayed to peers as they are.
     pub raw_config: RefCell<Bytes>,
-    /// The servers.
+    /// Known backend servers.
     pub directory: RefCell<Directory>,
-    /// What engines hold.
+    /// What each engine has loaded and is loading, as the lease holder publishes it.
     pub inventories: RefCell<EngineInventories>,
-    /// Work at servers.
+    /// Requests in progress at each server.
     pub workloads: Workloads,
-    /// Servers to avoid.
+    /// Servers that are avoided after failures.
     pub health: RefCell<ServerHealth>,
-    /// How long requests run at engines.
+    /// Run times of requests at engines.
     pub run_times: RunTimes,
-    /// Repeated sends.
+    /// Retry budgets by service.
     pub retry_budgets: RefCell<RetryBudgets>,
-    /// Limits that servers name.
+    /// Rate limits that servers advertise.
     pub rate_limits: RefCell<RateLimits>,
-    /// Requests under which servers crashed.
+    /// Requests held back because servers crashed under them.
     pub quarantine: RefCell<Quarantine>,
-    /// Suspects at engines.
+    /// Trials of suspected requests in progress at engines.
     pub trials: Trials,
     /// The other daemons.
     pub peers: RefCell<PeerTable>,
-    /// Waiting requests.
+    /// Requests that wait for a model to be loaded.
     pub model_waits: ModelWaits,
-    /// Whether the store's list of daemons was read.
+    /// Whether the store's list of daemons was read at least once.
     pub peers_known: Cell<bool>,
-    /// Whether this daemon reads the store for its data centre, and since when it should.
+    /// Whether this daemon polls the store for its data centre, and since when it is due to.
     pub reader_role: RefCell<ReaderRole>,
-    /// What the list of servers stands on.
+    /// How recent the directory and the configuration are, by own reads and reader reports.
     pub freshness: Freshness,
-    /// Signalled when readers should tell their words at once.
+    /// Signalled when a reader should send its report at once.
     pub report_due: Notify,
-    /// Signalled when peers should hear at once of a request that crashes servers.
+    /// Signalled when a crash report or quarantine must be sent to peers at once.
     pub quarantine_changed: Notify,
-    /// Signalled when a reader tells of something that has to be fetched from it.
+    /// Signalled when a digest or reader report shows that state must be fetched from a peer.
     pub fetch_due: Notify,
-    /// The placement lease.
+    /// The placement lease, as this daemon holds it or bids for it.
     pub lease: RefCell<LeaseState>,
-    /// Signalled when orders wait for a record of the lease that lists their engine.
+    /// Signalled when an order waits until a lease record that lists its engine is stored.
     pub renewal_due: Notify,
-    /// Signalled when such a record is in the store.
+    /// Signalled when such a record has been stored.
     pub lease_renewed: Notify,
-    /// Demand of all daemons, filled at the holder of the lease.
+    /// Demand reported by all daemons; filled only at the lease holder.
     pub demand: RefCell<Demand>,
-    /// Engines as the holder knows them.
+    /// State of each engine, kept by the lease holder.
     pub engine_table: RefCell<EngineTable>,
-    /// Wakes the holder.
+    /// Signalled when the lease holder should plan again.
     pub plan_due: Notify,
-    /// Wakes those who tell peers of a version that has come into force.
+    /// Signalled when a new configuration version is in force and must be sent to peers.
     pub config_changed: Notify,
-    /// Tells that a peer has a later version of the configuration.
+    /// Signalled when a peer has a later configuration version.
     pub newer_config: Notify,
     /// When the store last answered.
     pub store_answered: Cell<Moment>,
-    /// Whether the store answers, by feed.
+    /// Whether the store answers calls, by feed.
     pub store_health: RefCell<StoreHealth>,
-    /// Signalled when a feed is answered again.
+    /// Signalled when the store answers calls for a feed again.
     pub store_recovered: Notify,
-    /// The stop that SIGTERM began.
+    /// The graceful stop that SIGTERM began; `None` if the daemon is not stopping.
     pub stopping: Cell<Option<GracefulStop>>,
-    /// Whether a stop is over, so that what is in progress is given up.
+    /// Whether the time for a graceful stop is over, so that requests in progress are aborted.
     pub aborting: watch::Sender<bool>,
-    /// Records of the store that cannot be read.
+    /// Records of the store that cannot be parsed.
     pub unreadable: RefCell<UnreadableRecords>,
-    /// Requests of callers whose answers are not all written.
+    /// Number of callers' requests whose responses are not fully written.
     pub active: Cell<u32>,
-    /// Whether this daemon is cut off from other data centres and the store.
+    /// Whether this daemon is isolated: it reaches neither other data centres nor the store.
     pub isolated: Cell<bool>,
-    /// Chance.
+    /// Random numbers.
     pub random: RefCell<RandomSource>,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// The log.
+    /// The daemon's structured log.
     pub log: Logger,
 }
 
 impl DaemonState {
-    /// Joins the parts of a daemon that knows nothing yet.
+    /// Creates the state of a daemon that has read nothing from the store or peers.
     pub fn new(
         settings: EntrySettings,
         process: ProcessId,
@@ -223,14 +223,14 @@
         clock: Rc<dyn HostClock>,
     ) -> Rc<Self> {
         let peers = PeerTable::new(settings.readers_from);
-        // Set anew before each bid.
-        let patience = Duration::ZERO;
+        // Replaced before each bid.
+        let bid_delay = Duration::ZERO;
         let lease = LeaseState::new(
             settings.id.clone(),
             process,
             settings.fenced,
             settings.apart,
-            patience,
+            bid_delay,
         );
         Rc::new(Self {
             retry_budgets: RefCell::new(RetryBudgets::new(settings.budget)),
@@ -280,150 +280,152 @@
         })
     }
 
-    /// Returns the time since this host's start.
+    /// Returns the time since the host's boot.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// Returns the settings of this moment.
+    /// Returns the settings in force; a later reload does not change them.
     pub fn settings(&self) -> Rc<EntrySettings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Returns the configuration of this moment.
+    /// Returns the configuration in force; `None` before the first.
     pub fn config(&self) -> Option<Rc<Configuration>> {
         self.config.borrow().clone()
     }
 
-    /// Returns the version of the configuration; 0 before the first.
+    /// Returns the version of the configuration in force; 0 before the first.
     pub fn config_version(&self) -> ConfigVersion {
         self.config.borrow().as_ref().map_or(0, |c| c.version)
     }
 
-    /// Returns whether a peer that is in reach has a later version of the configuration.
+    /// Returns whether a reachable peer has a later version of the configuration.
     pub fn is_behind(&self) -> bool {
         let version = self.config_version();
         self.peers.borrow().reachable(self.now()).any(|(_, peer)| peer.config_version > version)
     }
 
-    /// Returns whether this daemon asks the store for the configuration often, on behalf of its data centre.
+    /// Returns whether this daemon polls the store for the configuration at short intervals: on behalf of its data
+    /// centre, or in a large fleet because reader reports have not confirmed it recently.
     pub fn polls_config(&self) -> bool {
         let settings = self.settings.borrow();
         let peers = self.peers.borrow();
         if peers.is_large_fleet() {
-            return self.is_reader() || self.config_age(self.now()) > WORD_BLIND;
+            return self.is_reader() || self.config_age(self.now()) > MAX_UNCONFIRMED;
         }
         peers.polls_config(&settings.id, &settings.centre, self.now())
     }
 
-    /// Returns whether the fleet is so large that daemons hear of each other through readers.
+    /// Returns whether the fleet has enough daemons that they get each other's state through readers.
     pub fn is_large_fleet(&self) -> bool {
         self.peers.borrow().is_large_fleet()
     }
 
-    /// Returns whether this daemon reads the store for its data centre.
+    /// Returns whether this daemon polls the store for its data centre.
     pub fn is_reader(&self) -> bool {
         self.reader_role.borrow().is_reader()
     }
 
-    /// Returns whether this daemon knows the platform by the words of readers.
+    /// Returns whether this daemon gets the store's state through reader reports.
     pub fn relies_on_readers(&self) -> bool {
         self.is_large_fleet() && !self.is_reader()
     }
 
-    /// Returns whether this daemon reads the servers' feed all the time: for others, for its orders, or since the
-    /// fleet is small.
+    /// Returns whether this daemon polls the servers' feed itself: as a reader, as the lease holder for its orders, or
+    /// because the fleet is small.
     pub fn polls_servers(&self) -> bool {
         !self.relies_on_readers() || self.held_fence().is_some()
     }
 
-    /// Returns this daemon's place in the order of readers.
+    /// Returns this daemon's rank among candidates for the reader role.
     pub fn reader_rank(&self) -> ReaderRank {
         let is_small = self.settings.borrow().host.is_small();
         ReaderRank { is_small, process: self.process }
     }
 
-    /// Returns whether new callers are welcome.
+    /// Returns whether the load balancer should send new callers here.
     pub fn is_ready(&self) -> bool {
         self.stopping.get().is_none() && self.config.borrow().is_some() && !self.isolated.get()
     }
 
-    /// Returns until when a request may begin here that must be answered by `deadline`.
+    /// Returns the latest time at which a request with this deadline may be started.
     pub fn latest_start(&self, deadline: Moment) -> Moment {
         self.stopping.get().map_or(Moment::MAX, |stop| stop.latest_start(deadline))
     }
 
-    /// Waits until what is in progress is given up, because a stop is over.
+    /// Waits until the time for a graceful stop is over, when requests in progress are aborted.
     pub async fn aborted(&self) {
-        let mut ending = self.aborting.subscribe();
-        let told = ending.wait_for(|is_over| *is_over).await;
-        debug_assert!(told.is_ok(), "the sender lives as long as this");
+        let mut aborting = self.aborting.subscribe();
+        let result = aborting.wait_for(|is_over| *is_over).await;
+        debug_assert!(result.is_ok(), "the sender lives as long as this");
     }
 
-    /// Returns whether callers should leave this daemon after their answer.
+    /// Returns whether a caller's connection is closed after its response.
     pub fn closes_connections(&self) -> bool {
         self.stopping.get().is_some() || self.isolated.get()
     }
 
-    /// Returns for how long the store has not said whether the configuration changed, to this daemon or to a
-    /// reader that told so.
+    /// Returns the time since the store last confirmed the configuration to this daemon, or to a reader that reported
+    /// it.
     pub fn config_age(&self, now: Moment) -> Duration {
-        let told = now.saturating_sub(self.freshness.config_at.get());
-        self.store_health.borrow().silence(Feed::Configuration, now).min(told)
+        let reported_age = now.saturating_sub(self.freshness.config_at.get());
+        self.store_health.borrow().silence(Feed::Configuration, now).min(reported_age)
     }
 
-    /// Returns for how long the store has answered neither this daemon nor a reader that told so.
+    /// Returns the time since the store last answered this daemon, or a reader that reported it.
     pub fn store_silence(&self, now: Moment) -> Duration {
         now.saturating_sub(self.store_answered.get().max(self.freshness.servers_at.get()))
     }
 
-    /// Returns whether operators may have written a version that this daemon does not follow: it has heard of one, or
-    /// nobody has told for too long that there is none.
+    /// Returns whether operators may have written a later configuration version: a peer has one, or nobody has
+    /// confirmed the current one for `stale_after`.
     pub fn is_config_stale(&self, now: Moment) -> bool {
-        let told = now.saturating_sub(self.peers.borrow().config_checked(self.config_version()));
-        let age = self.config_age(now).min(told);
+        let peers_age =
+            now.saturating_sub(self.peers.borrow().config_checked(self.config_version()));
+        let age = self.config_age(now).min(peers_age);
         age > self.settings.borrow().stale_after || self.is_behind()
     }
 
-    /// Returns the fencing number while this daemon may give orders.
+    /// Returns the fencing number if this daemon may send orders now.
     pub fn fence(&self) -> Option<Fence> {
         self.lease.borrow().fence(self.now())
     }
 
-    /// Returns the fencing number of this daemon's tenure, though orders may be paused.
+    /// Returns the fencing number if this daemon holds the lease, even while it may not send orders.
     pub fn held_fence(&self) -> Option<Fence> {
         self.lease.borrow().held_fence()
     }
 
-    /// Returns how long this daemon waits before it bids for a lease that nobody holds.
+    /// Returns how long this daemon waits before it bids for a free lease.
     pub fn bid_delay(&self) -> Duration {
         let rank = self.reader_rank();
         let bidders = self.peers.borrow().bidders(rank.is_small);
-        let draw = (self.process % DRAWS) as f64 / DRAWS as f64;
-        bidders.bid_delay(rank.is_small, draw)
+        let fraction = (self.process % BID_DELAY_STEPS) as f64 / BID_DELAY_STEPS as f64;
+        bidders.bid_delay(rank.is_small, fraction)
     }
 
-    /// Returns whether the budget has a repeated send left.
+    /// Returns whether the retry budget of a service has a retry left.
     pub fn has_retry(&self, service: &ServiceName) -> bool {
         let daemons = self.peers.borrow().daemons();
         self.retry_budgets.borrow_mut().has_retry(service, self.now(), daemons)
     }
 
-    /// Takes one repeated send out of the budget.
+    /// Takes one retry from the budget of a service; returns `false` if none is left.
     pub fn take_retry(&self, service: &ServiceName) -> bool {
         let daemons = self.peers.borrow().daemons();
         self.retry_budgets.borrow_mut().take_retry(service, self.now(), daemons)
     }
 
-    /// Takes in evidence about a start of a server.
+    /// Records evidence about the health of a server instance, unless it is no longer the current one.
     pub fn record_health(
         &self,
         service: &ServiceName,
         server: &ServerInstance,
         evidence: Evidence,
     ) {
-        // Requests fail at a start that is over long after the next one serves: a pause would keep
-        // callers from a sound server.
+        // Requests to an ended instance still fail long after the next one serves. Counting these failures would
+        // keep callers from a healthy server.
         if !self.directory.borrow().is_current(server) {
             return;
         }
@@ -434,7 +436,7 @@
         }
     }
 
-    /// Counts a record of the store that cannot be read, and logs it where that is news.
+    /// Counts an unreadable record, and logs it if its reason is new and the log's rate limit allows.
     pub fn log_unreadable(&self, feed: Feed, key: &str, reason: &str) {
         self.metrics.unread(feed.name());
         let note = self.unreadable.borrow_mut().record(feed, key, reason, self.now());
@@ -444,7 +446,7 @@
         }
     }
 
-    /// Takes in which records of a batch could not be read.
+    /// Counts and logs the unreadable records of a batch.
     pub fn log_unreadable_records(&self, feed: Feed, batch: &Batch) {
         for record in &batch.unreadable {
             let key = record.key.as_ref().map_or(record.shown.as_str(), |key| key.as_str());
@@ -452,7 +454,7 @@
         }
     }
 
-    /// Takes in the lease holder's word on what engines hold, and wakes those that wait for it.
+    /// Applies engine inventories that the lease holder published, and wakes requests that wait for a model.
     pub fn update_inventory(&self, fence: Fence, list: Vec<EngineInventory>) {
         let now = self.now();
         for inventory in list {
@@ -461,9 +463,9 @@
         self.model_waits.inventories_changed.notify_waiters();
     }
 
-    /// Calls `f` with what a choice of servers looks at.
+    /// Calls `f` with a [`Chooser`] that borrows the current state.
     pub fn with_chooser<T>(&self, f: impl FnOnce(&Chooser<'_>) -> T) -> T {
-        let turns = self.send_permits();
+        let send_permits = self.send_permits();
         let directory = self.directory.borrow();
         let inventories = self.inventories.borrow();
         let health = self.health.borrow();
@@ -474,7 +476,7 @@
             workloads: &self.workloads,
             health: &health,
             run_times: &self.run_times,
-            turns: &turns,
+            turns: &send_permits,
             centre: &settings.centre,
             now: self.now(),
             load_uncertainty: self.peers.borrow().unseen_requests(),
--- a/lib/src/serve/engine_client.rs
+++ b/lib/src/serve/engine_client.rs
@@ -1,4 +1,4 @@
-//! The border to engines' own interface.
+//! Interface for HTTP calls to engines.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use crate::serve::call::CallError;
 use crate::store::LocalFuture;
 
-/// An answer's status and body, or why there is none.
+/// A response's status and body, or why there is none.
 pub type CallResult = Result<(StatusCode, Bytes), CallError>;
 
 /// Makes calls to engines.
 pub trait EngineClient: fmt::Debug {
-    /// Makes a call to an engine at an address, which must be answered within `limit`.
+    /// Sends a request to `engine` at `addr`. The call fails if no response arrives within `limit`.
     fn call<'a>(
         &'a self,
         engine: &'a ServerInstance,
