--- a/lib/src/serve/engine_orders.rs
+++ b/lib/src/serve/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to one engine, given until they are accepted or known to be in vain.
+//! Sends orders to engines, and retries each until the engine accepts it or it is known to have failed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,90 +26,94 @@
 use crate::serve::engine_client::EngineClient;
 use crate::serve::orders_guard::OrdersGuard;
 
-/// Time for an engine's answer to an order or a question: many times what it takes.
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
-/// First pause before an engine that is busy with another order is asked again; doubled each time.
-const BUSY_PAUSE: Duration = Duration::from_millis(30);
-/// Longest such pause: unloading waits for requests that run, which takes seconds.
-const LONGEST_PAUSE: Duration = Duration::from_millis(480);
-/// Tries of an order that the engine refuses before its report is read.
-const TRIES: usize = 6;
-/// Tries without an answer, one after the other, after which an engine counts as out of reach: callers wait for what it
-/// was to load, and a cut-off data centre's engines never answer.
-const SILENT_TRIES: usize = 3;
-/// Times that the report is read before an order is given up.
-const REPORTS: usize = 10;
-/// Longest wait for an engine at work to show whether it carries out an order that it did not answer.
-const SETTLE_LIMIT: Duration = Duration::from_secs(20);
-/// Age of the oldest report that an engine gives.
-const REPORT_AGE: Duration = Duration::from_secs(1);
-/// An engine's report is some hundred milliseconds old.
+/// Timeout of a call to an engine; a response takes a small part of it.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// First delay before an order is sent again to an engine that is busy with another one; doubled each time.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(30);
+/// Longest such delay: unloading waits for requests in progress, which takes seconds.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(480);
+/// Number of tries that end in a conflict before the engine's report is read.
+const TRIES_PER_REPORT: usize = 6;
+/// Consecutive tries without a response after which an engine counts as unreachable. The number is low because callers
+/// wait for the model to be loaded, and engines of an isolated data centre never respond.
+const MAX_UNANSWERED_TRIES: usize = 3;
+/// Number of times that the report is read before an order is abandoned.
+const MAX_REPORTS: usize = 10;
+/// Longest wait until the report of a busy engine shows whether it carried out an order that it did not answer.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Greatest age of the state in an engine's report.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
+/// Usual age of the state in an engine's report.
 pub const REPORT_LAG: Duration = Duration::from_millis(100);
 
 /// Why an order was not carried out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderFailure {
-    /// The lease is no longer held.
+    /// This daemon no longer holds the lease.
     LeaseLost,
-    /// The engine is not as believed.
+    /// The engine's state differs from the engine table.
     Mismatch,
-    /// What the engine holds is not known, or the order does not fit it: a change before this one failed.
+    /// The engine's state is unverified, or does not allow the order, because an earlier change failed.
     Doubted,
-    /// The engine does not answer.
+    /// The engine is unresponsive.
     Silent,
-    /// The engine is gone or has started again: nothing of the order is left.
+    /// The engine was removed or has restarted; the order has no effect on a new instance.
     Ended,
 }
 
-/// Gives orders to engines.
+/// Sends orders to engines on behalf of the lease holder.
 #[derive(Debug)]
 pub struct EngineOrders {
     daemon: Rc<DaemonState>,
-    calls: Rc<dyn EngineClient>,
+    client: Rc<dyn EngineClient>,
 }
 
 impl EngineOrders {
-    /// Gives orders for a daemon.
-    pub fn new(daemon: Rc<DaemonState>, calls: Rc<dyn EngineClient>) -> Self {
-        Self { daemon, calls }
+    /// Sends orders through `client` on behalf of `daemon`.
+    pub fn new(daemon: Rc<DaemonState>, client: Rc<dyn EngineClient>) -> Self {
+        Self { daemon, client }
     }
 
-    /// Calls `f` with the engine table's page on one start of an engine, where there is one.
+    /// Calls `f` with the engine table's entry for an instance; returns `None` if there is none.
     pub fn with_engine<T>(
         &self,
-        start: &ServerInstance,
+        instance: &ServerInstance,
         f: impl FnOnce(&mut Engine) -> T,
     ) -> Option<T> {
-        self.daemon.engine_table.borrow_mut().engine_mut(start).map(f)
+        self.daemon.engine_table.borrow_mut().engine_mut(instance).map(f)
     }
 
-    /// Returns the server where the start that an order is meant for still runs, as far as known.
+    /// Returns the server of an order if the instance that the order is meant for is still its latest known one.
     ///
-    /// An id alone does not tell starts apart: the next one would carry out an order whose number of
-    /// accepted orders happens to be its own.
-    fn target(&self, start: &ServerInstance) -> Result<Rc<Server>, OrderFailure> {
+    /// The id alone does not distinguish instances: the next one would carry out an order whose expected number of
+    /// accepted orders happens to equal its own.
+    ///
+    /// # Errors
+    ///
+    /// The server was removed or has restarted.
+    fn target(&self, instance: &ServerInstance) -> Result<Rc<Server>, OrderFailure> {
         let directory = self.daemon.directory.borrow();
-        let server = directory.get(&start.id).filter(|s| s.born == start.born);
+        let server = directory.get(&instance.id).filter(|s| s.born == instance.born);
         server.cloned().ok_or(OrderFailure::Ended)
     }
 
-    /// Ends what waits for an engine that is gone or has started again.
+    /// Checks that an instance is still the latest known one of its server; callers stop waiting for it otherwise.
     ///
     /// # Errors
     ///
-    /// The start is over.
-    pub fn check_instance(&self, start: &ServerInstance) -> Result<(), OrderFailure> {
-        self.target(start).map(|_server| ())
+    /// The engine was removed or has restarted.
+    pub fn check_instance(&self, instance: &ServerInstance) -> Result<(), OrderFailure> {
+        self.target(instance).map(|_server| ())
     }
 
-    /// Gives one order until it is carried out or being carried out, and notes that in the engine table.
+    /// Sends one order until the engine has accepted or finished it, and records that in the engine table.
     ///
-    /// The change that it belongs to must have been announced. Every try expects the same number of accepted
-    /// orders, so that only one of them can be carried out, however late an unanswered one arrives.
+    /// The caller must hold the guard of [`Self::begin_orders`]. Every try expects the same number of accepted
+    /// orders, so that the engine carries out at most one of them, however late an unanswered one arrives.
     ///
     /// # Errors
     ///
-    /// The lease is lost, the engine is silent or not as believed, or what it holds is not known.
+    /// The lease is lost, or the engine has restarted, is unresponsive, or is in another or an unverified state.
     pub async fn execute(
         &self,
         server: &ServerInstance,
@@ -119,38 +123,38 @@
         fence: Fence,
     ) -> Result<(), OrderFailure> {
         let order = EngineOrder {
-            expected_sequence: self.expected(server, &kind, model, adapter)?,
+            expected_sequence: self.expected_sequence(server, &kind, model, adapter)?,
             kind,
             model: model.clone(),
             adapter: adapter.cloned(),
             holder: self.daemon.settings().id.clone(),
             fence,
         };
-        let has_strays = self.with_engine(server, |e| e.orders_inflight).unwrap_or(true);
-        let mut silent = 0;
-        let mut unanswered = false;
-        let mut pause = BUSY_PAUSE;
-        for tries in 1..=TRIES * REPORTS {
+        let had_inflight = self.with_engine(server, |e| e.orders_inflight).unwrap_or(true);
+        let mut unanswered_tries = 0;
+        let mut may_have_run = false;
+        let mut delay = BUSY_RETRY_DELAY;
+        for tries in 1..=TRIES_PER_REPORT * MAX_REPORTS {
             self.wait_for_lease(server, fence).await?;
-            match self.try_order(server, &order, tries).await? {
+            match self.send_once(server, &order, tries).await? {
                 Ok(OrderReply::Accepted) => {
-                    self.accepted(server, &order);
+                    self.record_accepted(server, &order);
                     return Ok(());
                 }
-                // An adapter that nothing runs on is unloaded at once. It was there, by the engine table, and no other order can
-                // have taken it.
-                Ok(OrderReply::Done) if order.kind == OrderKind::Unload && !has_strays => {
-                    self.accepted(server, &order);
+                // An adapter without requests in progress is unloaded at once. The engine table had it loaded, and
+                // no other order can have unloaded it.
+                Ok(OrderReply::Done) if order.kind == OrderKind::Unload && !had_inflight => {
+                    self.record_accepted(server, &order);
                     return Ok(());
                 }
-                Ok(OrderReply::Conflict) if !unanswered && tries % TRIES != 0 => {
-                    silent = 0;
-                    sleep(pause).await;
-                    pause = (pause * 2).min(LONGEST_PAUSE);
+                Ok(OrderReply::Conflict) if !may_have_run && tries % TRIES_PER_REPORT != 0 => {
+                    unanswered_tries = 0;
+                    sleep(delay).await;
+                    delay = (delay * 2).min(MAX_RETRY_DELAY);
                 }
                 Ok(reply @ (OrderReply::Conflict | OrderReply::Done)) => {
-                    silent = 0;
-                    if self.settle(server, &order, reply).await? {
+                    unanswered_tries = 0;
+                    if self.resolve_outcome(server, &order, reply).await? {
                         return Ok(());
                     }
                 }
@@ -163,13 +167,13 @@
                     return Err(OrderFailure::Mismatch);
                 }
                 Err(error) => {
-                    silent += 1;
+                    unanswered_tries += 1;
                     if error == CallError::Unanswered {
-                        unanswered = true;
+                        may_have_run = true;
                         self.with_engine(server, |engine| engine.orders_inflight = true);
                     }
-                    if silent < SILENT_TRIES {
-                        sleep(BUSY_PAUSE).await;
+                    if unanswered_tries < MAX_UNANSWERED_TRIES {
+                        sleep(BUSY_RETRY_DELAY).await;
                         continue;
                     }
                     slog::info!(self.daemon.log, "order-given-up"; "server" => %server,
@@ -185,9 +189,13 @@
 
     /// Returns the number of accepted orders that an order must expect.
     ///
-    /// Only what the engine is known to hold makes that number a guard: with another state behind it, the order would
-    /// be carried out all the same. And only what is there counts as an order when it is unloaded.
-    fn expected(
+    /// The number protects only if the engine's state is verified: an engine with the same number but another state
+    /// would carry the order out all the same. An unload of something that is not loaded does not count as an order.
+    ///
+    /// # Errors
+    ///
+    /// The engine table has no such instance, its state is unverified, or it does not allow the order.
+    fn expected_sequence(
         &self,
         server: &ServerInstance,
         kind: &OrderKind,
@@ -207,8 +215,9 @@
         expect.ok_or(OrderFailure::Ended)?.ok_or(OrderFailure::Doubted)
     }
 
-    /// Sends an order once; the inner error says why it has no answer.
-    async fn try_order(
+    /// Sends an order once. The outer error means that the engine was removed or has restarted, the inner one that the
+    /// call failed.
+    async fn send_once(
         &self,
         server: &ServerInstance,
         order: &EngineOrder,
@@ -217,8 +226,8 @@
         let daemon = &self.daemon;
         let target = self.target(server)?;
         let request = daemon.protocol.order_request(&target, order);
-        let answer = self.calls.call(server, target.addr, request, ANSWER_LIMIT).await;
-        let reply = answer.map(|(status, _)| daemon.protocol.order_reply(status));
+        let result = self.client.call(server, target.addr, request, CALL_TIMEOUT).await;
+        let reply = result.map(|(status, _)| daemon.protocol.order_reply(status));
         let shown = match &reply {
             Ok(reply) => format!("{reply:?}"),
             Err(error) => error.to_string(),
@@ -229,12 +238,16 @@
         Ok(reply)
     }
 
-    /// Announces a change at an engine: its orders are given while the guard lives.
+    /// Announces a change at an engine. Its orders may be sent until the returned guard is dropped.
     pub fn begin_orders(&self, server: &ServerInstance, fence: Fence) -> OrdersGuard {
         OrdersGuard::new(&self.daemon, engine_key(&server.id), fence)
     }
 
-    /// Waits until an engine may be ordered under `fence`.
+    /// Waits until orders may be sent to an engine under `fence`.
+    ///
+    /// # Errors
+    ///
+    /// This daemon no longer holds the lease with that fencing number.
     async fn wait_for_lease(
         &self,
         server: &ServerInstance,
@@ -243,18 +256,19 @@
         let daemon = &self.daemon;
         let engine = engine_key(&server.id);
         loop {
-            let listed = daemon.lease_renewed.notified();
+            let renewed = daemon.lease_renewed.notified();
             if daemon.lease.borrow().fence_for(engine, daemon.now()) == Some(fence) {
                 return Ok(());
             }
             if daemon.held_fence() != Some(fence) {
                 return Err(OrderFailure::LeaseLost);
             }
-            let _waited = timeout(BUSY_PAUSE, listed).await;
+            let _waited = timeout(BUSY_RETRY_DELAY, renewed).await;
         }
     }
 
-    fn accepted(&self, server: &ServerInstance, order: &EngineOrder) {
+    /// Records an accepted order in the engine table.
+    fn record_accepted(&self, server: &ServerInstance, order: &EngineOrder) {
         let now = self.daemon.now();
         self.with_engine(server, |engine| {
             engine.sequence = order.expected_sequence + 1;
@@ -266,12 +280,16 @@
         });
     }
 
-    /// Finds out from the engine's report whether an order was carried out, which no clear answer told; the engine table
-    /// then has what the report says.
+    /// Determines from the engine's report whether an order with unknown outcome was carried out. If it was, the report
+    /// is applied to the engine table and `true` is returned; otherwise the order may be sent again.
+    ///
+    /// The number of accepted orders alone does not show this: another order that expected the same number may have
+    /// been carried out instead, from an abandoned change or from an earlier lease holder, however long ago.
+    ///
+    /// # Errors
     ///
-    /// The number of accepted orders alone does not tell: another order that expected the same one may have been carried
-    /// out in its place, by a change that was given up or by an earlier lease holder, however long ago.
-    async fn settle(
+    /// The lease is lost, or the engine has restarted, gives no report, or is in another state than the order leads to.
+    async fn resolve_outcome(
         &self,
         server: &ServerInstance,
         order: &EngineOrder,
@@ -292,14 +310,14 @@
                 "shown" => is_shown);
             let waited = self.daemon.now().saturating_sub(began);
             if report.sequence == order.expected_sequence {
-                if reply == OrderReply::Done && waited < REPORT_AGE {
+                if reply == OrderReply::Done && waited < MAX_REPORT_AGE {
                     continue;
                 }
-                // At work on the order before; the next try may find it idle.
+                // The engine is still busy with the previous order; the next try may find it idle.
                 return Ok(false);
             }
             let is_next = report.sequence == order.expected_sequence + 1;
-            if is_next && report.busy && waited < SETTLE_LIMIT {
+            if is_next && report.busy && waited < SETTLE_TIMEOUT {
                 continue;
             }
             if !is_next || report.busy || !is_shown {
@@ -311,36 +329,36 @@
         }
     }
 
-    /// Reads the report of one start of an engine; none where it cannot be had.
-    pub async fn fetch_report(&self, start: &ServerInstance) -> Option<EngineReport> {
+    /// Fetches the report of an engine instance; `None` if it is unavailable, unreadable or of another instance.
+    pub async fn fetch_report(&self, instance: &ServerInstance) -> Option<EngineReport> {
         let daemon = &self.daemon;
-        let server = self.target(start).ok()?;
+        let server = self.target(instance).ok()?;
         let request = daemon.protocol.report_request(&server);
-        let answer = self.calls.call(start, server.addr, request, ANSWER_LIMIT).await;
-        match answer {
+        let result = self.client.call(instance, server.addr, request, CALL_TIMEOUT).await;
+        match result {
             Ok((status, body)) if status.is_success() => {
                 let report = daemon.protocol.parse_report(&body);
                 let report = report.map_err(|error| {
-                    slog::warn!(daemon.log, "report-unreadable"; "server" => %start,
+                    slog::warn!(daemon.log, "report-unreadable"; "server" => %instance,
                         "error" => %error);
                 });
-                report.ok().filter(|report| self.is_current(start, report))
+                report.ok().filter(|report| self.is_current(instance, report))
             }
             Ok((status, _)) => {
-                slog::info!(daemon.log, "report-refused"; "server" => %start,
+                slog::info!(daemon.log, "report-refused"; "server" => %instance,
                     "status" => status.as_u16());
                 None
             }
             Err(error) => {
-                slog::info!(daemon.log, "report-failed"; "server" => %start, "error" => %error);
+                slog::info!(daemon.log, "report-failed"; "server" => %instance, "error" => %error);
                 None
             }
         }
     }
 
-    /// Takes in which start an engine reports for, and returns whether that is the one asked.
-    fn is_current(&self, start: &ServerInstance, report: &EngineReport) -> bool {
-        let told = ServerInstance { id: start.id.clone(), born: report.born };
-        apply_updates::apply_start(&self.daemon, &told, "report") == InstanceOrder::Same
+    /// Records the instance that a report names, and returns whether it is `instance`.
+    fn is_current(&self, instance: &ServerInstance, report: &EngineReport) -> bool {
+        let reported = ServerInstance { id: instance.id.clone(), born: report.born };
+        apply_updates::apply_start(&self.daemon, &reported, "report") == InstanceOrder::Same
     }
 }
