--- a/lib/src/serve/follow_config.rs
+++ b/lib/src/serve/follow_config.rs
@@ -1,7 +1,7 @@
-//! Follows the operators' configuration at the platform's store.
+//! Polls the store for the operators' configuration.
 //!
-//! Calls are paid for, so only some daemons of a data centre ask often; the others wait for long, and ask again
-//! at once when a peer has a later version.
+//! Each call costs money, so only some daemons of a data centre poll at short intervals. The others use long polls,
+//! and poll again at once when a peer has a later version.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,38 +22,37 @@
 use crate::store::Feed;
 use crate::store::StoreError;
 
-/// Longest wait for a change in one call of a daemon that asks often.
+/// How long the store may hold one call of a daemon that polls at short intervals while nothing changes.
 ///
-/// A call that met a store that was silent, or a connection that was lost without a reset, is never
-/// answered, and what operators write after the store's return is not seen until it is given up: this wait
-/// and one second later. Users allow three seconds, of which one is left to ask again. With a wait of five
-/// seconds all daemons of a fleet went on with an old version for up to six seconds after an outage.
-const OFTEN_WAIT: Duration = Duration::from_secs(1);
-/// Longest wait of the others. A call a second of each of 72 daemons cost 0.02 of a day's worth.
-const SELDOM_WAIT: Duration = Duration::from_secs(5);
-/// A call of a daemon that asks often is given up after this time, also where it began to ask often only
-/// while the call was out.
-const OFTEN_LIMIT: Duration = Duration::from_secs(2);
-/// Time between looks at whether this daemon asks often.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// For this long a daemon waits for its own call's answer when a peer has a later version: usually both
-/// hear of it in the same instant.
-const NEWS_PAUSE: Duration = Duration::from_millis(100);
-/// A call younger than this is not given up for a peer's later version.
-const YOUNG: Duration = Duration::from_millis(500);
-/// Least time from a call that failed to the next.
-const PAUSE: Duration = Duration::from_millis(250);
-/// The same after several that failed, of a daemon that lives by readers' words, which tell when the store is back: in
-/// eight seconds without the store 290 daemons made 9,000 calls in vain. Half of the time within which a version must
-/// be in force, should no reader be left by then.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// A call that reached an unresponsive store, or whose connection was lost without a reset, is never answered.
+/// Versions written after the store has recovered are not seen until that call times out, one second after this
+/// wait. Users allow three seconds, of which one is left for the retry. With a wait of five seconds all daemons of a
+/// fleet used an old version for up to six seconds after an outage.
+const SHORT_POLL: Duration = Duration::from_secs(1);
+/// The same for other daemons. One call a second from each of 72 daemons cost 0.02 of a day's worth.
+const LONG_POLL: Duration = Duration::from_secs(5);
+/// Timeout of a call of a daemon that polls at short intervals, even if it began to do so only during the call.
+const SHORT_POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which a daemon checks whether it should poll at short intervals.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a daemon still waits for the answer of its own call when a peer has a later version: the store usually
+/// answers both at the same time.
+const PEER_VERSION_DELAY: Duration = Duration::from_millis(100);
+/// A call is not abandoned for a peer's later version before this age.
+const MIN_CALL_AGE: Duration = Duration::from_millis(500);
+/// Shortest delay before a failed call is retried.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Longest delay after repeated failures, of a daemon that relies on readers, whose reports show when the store has
+/// recovered: in eight seconds without the store 290 daemons made 9,000 failed calls. It is half of the time within
+/// which a version must be in force, in case no reader is left by then.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Follows the configuration for as long as the daemon runs.
+/// Polls for the configuration and applies it, for as long as the daemon runs.
 pub async fn follow_config(daemon: Rc<DaemonState>) {
     let mut from = None;
-    let mut pause = PAUSE;
+    let mut retry_delay = MIN_RETRY_DELAY;
     loop {
-        let mut sent = daemon.now();
+        let mut sent_at = daemon.now();
         let result = match from {
             None => {
                 track_call(
@@ -64,40 +63,44 @@
                 .await
             }
             Some(offset) => {
-                wait_for_need(&daemon).await;
-                sent = daemon.now();
-                read_on(&daemon, offset).await
+                wait_until_needed(&daemon).await;
+                sent_at = daemon.now();
+                read_changes(&daemon, offset).await
             }
         };
         match result {
             Ok(batch) => {
-                take_config(&daemon, &batch);
+                apply_batch(&daemon, &batch);
                 from = Some(batch.end);
-                pause = PAUSE;
+                retry_delay = MIN_RETRY_DELAY;
             }
             Err(StoreError::Expired) => from = None,
-            // A call that was given up late was pause enough.
+            // The delay counts from the start of the call, so a call that timed out late is retried at once.
             Err(_failed) => {
-                let is_back = backoff_after(&daemon, sent, pause).await;
+                let has_recovered = backoff_after(&daemon, sent_at, retry_delay).await;
                 let has_readers = from.is_some() && daemon.relies_on_readers();
-                pause =
-                    if has_readers && !is_back { (pause * 2).min(LONGEST_PAUSE) } else { PAUSE };
+                retry_delay = if has_readers && !has_recovered {
+                    (retry_delay * 2).min(MAX_RETRY_DELAY)
+                } else {
+                    MIN_RETRY_DELAY
+                };
             }
         }
     }
 }
 
-/// Waits for as long as readers follow the configuration for this daemon.
-async fn wait_for_need(daemon: &DaemonState) {
+/// Waits while reader reports confirm the configuration for this daemon.
+async fn wait_until_needed(daemon: &DaemonState) {
     while daemon.relies_on_readers() && !daemon.polls_config() {
-        sleep(LOOK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-fn take_config(daemon: &DaemonState, batch: &Batch) {
+/// Applies the latest readable configuration of a batch.
+fn apply_batch(daemon: &DaemonState, batch: &Batch) {
     daemon.log_unreadable_records(Feed::Configuration, batch);
     let records = batch.records.iter().rev().filter(|r| r.key == CONFIG_KEY);
-    // Another writer's record must not hide the operators' version before it.
+    // An unreadable record of another writer must not hide the operators' version before it.
     for raw in records.filter_map(|r| r.value.as_ref()) {
         if apply_config(daemon, raw, "store") {
             break;
@@ -105,48 +108,48 @@
     }
 }
 
-/// Waits for the next version.
-async fn read_on(daemon: &DaemonState, from: Offset) -> Result<Batch, StoreError> {
+/// Reads the feed from an offset, waiting for a change; abandons a call that has become useless or too old.
+async fn read_changes(daemon: &DaemonState, from: Offset) -> Result<Batch, StoreError> {
     let begun = daemon.now();
     let was_behind = daemon.is_behind();
-    let call = daemon.store.read(Feed::Configuration, from, longest_wait(daemon, was_behind));
+    let call = daemon.store.read(Feed::Configuration, from, poll_wait(daemon, was_behind));
     tokio::select! {
         biased;
         result = track_read(daemon, Feed::Configuration, call) => result,
-        reason = given_up(daemon, was_behind) => {
+        reason = abandon_reason(daemon, was_behind) => {
             Err(abandon_call(daemon, Feed::Configuration, begun, reason))
         }
     }
 }
 
-/// Returns how long the store may wait for a change before it answers.
-fn longest_wait(daemon: &DaemonState, is_behind: bool) -> Duration {
-    if daemon.config_age(daemon.now()) > OFTEN_WAIT {
-        // An answer is overdue: whether the store is back must show soon.
+/// Returns how long the store may hold the call while nothing changes.
+fn poll_wait(daemon: &DaemonState, is_behind: bool) -> Duration {
+    if daemon.config_age(daemon.now()) > SHORT_POLL {
+        // An answer is overdue, so the call must show at once whether the store has recovered.
         Duration::ZERO
     } else if is_behind || daemon.polls_config() {
-        OFTEN_WAIT
+        SHORT_POLL
     } else {
-        SELDOM_WAIT
+        LONG_POLL
     }
 }
 
-/// Waits until a call that has just begun is to be given up; returns why.
+/// Waits until a call that has just begun should be abandoned, and returns the reason.
 ///
-/// A call that began while this daemon was behind brings what peers have already, however slow the store or
-/// the link is; given up for that, it would be given up again and again and never be answered. It has
-/// the short limit instead.
-async fn given_up(daemon: &DaemonState, was_behind: bool) -> &'static str {
+/// A call that began while this daemon was behind will return the version that peers have, however slow the store or
+/// the link is. If it were abandoned because a peer has a later version, every retry would be too, and none would be
+/// answered. [`SHORT_POLL_TIMEOUT`] applies to it instead.
+async fn abandon_reason(daemon: &DaemonState, was_behind: bool) -> &'static str {
     let begun = Instant::now();
     loop {
-        if timeout(LOOK_EVERY, daemon.newer_config.notified()).await.is_ok() {
-            sleep(NEWS_PAUSE).await;
+        if timeout(CHECK_INTERVAL, daemon.newer_config.notified()).await.is_ok() {
+            sleep(PEER_VERSION_DELAY).await;
         }
-        let out = begun.elapsed();
-        if out >= YOUNG && !was_behind && daemon.is_behind() {
+        let elapsed = begun.elapsed();
+        if elapsed >= MIN_CALL_AGE && !was_behind && daemon.is_behind() {
             return "a peer has a later version";
         }
-        if out >= OFTEN_LIMIT && (was_behind || daemon.polls_config()) {
+        if elapsed >= SHORT_POLL_TIMEOUT && (was_behind || daemon.polls_config()) {
             return "no answer in time";
         }
     }
--- a/lib/src/serve/follow_servers.rs
+++ b/lib/src/serve/follow_servers.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's feed of servers: all the time, or only where nobody reads it for this daemon.
+//! Polls the store's feed of servers: at regular intervals, or only if reader reports do not cover it for this daemon.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,31 +14,30 @@
 use crate::store::Feed;
 use crate::store::StoreError;
 
-/// Part of the time within which a leaving server must get nothing more that lies between two reads of the
-/// servers' feed. Peers read at other moments and tell who left.
-const READ_PART: f64 = 0.55;
-/// The same for one who reads for others: its words take the place of their reads, and must come several times
-/// before they read for themselves.
-const READER_PART: f64 = 0.25;
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause after calls that failed one after the other, of a daemon that lives by readers' words: they tell
-/// when the store is back.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// Time between looks at whether a read is due.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between two reads of the servers' feed, as a fraction of the time within which a leaving server must stop
+/// receiving requests. Peers read at other times and report servers that leave.
+const POLL_FRACTION: f64 = 0.55;
+/// The same for a reader: its reports replace the reads of other daemons, and several must arrive before those read
+/// the feed themselves.
+const READER_POLL_FRACTION: f64 = 0.25;
+/// First delay before a failed call is retried; doubled after each further failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Longest such delay, for a daemon that relies on readers: their reports show when the store has recovered.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(4);
+/// Interval at which a daemon checks whether a read is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows the list of servers.
+/// Reads the feed of servers and applies its records, for as long as the daemon runs.
 pub async fn follow_servers(daemon: Rc<DaemonState>) {
-    // Whether the list was read once.
+    // Whether the whole list was read, and changes since then are still in the feed.
     let mut is_listed = false;
-    let mut pause = PAUSE;
+    let mut retry_delay = MIN_RETRY_DELAY;
     loop {
         if is_listed {
             wait_until_due(&daemon).await;
         }
-        let is_whole = !is_listed || must_list(&daemon);
-        let sent = daemon.now();
+        let is_whole = !is_listed || must_relist(&daemon);
+        let sent_at = daemon.now();
         let end = daemon.directory.borrow().feed_end();
         let result = if is_whole {
             track_call(&daemon, Feed::Servers, daemon.store.list_latest(Feed::Servers)).await
@@ -53,42 +52,51 @@
                     daemon.freshness.is_partial.set(false);
                 }
                 daemon.freshness.has_gap.set(false);
-                daemon.freshness.advance_servers(sent);
+                daemon.freshness.advance_servers(sent_at);
                 is_listed = true;
-                pause = PAUSE;
+                retry_delay = MIN_RETRY_DELAY;
             }
             Err(StoreError::Expired) => is_listed = false,
             Err(_failed) => {
-                // A call that was given up late was pause enough.
-                let is_back = backoff_after(&daemon, sent, pause).await;
-                let longest = if is_back || daemon.polls_servers() { PAUSE } else { LONGEST_PAUSE };
-                pause = (pause * 2).min(longest);
+                // The delay counts from the start of the call, so a call that timed out late is retried at once.
+                let has_recovered = backoff_after(&daemon, sent_at, retry_delay).await;
+                let max_delay = if has_recovered || daemon.polls_servers() {
+                    MIN_RETRY_DELAY
+                } else {
+                    MAX_RETRY_DELAY
+                };
+                retry_delay = (retry_delay * 2).min(max_delay);
             }
         }
     }
 }
 
-/// Returns whether the list must be read anew: who gives orders must know what servers hold, which words leave out.
-fn must_list(daemon: &DaemonState) -> bool {
+/// Returns whether the whole list must be read again: the lease holder must know what servers have loaded, which reader
+/// reports omit.
+fn must_relist(daemon: &DaemonState) -> bool {
     daemon.held_fence().is_some() && daemon.freshness.is_partial.get()
 }
 
-/// Waits until the feed must be read.
+/// Waits until the feed is due to be read.
 async fn wait_until_due(daemon: &DaemonState) {
     loop {
-        let left = due(daemon).saturating_sub(daemon.now());
-        if left.is_zero() || must_list(daemon) {
+        let remaining = due_at(daemon).saturating_sub(daemon.now());
+        if remaining.is_zero() || must_relist(daemon) {
             return;
         }
-        sleep(left.min(LOOK_EVERY)).await;
+        sleep(remaining.min(CHECK_INTERVAL)).await;
     }
 }
 
-/// Returns when the feed must be read again.
+/// Returns when the feed is due to be read again.
 ///
-/// A daemon that lives by words reads when they have told it nothing new for as long as its own pause would be, so
-/// that its picture is never older than if it read all the time, whatever becomes of readers.
-fn due(daemon: &DaemonState) -> Moment {
-    let part = if daemon.is_large_fleet() && daemon.is_reader() { READER_PART } else { READ_PART };
-    daemon.freshness.servers_at.get() + daemon.settings().drain.mul_f64(part)
+/// A daemon that relies on readers reads the feed itself when their reports have not updated it for one poll interval.
+/// Its directory is therefore never older than if it always polled, even if all readers fail.
+fn due_at(daemon: &DaemonState) -> Moment {
+    let fraction = if daemon.is_large_fleet() && daemon.is_reader() {
+        READER_POLL_FRACTION
+    } else {
+        POLL_FRACTION
+    };
+    daemon.freshness.servers_at.get() + daemon.settings().drain.mul_f64(fraction)
 }
