--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -1,4 +1,5 @@
-//! What daemons tell each other in datagrams: loads, demand, what engines hold, and readers' words.
+//! Sends and receives the daemons' UDP datagrams, and applies what peers publish: digests with workloads, demand,
+//! engine inventories, trials and reader reports.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -33,27 +34,27 @@
 use crate::serve::daemon_state::DaemonState;
 use crate::serve::suspects;
 
-/// Pause after a datagram could not be received.
+/// Delay after a failed receive.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(10);
-/// Largest datagram.
-const DATAGRAM: usize = 60_000;
+/// Largest datagram in bytes.
+const MAX_DATAGRAM: usize = 60_000;
 
-/// Sends and receives datagrams.
+/// The socket for datagrams between daemons, and when digests were last sent on it.
 #[derive(Debug)]
 pub struct Gossip {
     pub(super) daemon: Rc<DaemonState>,
     socket: UdpSocket,
     malformed: Cell<u64>,
-    /// When the last digest was told.
+    /// When this daemon last published a digest.
     pub(super) last_digest: Cell<Moment>,
-    /// When the lease holder last told all daemons of a large fleet.
+    /// When this daemon, as lease holder, last sent its digest to all daemons of a large fleet.
     pub(super) last_broadcast: Cell<Moment>,
-    /// Number of digests told.
+    /// Number of digests published; wraps around.
     pub(super) round: Cell<u64>,
 }
 
 impl Gossip {
-    /// Uses a socket.
+    /// Exchanges datagrams on `socket`, which is bound to the peer address.
     pub fn new(daemon: Rc<DaemonState>, socket: UdpSocket) -> Rc<Self> {
         let (malformed, last_digest, last_broadcast, round) = <_>::default();
         Rc::new(Self { daemon, socket, malformed, last_digest, last_broadcast, round })
@@ -71,26 +72,26 @@
     }
 
     pub(super) fn send(&self, to: SocketAddr, bytes: &[u8], kind: &'static str) {
-        // A datagram that cannot be sent now is repeated with newer content.
+        // A datagram that cannot be sent now is dropped; a later one carries newer state.
         if self.socket.try_send_to(bytes, to).is_ok() {
             self.daemon.metrics.record_control_bytes(kind, bytes.len());
         }
     }
 
-    /// Takes in datagrams.
+    /// Receives datagrams and applies their messages, for as long as the daemon runs.
     pub async fn receive(self: Rc<Self>) {
-        let mut buffer = vec![0; DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
                 sleep(RECEIVE_PAUSE).await;
                 continue;
             };
             match PeerMessage::decode(&buffer[..length]) {
-                Ok(message) => self.take(message, from),
+                Ok(message) => self.apply_message(message, from),
                 Err(error) => {
                     let count = self.malformed.get() + 1;
                     self.malformed.set(count);
-                    // The first and then every thousandth: a flood must not fill the log.
+                    // Logs the first and then every thousandth, so that a flood does not fill the log.
                     if count % 1000 == 1 {
                         slog::warn!(self.daemon.log, "datagram-malformed"; "from" => %from,
                             "error" => %error, "count" => count);
@@ -100,7 +101,8 @@
         }
     }
 
-    fn take(&self, message: PeerMessage, from: SocketAddr) {
+    /// Applies a message, unless it is this daemon's own.
+    fn apply_message(&self, message: PeerMessage, from: SocketAddr) {
         let daemon = &self.daemon;
         if message.process == daemon.process {
             return;
@@ -109,51 +111,53 @@
         let addr = SocketAddr::new(from.ip(), message.port);
         match message.payload {
             Payload::Digest(digest) => {
-                self.take_state(&message.from, addr, message.process, &digest);
-                self.take_loads(&message.from, digest.workloads);
+                self.apply_digest(&message.from, addr, message.process, &digest);
+                self.apply_workloads(&message.from, digest.workloads);
             }
-            Payload::Demand(note) => {
+            Payload::Demand(report) => {
                 if daemon.fence().is_some() {
-                    daemon.demand.borrow_mut().update(&message.from, note, now);
+                    daemon.demand.borrow_mut().update(&message.from, report, now);
                     daemon.plan_due.notify_one();
                 }
             }
-            Payload::Inventories(fence, list) => self.take_holdings(&message.from, fence, list),
+            Payload::Inventories(fence, list) => self.apply_inventories(&message.from, fence, list),
             Payload::ReaderReport(report) => {
-                self.take_word(&message.from, addr, message.process, report);
+                self.apply_reader_report(&message.from, addr, message.process, report);
             }
-            Payload::Trials(notes) => {
-                if daemon.trials.update_peer(&message.from, notes, now) {
+            Payload::Trials(reports) => {
+                if daemon.trials.update_peer(&message.from, reports, now) {
                     daemon.model_waits.inventories_changed.notify_waiters();
                 }
             }
         }
     }
 
-    /// Takes in that a peer named a start of a server; returns whether its word on it counts.
-    fn is_heard(&self, start: &ServerInstance, from: &DaemonId) -> bool {
-        apply_updates::apply_start(&self.daemon, start, from) != InstanceOrder::Older
+    /// Records an instance that a peer named; returns whether it is not older than the newest known one, so that the
+    /// peer's report on it counts.
+    fn accepts_instance(&self, instance: &ServerInstance, from: &DaemonId) -> bool {
+        apply_updates::apply_start(&self.daemon, instance, from) != InstanceOrder::Older
     }
 
-    /// Takes in what engines hold; a reader passes the lease holder's word on to its data centre.
-    fn take_holdings(&self, from: &DaemonId, fence: Fence, mut list: Vec<EngineInventory>) {
+    /// Applies engine inventories. A reader relays those of the lease holder to its data centre.
+    fn apply_inventories(&self, from: &DaemonId, fence: Fence, mut list: Vec<EngineInventory>) {
         let daemon = &self.daemon;
         let is_holder =
             daemon.peers.borrow().holder(daemon.now()).is_some_and(|(id, ..)| id == from);
         if is_holder && daemon.is_large_fleet() && daemon.is_reader() {
             self.relay_holdings(fence, &list);
         }
-        list.retain(|inventory| self.is_heard(&inventory.server, from));
+        list.retain(|inventory| self.accepts_instance(&inventory.server, from));
         daemon.update_inventory(fence, list);
     }
 
-    /// Takes in a peer's state but for its requests.
-    fn take_state(&self, from: &DaemonId, addr: SocketAddr, process: ProcessId, digest: &Digest) {
+    /// Applies a peer's digest except for its workloads.
+    fn apply_digest(&self, from: &DaemonId, addr: SocketAddr, process: ProcessId, digest: &Digest) {
         let daemon = &self.daemon;
         let now = daemon.now();
         let had_holder = daemon.peers.borrow().holder(now).is_some();
-        let was_silent = daemon.peers.borrow_mut().record_digest(from, addr, process, digest, now);
-        if was_silent {
+        let was_unreachable =
+            daemon.peers.borrow_mut().record_digest(from, addr, process, digest, now);
+        if was_unreachable {
             slog::info!(daemon.log, "dependency-regained"; "dependency" => "peer", "peer" => %from,
                 "addr" => %addr, "config" => digest.config_version);
         }
@@ -162,24 +166,25 @@
             daemon.fetch_due.notify_one();
         }
         if !had_holder && digest.lease.is_some() {
-            // Demand that nobody heard is told to the new holder at once.
+            // Without a lease holder, demand was sent to nobody; the new one must get it at once.
             daemon.model_waits.wait_started.notify_one();
         }
-        self.take_left(from, &digest.departures);
+        self.apply_departures(from, &digest.departures);
         daemon.apply_peer_limits(&digest.limits, from);
         suspects::receive_note(daemon, &digest.quarantine, from);
     }
 
-    fn take_left(&self, from: &DaemonId, left: &[ServerDeparture]) {
+    /// Applies a peer's reports of servers that leave.
+    fn apply_departures(&self, from: &DaemonId, departures: &[ServerDeparture]) {
         let daemon = &self.daemon;
         let now = daemon.now();
         let mut changed = false;
-        for note in left {
-            if daemon.directory.borrow_mut().apply_departure(note, now) != Change::None {
+        for departure in departures {
+            if daemon.directory.borrow_mut().apply_departure(departure, now) != Change::None {
                 changed = true;
-                slog::info!(daemon.log, "server"; "server" => %note.server, "change" => "Leaving",
-                    "from" => %from, "beat" => note.heartbeat,
-                    "born" => note.server.born.unwrap_or(0));
+                slog::info!(daemon.log, "server"; "server" => %departure.server, "change" => "Leaving",
+                    "from" => %from, "beat" => departure.heartbeat,
+                    "born" => departure.server.born.unwrap_or(0));
             }
         }
         if changed {
@@ -187,19 +192,21 @@
         }
     }
 
-    fn take_loads(&self, from: &DaemonId, loads: Vec<WorkloadReport>) {
-        let loads = loads.into_iter().filter(|note| self.is_heard(&note.server, from));
-        let work = |note: WorkloadReport| {
+    /// Replaces a peer's workloads; skips those at outdated instances.
+    fn apply_workloads(&self, from: &DaemonId, reports: Vec<WorkloadReport>) {
+        let reports =
+            reports.into_iter().filter(|report| self.accepts_instance(&report.server, from));
+        let to_entry = |report: WorkloadReport| {
             (
-                WorkloadKey { server: note.server, model: note.model },
-                Workload { running: note.running, prompt_tokens: note.prompt_tokens },
+                WorkloadKey { server: report.server, model: report.model },
+                Workload { running: report.running, prompt_tokens: report.prompt_tokens },
             )
         };
-        self.daemon.workloads.set_peer(from, self.daemon.now(), loads.map(work).collect());
+        self.daemon.workloads.set_peer(from, self.daemon.now(), reports.map(to_entry).collect());
     }
 
-    /// Takes in a reader's word.
-    fn take_word(
+    /// Applies a reader report.
+    fn apply_reader_report(
         &self,
         from: &DaemonId,
         addr: SocketAddr,
@@ -208,12 +215,12 @@
     ) {
         let daemon = &self.daemon;
         let now = daemon.now();
-        let heard = ReaderStatus::new(&report, now);
+        let status = ReaderStatus::new(&report, now);
         let ReaderReport { digest, changes_from, joined, checksum, scope, workloads, .. } = report;
-        self.take_state(from, addr, process, &digest);
-        daemon.peers.borrow_mut().set_reader_status(from, heard);
-        let is_near = digest.centre == daemon.settings().centre;
-        match (scope, is_near) {
+        self.apply_digest(from, addr, process, &digest);
+        daemon.peers.borrow_mut().set_reader_status(from, status);
+        let is_own_centre = digest.centre == daemon.settings().centre;
+        match (scope, is_own_centre) {
             (WorkloadScope::Centre, false) => {
                 daemon.workloads.set_centre(&digest.centre, now, workloads);
             }
@@ -223,22 +230,22 @@
             }
             (WorkloadScope::Fleet, _) => {}
         }
-        if !is_near || daemon.polls_servers() {
+        if !is_own_centre || daemon.polls_servers() {
             return;
         }
         if digest.config_version <= daemon.config_version() {
             let age = Duration::from_millis(digest.config_age.into());
-            let told = &daemon.freshness.config_at;
-            told.set(told.get().max(now.saturating_sub(age)));
+            let config_at = &daemon.freshness.config_at;
+            config_at.set(config_at.get().max(now.saturating_sub(age)));
         }
-        if self.take_changes(&heard, changes_from, digest.servers_end, joined) {
-            self.compare(from, digest.servers_end, checksum);
+        if self.apply_changes(&status, changes_from, digest.servers_end, joined) {
+            self.check_divergence(from, digest.servers_end, checksum);
         }
     }
 
-    /// Compares the picture with that of a reader after its word. Where they differ something was told wrong or not at
-    /// all: it shows here long before requests go to a server that is gone.
-    fn compare(&self, from: &DaemonId, end: Offset, checksum: u64) {
+    /// Compares the directory with that of a reader after its report was applied. A difference means that a change was
+    /// reported wrongly or not at all, and is found here long before requests go to a removed server.
+    fn check_divergence(&self, from: &DaemonId, end: Offset, checksum: u64) {
         let daemon = &self.daemon;
         let directory = daemon.directory.borrow();
         if directory.feed_end() != end {
@@ -252,11 +259,11 @@
         }
     }
 
-    /// Takes in the changes of the servers' feed that a reader of the own data centre tells of; returns whether they
-    /// follow on what is known.
-    fn take_changes(
+    /// Applies changes of the servers' feed that a reader of this data centre reports. Returns `false` if this daemon
+    /// lacks changes before them.
+    fn apply_changes(
         &self,
-        heard: &ReaderStatus,
+        status: &ReaderStatus,
         from: Offset,
         end: Offset,
         joined: Vec<(ServerId, Vec<u8>)>,
@@ -276,15 +283,15 @@
             apply_updates::on_servers_changed(daemon);
         }
         if from > daemon.directory.borrow().feed_end() {
-            // Some changes were told while this daemon did not hear: the whole picture is fetched.
+            // This daemon missed reports with earlier changes, so it fetches a snapshot.
             daemon.metrics.record_reader_report("gap");
             daemon.freshness.has_gap.set(true);
             daemon.fetch_due.notify_one();
             return false;
         }
         daemon.metrics.record_reader_report("taken");
-        daemon.directory.borrow_mut().record_relayed_read(heard.read, end);
-        daemon.freshness.advance_servers(heard.read);
+        daemon.directory.borrow_mut().record_relayed_read(status.read, end);
+        daemon.freshness.advance_servers(status.read);
         daemon.freshness.is_partial.set(true);
         true
     }
