--- a/lib/src/serve.rs
+++ b/lib/src/serve.rs
@@ -1,5 +1,5 @@
-//! The entry daemon. A request is accepted, routed, queued for a model, sent to a backend server and relayed
-//! back; other tasks exchange state with the store, peers and engines.
+//! The entry daemon. A request is accepted, routed, held until its model is loaded, and sent to a backend server,
+//! whose response is relayed. Other tasks exchange state with the store, peers and engines.
 
 pub mod accept;
 pub mod active_request;
--- a/lib/src/serve/adapter_loading.rs
+++ b/lib/src/serve/adapter_loading.rs
@@ -49,6 +49,11 @@
         self.publish_inventory(&server, &job.model, fence);
     }
 
+    /// Sends the orders of a job, and waits for as long as the adapter takes to load.
+    ///
+    /// # Errors
+    ///
+    /// An order was not carried out.
     async fn send_adapter_orders(
         &self,
         server: &ServerInstance,
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -62,7 +62,7 @@
 const BID_DELAY_STEPS: u64 = 1000;
 /// A daemon that relies on readers polls the store for the configuration itself once their reports have not confirmed
 /// it for this long. Calls of two readers may have been lost by then, and callers notice after three seconds.
-const MAX_UNCONFIRMED: Duration = Duration::from_secs(2);
+const MAX_CONFIG_AGE: Duration = Duration::from_secs(2);
 
 /// Checked settings of an entry daemon.
 #[derive(Clone, Debug, PartialEq)]
@@ -312,7 +312,7 @@
         let settings = self.settings.borrow();
         let peers = self.peers.borrow();
         if peers.is_large_fleet() {
-            return self.is_reader() || self.config_age(self.now()) > MAX_UNCONFIRMED;
+            return self.is_reader() || self.config_age(self.now()) > MAX_CONFIG_AGE;
         }
         peers.polls_config(&settings.id, &settings.centre, self.now())
     }
@@ -439,10 +439,10 @@
     /// Counts an unreadable record, and logs it if its reason is new and the log's rate limit allows.
     pub fn log_unreadable(&self, feed: Feed, key: &str, reason: &str) {
         self.metrics.unread(feed.name());
-        let note = self.unreadable.borrow_mut().record(feed, key, reason, self.now());
-        if let Some(note) = note {
-            slog::warn!(self.log, "record-unreadable"; "feed" => %feed, "key" => note.key.as_str(),
-                "reason" => note.reason, "unlogged" => note.unlogged);
+        let report = self.unreadable.borrow_mut().record(feed, key, reason, self.now());
+        if let Some(report) = report {
+            slog::warn!(self.log, "record-unreadable"; "feed" => %feed, "key" => report.key.as_str(),
+                "reason" => report.reason, "unlogged" => report.unlogged);
         }
     }
 
--- a/lib/src/serve/engine_orders.rs
+++ b/lib/src/serve/engine_orders.rs
@@ -106,7 +106,7 @@
         self.target(instance).map(|_server| ())
     }
 
-    /// Sends one order until the engine has accepted or finished it, and records that in the engine table.
+    /// Sends one order until the engine carries it out or has carried it out, and records that in the engine table.
     ///
     /// The caller must hold the guard of [`Self::begin_orders`]. Every try expects the same number of accepted
     /// orders, so that the engine carries out at most one of them, however late an unanswered one arrives.
@@ -203,16 +203,16 @@
         adapter: Option<&SmolStr>,
     ) -> Result<u64, OrderFailure> {
         let config = self.daemon.config().ok_or(OrderFailure::Doubted)?;
-        let expect = self.with_engine(server, |engine| {
+        let expected = self.with_engine(server, |engine| {
             let service = config.services.get(&engine.server.service);
             let spec = service.and_then(|service| service.engine.as_ref())?;
-            let is_fit = match kind {
+            let is_allowed = match kind {
                 OrderKind::Load => engine.has_room(spec, model, adapter),
                 OrderKind::Unload => engine.has(model, adapter),
             };
-            (engine.confirmed && is_fit).then_some(engine.sequence)
+            (engine.confirmed && is_allowed).then_some(engine.sequence)
         });
-        expect.ok_or(OrderFailure::Ended)?.ok_or(OrderFailure::Doubted)
+        expected.ok_or(OrderFailure::Ended)?.ok_or(OrderFailure::Doubted)
     }
 
     /// Sends an order once. The outer error means that the engine was removed or has restarted, the inner one that the
--- a/lib/src/serve/follow_config.rs
+++ b/lib/src/serve/follow_config.rs
@@ -110,14 +110,14 @@
 
 /// Reads the feed from an offset, waiting for a change; abandons a call that has become useless or too old.
 async fn read_changes(daemon: &DaemonState, from: Offset) -> Result<Batch, StoreError> {
-    let begun = daemon.now();
+    let sent_at = daemon.now();
     let was_behind = daemon.is_behind();
     let call = daemon.store.read(Feed::Configuration, from, poll_wait(daemon, was_behind));
     tokio::select! {
         biased;
         result = track_read(daemon, Feed::Configuration, call) => result,
         reason = abandon_reason(daemon, was_behind) => {
-            Err(abandon_call(daemon, Feed::Configuration, begun, reason))
+            Err(abandon_call(daemon, Feed::Configuration, sent_at, reason))
         }
     }
 }
@@ -140,12 +140,12 @@
 /// the link is. If it were abandoned because a peer has a later version, every retry would be too, and none would be
 /// answered. [`SHORT_POLL_TIMEOUT`] applies to it instead.
 async fn abandon_reason(daemon: &DaemonState, was_behind: bool) -> &'static str {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         if timeout(CHECK_INTERVAL, daemon.newer_config.notified()).await.is_ok() {
             sleep(PEER_VERSION_DELAY).await;
         }
-        let elapsed = begun.elapsed();
+        let elapsed = started.elapsed();
         if elapsed >= MIN_CALL_AGE && !was_behind && daemon.is_behind() {
             return "a peer has a later version";
         }
