--- a/lib/src/serve/lease_manager.rs
+++ b/lib/src/serve/lease_manager.rs
@@ -1,4 +1,4 @@
-//! Takes, renews and gives up the placement lease.
+//! Acquires, renews and releases the placement lease.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,15 +18,15 @@
 use crate::store::FeedRecord;
 use crate::store::StoreError;
 
-/// Time between looks while this daemon may not bid.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between checks while this daemon may not bid.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Tries to give the lease up in a row, where renewals that are on their way come first.
-const RELEASE_TRIES: usize = 3;
-/// Time between them: a renewal's answer takes some milliseconds.
-const RELEASE_PAUSE: Duration = Duration::from_millis(20);
+/// Number of attempts to release the lease; an attempt fails if a renewal in flight is appended first.
+const RELEASE_ATTEMPTS: usize = 3;
+/// Delay between these attempts, as the response to a renewal takes a few milliseconds.
+const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Carries out what the tenure decides.
+/// Carries out the steps that the daemon's `LeaseState` decides on.
 #[derive(Debug)]
 pub struct LeaseManager {
     daemon: Rc<DaemonState>,
@@ -34,45 +34,45 @@
 }
 
 impl LeaseManager {
-    /// Starts without the lease.
+    /// Creates a manager; it does not hold the lease at first.
     pub fn new(daemon: Rc<DaemonState>, gossip: Rc<Gossip>) -> Rc<Self> {
         Rc::new(Self { daemon, gossip })
     }
 
-    /// Takes and renews the lease.
+    /// Acquires and renews the lease until the daemon stops.
     pub async fn run(self: Rc<Self>) {
         let daemon = &self.daemon;
-        // Since when nobody is heard to hold the lease.
-        let mut vacant = None;
+        // Since when no peer has claimed the lease.
+        let mut vacant_since = None;
         loop {
-            // A daemon that stops takes no new lease; one that it could not give up it keeps.
+            // A stopping daemon acquires no lease, but keeps renewing one that it could not release.
             if daemon.stopping.get().is_some() && !daemon.lease.borrow().may_hold() {
                 return;
             }
-            // Who does not know its peers would bid beside all of them.
+            // A daemon that does not know its peers would bid at the same time as all of them.
             if daemon.config().is_none() || daemon.isolated.get() || !daemon.peers_known.get() {
-                sleep(LOOK_EVERY).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             }
             let now = daemon.now();
-            let heard = daemon.peers.borrow().holder(now).map(|(_, _, lease)| lease);
-            let patience = daemon.bid_delay();
-            if heard.is_some() {
-                vacant = None;
+            let peer_claim = daemon.peers.borrow().holder(now).map(|(_, _, lease)| lease);
+            let bid_delay = daemon.bid_delay();
+            if peer_claim.is_some() {
+                vacant_since = None;
             }
-            daemon.lease.borrow_mut().set_bid_delay(patience);
-            let step = daemon.lease.borrow_mut().next_step(now, heard);
+            daemon.lease.borrow_mut().set_bid_delay(bid_delay);
+            let step = daemon.lease.borrow_mut().next_step(now, peer_claim);
             match step {
                 LeaseStep::Sleep(until) => {
                     let _woken =
                         timeout(until.saturating_sub(now), daemon.renewal_due.notified()).await;
                 }
-                LeaseStep::Read if self.is_bystander() => {
-                    let due = *vacant.get_or_insert(now) + patience;
+                LeaseStep::Read if self.defers_reads() => {
+                    let due = *vacant_since.get_or_insert(now) + bid_delay;
                     if now >= due {
                         self.read_lease().await;
                     } else {
-                        sleep(LOOK_EVERY.min(due.saturating_sub(now))).await;
+                        sleep(POLL_INTERVAL.min(due.saturating_sub(now))).await;
                     }
                 }
                 LeaseStep::Read => self.read_lease().await,
@@ -81,11 +81,11 @@
         }
     }
 
-    /// Returns whether this is one of so many daemons that it reads the lease only when its turn to bid has come.
+    /// Returns whether this daemon reads the lease only after its bid delay, because the fleet is large.
     ///
-    /// Hundreds read it each time that its holder was lost; all but the first few hear of the next holder before
-    /// their turn.
-    fn is_bystander(&self) -> bool {
+    /// Otherwise hundreds of daemons would read the lease whenever its holder fails. All but the first few learn of the
+    /// next holder before their bid delay has passed.
+    fn defers_reads(&self) -> bool {
         self.daemon.is_large_fleet() && !self.daemon.lease.borrow().may_hold()
     }
 
@@ -98,7 +98,7 @@
                 daemon.log_unreadable_records(Feed::Leases, &batch);
                 let newest = batch.records.iter().rev().find(|r| r.key == PLACEMENT_KEY);
                 let raw = newest.and_then(|r| r.value.as_ref());
-                let record = raw.and_then(|raw| self.read_record(raw));
+                let record = raw.and_then(|raw| self.decode_record(raw));
                 let was_held = daemon.fence().is_some();
                 daemon.lease.borrow_mut().on_read(now, record.clone(), batch.end);
                 if was_held != daemon.fence().is_some() {
@@ -110,7 +110,7 @@
         }
     }
 
-    fn read_record(&self, raw: &[u8]) -> Option<LeaseEntry> {
+    fn decode_record(&self, raw: &[u8]) -> Option<LeaseEntry> {
         match entries::decode(raw) {
             Ok(record) => {
                 self.daemon.unreadable.borrow_mut().clear(Feed::Leases, PLACEMENT_KEY);
@@ -125,7 +125,7 @@
 
     async fn append_lease(&self, at: u64, record: &LeaseEntry) {
         let daemon = &self.daemon;
-        let sent = daemon.now();
+        let sent_at = daemon.now();
         let value = entries::encode(record);
         let feed_record = FeedRecord { key: SmolStr::new(PLACEMENT_KEY), value: Some(value) };
         let call = daemon.store.append(Feed::Leases, feed_record, Some(at));
@@ -134,17 +134,17 @@
         let mut lease = daemon.lease.borrow_mut();
         match result {
             Ok(offset) => {
-                lease.on_appended(sent, now, offset);
+                lease.on_appended(sent_at, now, offset);
                 drop(lease);
                 daemon.lease_renewed.notify_waiters();
                 if record.fence.is_none() {
-                    let held_back = daemon.lease.borrow().blocked_engines(now);
+                    let blocked = daemon.lease.borrow().blocked_engines(now);
                     slog::info!(daemon.log, "lease"; "held" => true, "fence" => offset + 1,
-                        "sent_ms_ago" => now.saturating_sub(sent).as_millis(),
-                        "engines_held_back" => held_back.map_or("all".into(), |n| n.to_string()));
+                        "sent_ms_ago" => now.saturating_sub(sent_at).as_millis(),
+                        "engines_held_back" => blocked.map_or("all".into(), |n| n.to_string()));
                     daemon.plan_due.notify_one();
                 }
-                // Peers that know of each renewal wait no longer than they must after the last one.
+                // Peers that know the latest renewal wait no longer than necessary once renewals stop.
                 self.gossip.publish_digest();
             }
             Err(StoreError::EndMismatch | StoreError::Expired) => {
@@ -154,23 +154,23 @@
             Err(StoreError::Refused(_)) => lease.on_store_failure(now),
             Err(StoreError::UnknownOutcome(error)) => {
                 slog::info!(daemon.log, "lease-append-doubtful"; "at" => at, "error" => error);
-                lease.on_unknown_outcome(sent, now);
+                lease.on_unknown_outcome(sent_at, now);
             }
         }
     }
 
-    /// Gives the lease up, so that another daemon can take it at once; does nothing where it is not
-    /// held or the store does not answer.
+    /// Releases the lease, so that another daemon can acquire it at once. Does nothing if the lease is not held or the
+    /// store does not respond.
     pub async fn release(&self) {
-        for _ in 0..RELEASE_TRIES {
+        for _ in 0..RELEASE_ATTEMPTS {
             if !self.try_release().await {
                 return;
             }
-            sleep(RELEASE_PAUSE).await;
+            sleep(RELEASE_RETRY_DELAY).await;
         }
     }
 
-    /// Returns whether another try is worth it: a renewal that was on its way came first.
+    /// Returns whether to try again, because a renewal in flight was appended first.
     async fn try_release(&self) -> bool {
         let daemon = &self.daemon;
         let released = daemon.lease.borrow_mut().release(daemon.now());
@@ -180,7 +180,8 @@
         let call = daemon.store.append(Feed::Leases, feed_record, Some(at));
         let result = track_call(daemon, Feed::Leases, call).await;
         slog::info!(daemon.log, "lease-release"; "done" => result.is_ok(), "at" => at);
-        // An append without an answer may have given it up: only proof of the contrary keeps it.
+        // An append with an unknown outcome may have released the lease, so the lease is kept only if the append
+        // certainly failed.
         if matches!(result, Ok(_) | Err(StoreError::UnknownOutcome(_))) {
             daemon.lease.borrow_mut().on_released();
         } else {
--- a/lib/src/serve/lifecycle.rs
+++ b/lib/src/serve/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The daemon's life: start, reload, a stop that cuts no request.
+//! Starts a daemon, reloads its settings and stops it gracefully.
 
 use std::io;
 use std::rc::Rc;
@@ -26,24 +26,24 @@
 use crate::serve::socket;
 use crate::serve::suspects;
 
-/// Time between looks at what is in progress.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Time between looks at whether last answers are written.
-const LAST_LOOK_EVERY: Duration = Duration::from_millis(5);
-/// Time between tries to give the lease up, while the store is away.
-const RELEASE_EVERY: Duration = Duration::from_millis(500);
-/// Time between looks at the settings' file, which may change without a signal.
-const RELOAD_EVERY: Duration = Duration::from_secs(2);
-/// Time between clearings of what is no longer needed.
-const SWEEP_EVERY: Duration = Duration::from_millis(200);
+/// Interval between checks for requests in progress during a stop.
+const ACTIVE_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks whether the last responses have been written.
+const FINAL_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between attempts to release the lease while the store is unavailable.
+const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between checks of the settings file, which may change without a signal.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between removals of expired servers, suspects and unused connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Where settings come from again after a change.
+/// Source from which the settings are reloaded.
 pub trait SettingsSource {
-    /// Reads the settings; none where they are as before.
+    /// Reads the settings; returns `None` if they have not changed.
     ///
     /// # Errors
     ///
-    /// Tells what is wrong with them.
+    /// Returns a description of the problem if the settings are invalid or cannot be read.
     fn reload(&self) -> Result<Option<EntrySettings>, String>;
 }
 
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 ///
-/// An address cannot be used.
+/// Fails if an address cannot be bound.
 pub fn start(daemon: &Rc<DaemonState>) -> io::Result<Rc<LeaseManager>> {
     let settings = daemon.settings();
     let front = socket::listen(settings.front)?;
@@ -60,7 +60,7 @@
     daemon.lease.borrow_mut().set_address(settings.peer, daemon.now());
     let gossip = Gossip::new(Rc::clone(daemon), socket::bind_udp(settings.peer)?);
     let calls = Rc::new(PooledCalls::new(Rc::clone(daemon)));
-    let orders = PlacementController::new(Rc::clone(daemon), Rc::clone(&gossip), calls);
+    let placement = PlacementController::new(Rc::clone(daemon), Rc::clone(&gossip), calls);
     let lease = LeaseManager::new(Rc::clone(daemon), Rc::clone(&gossip));
     slog::info!(daemon.log, "start"; "id" => settings.id.as_str(), "process" => daemon.process,
         "centre" => settings.centre.as_str(), "front" => %settings.front,
@@ -76,7 +76,7 @@
     spawn_local(peer_sync::sync_from_peers(Rc::clone(daemon)));
     spawn_local(peer_sync::sync_from_readers(Rc::clone(daemon)));
     spawn_local(Rc::clone(&lease).run());
-    spawn_local(Rc::clone(&orders).run());
+    spawn_local(Rc::clone(&placement).run());
     spawn_local(accept::serve_callers(Rc::clone(daemon), front));
     spawn_local(accept::serve_ready(Rc::clone(daemon), ready));
     match socket::listen(settings.metrics) {
@@ -89,11 +89,11 @@
     Ok(lease)
 }
 
-/// Runs a daemon until SIGTERM and the end of its requests.
+/// Runs a daemon until SIGTERM, then until its requests have ended or the grace period is over.
 ///
 /// # Errors
 ///
-/// An address cannot be used, or the system gives no signals.
+/// Fails if an address cannot be bound or a signal handler cannot be installed.
 pub async fn run(daemon: Rc<DaemonState>, source: Rc<dyn SettingsSource>) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
@@ -102,7 +102,7 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hangup.recv() => reload(&daemon, &*source, "signal"),
-            () = sleep(RELOAD_EVERY) => reload(&daemon, &*source, "look"),
+            () = sleep(RELOAD_INTERVAL) => reload(&daemon, &*source, "look"),
         }
     }
     stop(&daemon, &lease).await;
@@ -128,16 +128,16 @@
 
 async fn sweep(daemon: Rc<DaemonState>) {
     loop {
-        sleep(SWEEP_EVERY).await;
+        sleep(SWEEP_INTERVAL).await;
         apply_updates::sweep_servers(&daemon);
         suspects::release_expired(&daemon);
         let directory = daemon.directory.borrow();
-        daemon.pool.evict_idle(|start| directory.is_current(start));
+        daemon.pool.evict_idle(|instance| directory.is_current(instance));
     }
 }
 
-/// Stops without cutting a request: new callers go elsewhere, those that are here are served, and those
-/// that cannot be served in the grace are told.
+/// Stops gracefully: new callers use other daemons, and requests in progress are completed. Those that cannot be
+/// completed within the grace period are answered with an error.
 pub async fn stop(daemon: &Rc<DaemonState>, lease: &LeaseManager) {
     let began = daemon.now();
     let stop = GracefulStop::new(began, daemon.settings().grace);
@@ -146,33 +146,33 @@
     let mut next_release = began;
     loop {
         if daemon.now() >= next_release {
-            // A store that is out of reach holds the release up; the stop's end does not wait for it.
-            let left = stop.abort_at().saturating_sub(daemon.now());
-            let _unanswered = timeout(left, lease.release()).await;
-            next_release = daemon.now() + RELEASE_EVERY;
+            // An unavailable store delays the release, but must not delay the end of the stop.
+            let remaining = stop.abort_at().saturating_sub(daemon.now());
+            let _timed_out = timeout(remaining, lease.release()).await;
+            next_release = daemon.now() + RELEASE_RETRY_INTERVAL;
         }
         let now = daemon.now();
         let is_idle = now >= stop.deregistered_at() && daemon.active.get() == 0;
         if is_idle || now >= stop.abort_at() {
             break;
         }
-        sleep(LOOK_EVERY.min(stop.abort_at().saturating_sub(now))).await;
+        sleep(ACTIVE_POLL_INTERVAL.min(stop.abort_at().saturating_sub(now))).await;
     }
-    give_up(daemon, stop).await;
+    abort_requests(daemon, stop).await;
     slog::info!(daemon.log, "stop"; "phase" => "ended", "active" => daemon.active.get(),
         "ms" => daemon.now().saturating_sub(began).as_millis());
 }
 
-/// Tells the callers of what is still in progress that it ends here; streams break off.
+/// Aborts the requests still in progress with an error response; streams break off.
 ///
-/// They would see a closed connection, and not know whether a request had run.
-async fn give_up(daemon: &DaemonState, stop: GracefulStop) {
+/// Otherwise callers would see a closed connection and not know whether their request had run.
+async fn abort_requests(daemon: &DaemonState, stop: GracefulStop) {
     if daemon.active.get() == 0 {
         return;
     }
     slog::info!(daemon.log, "stop"; "phase" => "given-up", "active" => daemon.active.get());
     daemon.aborting.send_replace(true);
     while daemon.active.get() > 0 && daemon.now() < stop.answers_until() {
-        sleep(LAST_LOOK_EVERY).await;
+        sleep(FINAL_POLL_INTERVAL).await;
     }
 }
