--- a/lib/src/serve/model_loading.rs
+++ b/lib/src/serve/model_loading.rs
@@ -1,4 +1,4 @@
-//! The lease holder's loads of models: what makes way is unloaded, then the model is loaded and awaited.
+//! Loads of models by the lease holder: evicts models, orders the load and waits until it has ended.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,34 +24,34 @@
 use crate::serve::placement_controller::FAILURE_BACKOFF;
 use crate::serve::placement_controller::PlacementController;
 
-/// Time between looks at a load that should be done.
-const LOOK_EVERY: Duration = Duration::from_millis(70);
-/// Time between looks at whether the engine of a load still runs.
-const LIFE_EVERY: Duration = Duration::from_millis(500);
-/// A load that is late by this much is given up; its engine's report is read anew.
-const OVERDUE: Duration = Duration::from_secs(20);
-/// Time in which an engine drops a model that nothing runs on: some steps of its batch. An order that comes sooner is
-/// refused.
+/// Interval between fetches of an engine's report while a load should have ended.
+const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(70);
+/// Interval between checks whether the engine instance of a load still runs.
+const INSTANCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// A load that is late by this much is treated as failed, and its engine's report is fetched again.
+const OVERDUE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time in which an engine unloads a model without running requests: some steps of its batch. The engine refuses an
+/// order that arrives sooner.
 const UNLOAD_TIME: Duration = Duration::from_millis(70);
-/// Longest wait for the requests that run on a model that makes way, as far as daemons tell of them. What they tell may
-/// be old or wrong, so the engine is asked after that in any case.
-const DRAIN_LIMIT: Duration = Duration::from_secs(2);
-/// Time between looks at what daemons tell of them.
-const DRAIN_LOOK: Duration = Duration::from_millis(30);
+/// Longest wait for the requests that daemons report as running on a model that is evicted. These reports may be old or
+/// wrong, so the load is ordered after this time in any case, and the engine refuses it if requests still run.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between checks of the reported workload of evicted models.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-fn holds(report: &EngineReport, model: &ModelName) -> bool {
-    report.models.iter().any(|held| held.name == *model)
+fn reports_model(report: &EngineReport, model: &ModelName) -> bool {
+    report.models.iter().any(|loaded| loaded.name == *model)
 }
 
 impl PlacementController {
-    /// Loads a model, and notes what came of it.
+    /// Loads a model and records the result.
     pub(super) async fn run_load(
         self: Rc<Self>,
         server: ServerInstance,
         job: LoadJob,
         fence: Fence,
     ) {
-        let result = self.carry_out(&server, &job, fence).await;
+        let result = self.execute_load(&server, &job, fence).await;
         let daemon = &self.daemon;
         let now = daemon.now();
         slog::info!(daemon.log, "load-ended"; "server" => %server, "model" => job.model.as_str(),
@@ -73,46 +73,47 @@
         self.publish_inventory(&server, &job.model, fence);
     }
 
-    /// Unloads the victims, loads the model, and waits until it is there.
-    async fn carry_out(
+    /// Unloads the victims, loads the model and waits until the load has ended.
+    async fn execute_load(
         self: &Rc<Self>,
         server: &ServerInstance,
         job: &LoadJob,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
-        let change = self.engine_orders.begin_orders(server, fence);
-        // Peers hear that the victims leave before the engine does.
+        let guard = self.engine_orders.begin_orders(server, fence);
+        // Peers are notified of the eviction before the engine receives the order.
         self.publish_inventory(server, &job.model, fence);
         for victim in &job.victims {
             self.engine_orders.execute(server, OrderKind::Unload, victim, None, fence).await?;
         }
-        self.drained(server, &job.victims).await;
+        self.wait_for_drain(server, &job.victims).await;
         self.engine_orders.execute(server, OrderKind::Load, &job.model, None, fence).await?;
-        drop(change);
+        drop(guard);
         if self.with_engine(server, |e| e.holds(&job.model)).unwrap_or(false) {
-            // The load had no answer, and its end was awaited to tell that it was carried out.
+            // The order got no response, and waiting for the end of the load showed that it was carried out.
             return Ok(());
         }
-        let time = self.plain_time(server, job);
-        let accepted = self.daemon.now();
-        let eta = accepted + time;
+        let time = self.shared_load_time(server, job);
+        let accepted_at = self.daemon.now();
+        let eta = accepted_at + time;
         self.with_engine(server, |engine| {
             if let Some(job) = &mut engine.job {
                 job.eta = eta;
             }
         });
         self.publish_inventory(server, &job.model, fence);
-        self.doze(server, accepted + time.saturating_sub(REPORT_LAG)).await?;
-        let known = self.copy_time(server, job).map(|time| accepted + time);
-        self.await_end(server, job, known, fence).await
+        self.sleep_until(server, accepted_at + time.saturating_sub(REPORT_LAG)).await?;
+        let expected_end = self.local_load_time(server, job).map(|time| accepted_at + time);
+        self.await_load(server, job, expected_end, fence).await
     }
 
-    /// Waits until a load has ended: as a report tells, or at the moment that is known where loads end on time.
-    async fn await_end(
+    /// Waits until a load has ended, according to the engine's report or, if loads have proved to end on time, at
+    /// `expected_end`.
+    async fn await_load(
         self: &Rc<Self>,
         server: &ServerInstance,
         job: &LoadJob,
-        known: Option<Moment>,
+        expected_end: Option<Moment>,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
         let eta = self.with_engine(server, |e| e.job.as_ref().map(|job| job.eta)).flatten();
@@ -121,22 +122,22 @@
             if self.daemon.held_fence() != Some(fence) {
                 return Err(OrderFailure::LeaseLost);
             }
-            if let Some(known) = known
+            if let Some(expected_end) = expected_end
                 && self.state.borrow().eta_accuracy.is_reliable(self.daemon.now())
             {
-                if self.daemon.now() >= known {
-                    self.verify(server, &job.model, known, fence);
+                if self.daemon.now() >= expected_end {
+                    self.verify_load(server, &job.model, expected_end, fence);
                     return Ok(());
                 }
                 if job.source == Source::Disk {
-                    // Until then a report could only tell of the time before.
-                    self.doze(server, known).await?;
+                    // A report fetched earlier could only describe the state before the end of the load.
+                    self.sleep_until(server, expected_end).await?;
                     continue;
                 }
             }
             if let Some(report) = self.engine_orders.fetch_report(server).await
                 && !report.busy
-                && holds(&report, &job.model)
+                && reports_model(&report, &job.model)
             {
                 if job.source == Source::Disk {
                     let now = self.daemon.now();
@@ -144,100 +145,116 @@
                 }
                 return Ok(());
             }
-            if self.daemon.now() > eta + OVERDUE {
+            if self.daemon.now() > eta + OVERDUE_TIMEOUT {
                 return Err(OrderFailure::Silent);
             }
             self.engine_orders.check_instance(server)?;
-            sleep(LOOK_EVERY).await;
+            sleep(REPORT_POLL_INTERVAL).await;
         }
     }
 
-    /// Looks in reports whether a load that was taken to have ended has done so; the engine is doubted where not.
-    fn verify(
+    /// Checks the engine's reports for a load that was assumed to have ended. If the model is not loaded in
+    /// time, removes it from the engine table and marks the engine as unconfirmed.
+    fn verify_load(
         self: &Rc<Self>,
         server: &ServerInstance,
         model: &ModelName,
-        due: Moment,
+        expected_end: Moment,
         fence: Fence,
     ) {
-        let (orders, server, model) = (Rc::clone(self), server.clone(), model.clone());
+        let (controller, server, model) = (Rc::clone(self), server.clone(), model.clone());
         spawn_local(async move {
-            let until = due + EtaAccuracy::tolerance();
+            let until = expected_end + EtaAccuracy::tolerance();
             sleep(REPORT_LAG).await;
-            while orders.daemon.held_fence() == Some(fence) {
-                let report = orders.engine_orders.fetch_report(&server).await;
-                let now = orders.daemon.now();
-                let is_there = report.as_ref().is_some_and(|r| holds(r, &model));
-                let is_wanted = orders.with_engine(&server, |e| e.holds(&model)).unwrap_or(false);
-                if is_there {
-                    orders.state.borrow_mut().eta_accuracy.record(Duration::ZERO, now);
+            while controller.daemon.held_fence() == Some(fence) {
+                let report = controller.engine_orders.fetch_report(&server).await;
+                let now = controller.daemon.now();
+                let is_loaded = report.as_ref().is_some_and(|r| reports_model(r, &model));
+                let is_recorded =
+                    controller.with_engine(&server, |e| e.holds(&model)).unwrap_or(false);
+                if is_loaded {
+                    controller.state.borrow_mut().eta_accuracy.record(Duration::ZERO, now);
                 }
-                if is_there || !is_wanted {
+                if is_loaded || !is_recorded {
                     return;
                 }
                 if now > until && report.is_some() {
-                    slog::info!(orders.daemon.log, "load-late"; "server" => %server,
-                        "model" => model.as_str(), "ms" => now.saturating_sub(due).as_millis());
-                    orders.state.borrow_mut().eta_accuracy.record(now.saturating_sub(due), now);
-                    orders.with_engine(&server, |engine| {
+                    slog::info!(controller.daemon.log, "load-late"; "server" => %server,
+                        "model" => model.as_str(),
+                        "ms" => now.saturating_sub(expected_end).as_millis());
+                    controller
+                        .state
+                        .borrow_mut()
+                        .eta_accuracy
+                        .record(now.saturating_sub(expected_end), now);
+                    controller.with_engine(&server, |engine| {
                         engine.remove_model(&model);
                         engine.confirmed = false;
                     });
-                    orders.publish_inventory(&server, &model, fence);
+                    controller.publish_inventory(&server, &model, fence);
                     return;
                 }
-                if now > until + OVERDUE {
+                if now > until + OVERDUE_TIMEOUT {
                     return;
                 }
-                sleep(LOOK_EVERY).await;
+                sleep(REPORT_POLL_INTERVAL).await;
             }
         });
     }
 
-    /// Waits until an engine can be expected to have dropped the models that make way: it does so when their last
-    /// request has ended, and refuses the next order until then.
-    async fn drained(&self, server: &ServerInstance, victims: &[ModelName]) {
+    /// Waits until an engine can be expected to have unloaded the victims. It unloads them when their last request has
+    /// ended, and refuses the next order until then.
+    async fn wait_for_drain(&self, server: &ServerInstance, victims: &[ModelName]) {
         if victims.is_empty() {
             return;
         }
         sleep(UNLOAD_TIME).await;
-        let until = self.daemon.now() + DRAIN_LIMIT;
+        let until = self.daemon.now() + DRAIN_TIMEOUT;
         let key = server_key(server);
         let is_used = |now: Moment| {
             victims.iter().any(|v| self.daemon.workloads.running(key, model_key(Some(v)), now) > 0)
         };
         while self.daemon.now() < until && is_used(self.daemon.now()) {
-            sleep(DRAIN_LOOK).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until a moment, or until an engine is gone or has started again.
-    async fn doze(&self, server: &ServerInstance, until: Moment) -> Result<(), OrderFailure> {
+    /// Waits until the given time.
+    ///
+    /// # Errors
+    ///
+    /// Fails early if the engine was removed or has restarted.
+    async fn sleep_until(
+        &self,
+        server: &ServerInstance,
+        until: Moment,
+    ) -> Result<(), OrderFailure> {
         loop {
             self.engine_orders.check_instance(server)?;
-            let left = until.saturating_sub(self.daemon.now());
-            if left.is_zero() {
+            let remaining = until.saturating_sub(self.daemon.now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            sleep(left.min(LIFE_EVERY)).await;
+            sleep(remaining.min(INSTANCE_CHECK_INTERVAL)).await;
         }
     }
 
-    /// A model as the configuration describes it.
+    /// Returns a model's specification in the current configuration.
     fn model_spec(&self, service: &str, model: &str) -> Option<ModelSpec> {
         let config = self.daemon.config()?;
         let engine = config.services.get(service)?.engine.as_ref()?;
         engine.models.get(model).cloned()
     }
 
-    /// The time of a load from the weight store that has it for itself.
-    pub(super) fn load_time(&self, service: &str, model: &str) -> Duration {
+    /// Returns the time of a fetch from the weight store while no other fetch uses it.
+    pub(super) fn solo_fetch_time(&self, service: &str, model: &str) -> Duration {
         self.model_spec(service, model).map_or(Duration::ZERO, |spec| spec.store_load)
     }
 
-    /// The time of a load from a copy on the host, of which nothing else takes a part; none where there is no copy. A
-    /// copy in the host's memory may have made way by now, while that on its disk is still there.
-    fn copy_time(&self, server: &ServerInstance, job: &LoadJob) -> Option<Duration> {
+    /// Returns the time of a load from a local copy, which no other load slows down, or `None` for a fetch from the
+    /// weight store. For a copy in memory it is the time from disk too: that copy may have been evicted by now, while
+    /// the one on disk remains.
+    fn local_load_time(&self, server: &ServerInstance, job: &LoadJob) -> Option<Duration> {
         if job.source == Source::Store {
             return None;
         }
@@ -245,14 +262,15 @@
         self.model_spec(&service, &job.model).map(|spec| spec.disk_load)
     }
 
-    fn fetching(&self) -> usize {
+    /// Returns how many engines fetch from the weight store; a reported load of unknown source counts as well.
+    fn fetches(&self) -> usize {
         let is_fetch =
             |e: &&Engine| e.job.as_ref().map_or(e.reported_busy, |j| j.source == Source::Store);
         self.daemon.engine_table.borrow().engines.values().filter(is_fetch).count()
     }
 
-    /// The time of a load that shares the weight store with those under way.
-    fn plain_time(&self, server: &ServerInstance, job: &LoadJob) -> Duration {
+    /// Returns the time of a load; a fetch shares the weight store with the fetches in progress.
+    fn shared_load_time(&self, server: &ServerInstance, job: &LoadJob) -> Duration {
         let service = self.with_engine(server, |e| e.server.service.clone());
         let Some(spec) = service.and_then(|service| self.model_spec(&service, &job.model)) else {
             return job.eta.saturating_sub(job.since);
@@ -261,7 +279,7 @@
             Source::Memory => spec.memory_load,
             Source::Disk => spec.disk_load,
             Source::Store => {
-                self.state.borrow().fetch_limiter.share().time(spec.store_load, self.fetching())
+                self.state.borrow().fetch_limiter.share().time(spec.store_load, self.fetches())
             }
         }
     }
--- a/lib/src/serve/orders_guard.rs
+++ b/lib/src/serve/orders_guard.rs
@@ -1,4 +1,4 @@
-//! A change at an engine whose orders are being given.
+//! Guard that keeps an engine listed in the lease record while orders are sent to it.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 use crate::placement::recent_orders::EngineKey;
 use crate::serve::daemon_state::DaemonState;
 
-/// Keeps an engine listed beside the lease while orders may be given to it; the orders end when this is dropped.
+/// Keeps an engine listed in the lease record while orders may be sent to it; dropping the guard ends the orders.
 #[derive(Debug)]
 pub struct OrdersGuard {
     daemon: Rc<DaemonState>,
@@ -15,7 +15,7 @@
 }
 
 impl OrdersGuard {
-    /// Announces orders to an engine.
+    /// Announces orders to an engine; requests an immediate renewal if the lease record has to list the engine first.
     pub fn new(daemon: &Rc<DaemonState>, engine: EngineKey, fence: Fence) -> Self {
         if daemon.lease.borrow_mut().begin_orders(fence, engine, daemon.now()) {
             daemon.renewal_due.notify_one();
--- a/lib/src/serve/placement_controller.rs
+++ b/lib/src/serve/placement_controller.rs
@@ -1,4 +1,5 @@
-//! The holder of the placement lease at work: plans, and brings models and adapters to engines.
+//! Planning by the holder of the placement lease: starts loads of models and adapters and publishes engines'
+//! inventories.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -32,46 +33,46 @@
 use crate::serve::engine_orders::EngineOrders;
 use crate::serve::gossip::Gossip;
 
-/// Time between plans while nothing happens.
-const PLAN_EVERY: Duration = Duration::from_millis(100);
-/// Rest of an engine after a change that failed.
+/// Interval between planning passes while nothing changes.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without orders to an engine after a failed change or report.
 pub(super) const FAILURE_BACKOFF: Duration = Duration::from_millis(400);
-/// Time of an adapter's load, from the order to its first use.
+/// Expected time of an adapter's load, from the order to its first use.
 pub(super) const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(30);
-/// What is told about an engine is repeated this often, for datagrams that are lost.
-const TELLINGS: u8 = 3;
-/// Daemons up to which every change is told to all at once. In a larger fleet those that wait are
-/// told at once and all others in batches: a change told to 70 daemons costs a small host 1.5 ms.
-const SMALL_FLEET: usize = 12;
-/// Time between batches, for each daemon.
-const BATCH_GAP: Duration = Duration::from_millis(8);
-/// Part of the time that plans may take.
-const PLAN_PART: u32 = 4;
+/// Number of times that an engine's inventory is sent to all daemons after a change, since datagrams may be lost.
+const INVENTORY_SENDS: u8 = 3;
+/// Largest number of daemons to which every change is sent at once. In a larger fleet only daemons with waiting
+/// requests get it at once, and all others in batches: sending a change to 70 daemons takes 1.5 ms on a small host.
+const SMALL_FLEET_DAEMONS: usize = 12;
+/// Interval between batches, per daemon of the fleet.
+const BATCH_GAP_PER_DAEMON: Duration = Duration::from_millis(8);
+/// Pause after a planning pass, as a multiple of the pass's duration: planning takes at most a fifth of the time.
+const PLAN_PAUSE_FACTOR: u32 = 4;
 
-/// Writes models and their adapters for the log.
-fn held_names(models: &[LoadedModel]) -> String {
+/// Formats models and their adapters for the log.
+fn format_models(models: &[LoadedModel]) -> String {
     let name = |m: &LoadedModel| format!("{}[{}]", m.name, m.adapters.join(","));
     models.iter().map(name).collect::<Vec<_>>().join(",")
 }
 
-/// The holder's own state.
+/// State that only the lease holder uses.
 #[derive(Debug)]
 pub(super) struct ControllerState {
-    /// The fence under which the engine table is kept.
+    /// The fencing number under which the engine table was built.
     fence: Option<Fence>,
-    /// Loads from the weight store.
+    /// Bounds concurrent fetches from the weight store.
     pub(super) fetch_limiter: FetchLimiter,
-    /// Whether loads from hosts' copies end on time.
+    /// Tracks whether loads from local copies end on time.
     pub(super) eta_accuracy: EtaAccuracy,
-    /// How often each engine's holding is still to be told.
-    untold: BTreeMap<ServerId, u8>,
-    /// When holdings were last told to all.
-    told: Moment,
-    /// Engines whose report is being read.
-    reading: Vec<ServerInstance>,
+    /// How many more times each engine's inventory has to be sent.
+    unsent: BTreeMap<ServerId, u8>,
+    /// When inventories were last sent to all daemons.
+    last_batch: Moment,
+    /// Engines whose report is being fetched.
+    fetching: Vec<ServerInstance>,
 }
 
-/// Plans and carries plans out.
+/// Plans loads and executes the plan while this daemon holds the placement lease.
 #[derive(Debug)]
 pub struct PlacementController {
     pub(super) daemon: Rc<DaemonState>,
@@ -81,7 +82,7 @@
 }
 
 impl PlacementController {
-    /// Starts without the lease.
+    /// Creates a controller, which stays idle until this daemon holds the lease.
     pub fn new(
         daemon: Rc<DaemonState>,
         gossip: Rc<Gossip>,
@@ -91,26 +92,27 @@
             fence: None,
             fetch_limiter: FetchLimiter::new(Moment::ZERO),
             eta_accuracy: EtaAccuracy::default(),
-            untold: BTreeMap::new(),
-            told: Moment::ZERO,
-            reading: Vec::new(),
+            unsent: BTreeMap::new(),
+            last_batch: Moment::ZERO,
+            fetching: Vec::new(),
         };
         let engines = EngineOrders::new(Rc::clone(&daemon), calls);
         Rc::new(Self { daemon, gossip, engine_orders: engines, state: RefCell::new(state) })
     }
 
-    /// Plans and begins steps while the lease is held.
+    /// Plans and starts the planned actions while the lease is held.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let _woken = timeout(PLAN_EVERY, self.daemon.plan_due.notified()).await;
+            let _woken = timeout(PLAN_INTERVAL, self.daemon.plan_due.notified()).await;
             let began = self.daemon.now();
-            self.turn();
-            // On a slow host plans must not crowd out requests.
-            sleep(self.daemon.now().saturating_sub(began) * PLAN_PART).await;
+            self.run_pass();
+            // On a slow host planning must not take the processor from requests.
+            sleep(self.daemon.now().saturating_sub(began) * PLAN_PAUSE_FACTOR).await;
         }
     }
 
-    fn turn(self: &Rc<Self>) {
+    /// Runs one planning pass.
+    fn run_pass(self: &Rc<Self>) {
         let daemon = &self.daemon;
         let Some(config) = daemon.config() else { return };
         {
@@ -124,42 +126,43 @@
             }
         }
         let Some(fence) = daemon.fence() else { return };
-        self.follow(&config);
-        self.read_unconfirmed();
-        self.look_at_store();
+        self.sync_engine_table(&config);
+        self.fetch_unconfirmed();
+        self.update_store_share();
         for action in self.plan(&config) {
-            self.begin(action, fence);
+            self.start_action(action, fence);
         }
-        self.tell(fence);
+        self.publish_batch(fence);
     }
 
-    /// Brings the engine table up to the directory. A load at an engine that is gone or has started again is
-    /// over: it must not count among those that share the weight store.
-    fn follow(&self, config: &Configuration) {
+    /// Updates the engine table from the directory. A load at an engine that was removed or has restarted has ended and
+    /// must not count among the fetches that share the weight store.
+    fn sync_engine_table(&self, config: &Configuration) {
         let daemon = &self.daemon;
         let now = daemon.now();
         let ended =
             daemon.engine_table.borrow_mut().follow(&daemon.directory.borrow(), config, now);
         let mut state = self.state.borrow_mut();
-        for start in &ended {
-            state.fetch_limiter.end(start, false, now);
+        for instance in &ended {
+            state.fetch_limiter.end(instance, false, now);
         }
         drop(state);
-        // Engines that the holder before ordered just now are left alone for a while.
+        // Engines that the previous lease holder ordered recently get no orders for a while.
         let lease = daemon.lease.borrow();
         for engine in daemon.engine_table.borrow_mut().engines.values_mut() {
-            let free = lease.orderable_from(engine_key(&engine.server.id));
-            engine.backoff_until = engine.backoff_until.max(free);
+            let allowed_from = lease.orderable_from(engine_key(&engine.server.id));
+            engine.backoff_until = engine.backoff_until.max(allowed_from);
         }
     }
 
-    /// Learns how many loads the weight store serves at full speed, and hands that on.
-    fn look_at_store(&self) {
+    /// Updates the number of fetches that the weight store serves at full speed, and stores it with the lease for later
+    /// holders.
+    fn update_store_share(&self) {
         let daemon = &self.daemon;
         let mut state = self.state.borrow_mut();
-        let is_fewer = state.fetch_limiter.update_limit(daemon.now());
+        let is_reduced = state.fetch_limiter.update_limit(daemon.now());
         let share = state.fetch_limiter.share();
-        if is_fewer {
+        if is_reduced {
             slog::info!(daemon.log, "weight-store-shared"; "full_speed" => share.limit,
                 "proven" => share.proven);
         }
@@ -181,7 +184,7 @@
         let window = daemon.settings().load_window;
         let mut state = self.state.borrow_mut();
         let share = state.fetch_limiter.share();
-        let store_room =
+        let fetch_quota =
             if rate.is_finite() { state.fetch_limiter.fetches_left(rate, window, now) } else { 0 };
         drop(state);
         let work = daemon.workloads.fleet_table(now);
@@ -194,51 +197,53 @@
             run_times: &daemon.run_times,
             unreachable: avoided.chain(directory.suspended().cloned()).collect(),
             share,
-            fetches_left: store_room,
+            fetches_left: fetch_quota,
         };
         input.plan()
     }
 
-    /// Reads the reports of engines whose state is in doubt, before any order to them.
-    fn read_unconfirmed(self: &Rc<Self>) {
+    /// Fetches the reports of engines whose state is unconfirmed, which precedes any order to them.
+    fn fetch_unconfirmed(self: &Rc<Self>) {
         let daemon = &self.daemon;
         let now = daemon.now();
         let engine_table = daemon.engine_table.borrow();
         let mut state = self.state.borrow_mut();
         for engine in engine_table.engines.values() {
-            let start = engine.server.instance();
+            let instance = engine.server.instance();
             let is_idle = engine.job.is_none() && engine.adapter_jobs.is_empty();
             let is_due = is_idle && !engine.confirmed && now >= engine.backoff_until;
-            if !is_due || state.reading.contains(&start) {
+            if !is_due || state.fetching.contains(&instance) {
                 continue;
             }
-            state.reading.push(start.clone());
-            let orders = Rc::clone(self);
+            state.fetching.push(instance.clone());
+            let controller = Rc::clone(self);
             spawn_local(async move {
-                let result = orders.engine_orders.fetch_report(&start).await;
-                orders.state.borrow_mut().reading.retain(|r| *r != start);
-                orders.take_report(&start, result.as_ref());
+                let result = controller.engine_orders.fetch_report(&instance).await;
+                controller.state.borrow_mut().fetching.retain(|r| *r != instance);
+                controller.on_report(&instance, result.as_ref());
             });
         }
     }
 
-    fn take_report(&self, start: &ServerInstance, report: Option<&EngineReport>) {
+    /// Applies a fetched report; if there is none or the report does not fit, backs off from the engine.
+    fn on_report(&self, instance: &ServerInstance, report: Option<&EngineReport>) {
         let daemon = &self.daemon;
         let now = daemon.now();
         let mut engine_table = daemon.engine_table.borrow_mut();
-        let Some(engine) = engine_table.engine_mut(start) else { return };
+        let Some(engine) = engine_table.engine_mut(instance) else { return };
         if engine.job.is_some() || !engine.adapter_jobs.is_empty() {
             return;
         }
         if let Some(report) = report {
-            slog::info!(daemon.log, "engine-read"; "server" => %start, "sequence" => report.sequence,
+            slog::info!(daemon.log, "engine-read"; "server" => %instance,
+                "sequence" => report.sequence,
                 "believed" => engine.sequence, "busy" => report.busy,
-                "holds" => held_names(&report.models));
+                "holds" => format_models(&report.models));
         }
         match report {
             Some(report) if !report.busy && engine.accepts_report(report) => {
                 engine.apply_report(report, now);
-                self.state.borrow_mut().untold.insert(start.id.clone(), TELLINGS);
+                self.state.borrow_mut().unsent.insert(instance.id.clone(), INVENTORY_SENDS);
                 drop(engine_table);
                 daemon.plan_due.notify_one();
             }
@@ -249,7 +254,8 @@
         }
     }
 
-    fn begin(self: &Rc<Self>, action: Action, fence: Fence) {
+    /// Starts a planned load.
+    fn start_action(self: &Rc<Self>, action: Action, fence: Fence) {
         let daemon = &self.daemon;
         let now = daemon.now();
         let mut engine_table = daemon.engine_table.borrow_mut();
@@ -264,38 +270,43 @@
                     "waiting" => daemon.demand.borrow().backlogs(now).values().map(|w| w.waiting).sum::<u32>());
                 let job = LoadJob { model, victims, source, since: now, eta: now + time };
                 engine.job = Some(job.clone());
-                let start = engine.server.instance();
+                let instance = engine.server.instance();
                 let service = engine.server.service.clone();
-                let alone = self.load_time(&service, &job.model);
+                let fetch_time = self.solo_fetch_time(&service, &job.model);
                 if source == Source::Store {
-                    self.state.borrow_mut().fetch_limiter.begin(&start, alone, occupied, now);
+                    self.state
+                        .borrow_mut()
+                        .fetch_limiter
+                        .begin(&instance, fetch_time, occupied, now);
                 }
-                self.state.borrow_mut().untold.insert(server, TELLINGS);
-                let orders = Rc::clone(self);
-                spawn_local(async move { orders.run_load(start, job, fence).await });
+                self.state.borrow_mut().unsent.insert(server, INVENTORY_SENDS);
+                let controller = Rc::clone(self);
+                spawn_local(async move { controller.run_load(instance, job, fence).await });
             }
             Action::LoadAdapter { server, model, adapter, victim } => {
                 let Some(engine) = engine_table.engines.get_mut(&server) else { return };
                 let eta = now + ADAPTER_LOAD_TIME;
                 let job = AdapterJob { model, adapter, victim, eta };
                 engine.adapter_jobs.push(job.clone());
-                let start = engine.server.instance();
-                self.state.borrow_mut().untold.insert(server, TELLINGS);
-                let orders = Rc::clone(self);
-                spawn_local(async move { orders.run_adapter_load(start, job, fence).await });
+                let instance = engine.server.instance();
+                self.state.borrow_mut().unsent.insert(server, INVENTORY_SENDS);
+                let controller = Rc::clone(self);
+                spawn_local(async move { controller.run_adapter_load(instance, job, fence).await });
             }
         }
     }
 
+    /// Calls `f` with an engine, or returns `None` if this instance is not in the engine table.
     pub(super) fn with_engine<T>(
         &self,
-        start: &ServerInstance,
+        instance: &ServerInstance,
         f: impl FnOnce(&mut Engine) -> T,
     ) -> Option<T> {
-        self.engine_orders.with_engine(start, f)
+        self.engine_orders.with_engine(instance, f)
     }
 
-    /// Tells this daemon and those that wait for `model` what an engine holds; the others follow.
+    /// Publishes an engine's inventory to this daemon and the daemons with requests that wait for `model`; the other
+    /// daemons get it with the next batch.
     pub(super) fn publish_inventory(
         &self,
         server: &ServerInstance,
@@ -304,9 +315,9 @@
     ) {
         let daemon = &self.daemon;
         let now = daemon.now();
-        self.state.borrow_mut().untold.insert(server.id.clone(), TELLINGS);
-        let told = self.with_engine(server, |e| (e.server.service.clone(), e.inventory(now)));
-        if let Some((service, inventory)) = told {
+        self.state.borrow_mut().unsent.insert(server.id.clone(), INVENTORY_SENDS);
+        let current = self.with_engine(server, |e| (e.server.service.clone(), e.inventory(now)));
+        if let Some((service, inventory)) = current {
             let demand = daemon.demand.borrow();
             let waiting = demand.waiting_daemons(&service, &[model.as_str()]);
             let waiting: Vec<_> = waiting.into_iter().cloned().collect();
@@ -317,27 +328,31 @@
         daemon.plan_due.notify_one();
     }
 
-    /// Tells all daemons what changed, in a large fleet in batches.
-    fn tell(&self, fence: Fence) {
+    /// Sends changed inventories to all daemons, in a large fleet in batches.
+    fn publish_batch(&self, fence: Fence) {
         let daemon = &self.daemon;
         let now = daemon.now();
         let daemons = daemon.peers.borrow().daemons();
-        let gap = if daemons <= SMALL_FLEET { Duration::ZERO } else { BATCH_GAP * daemons as u32 };
+        let gap = if daemons <= SMALL_FLEET_DAEMONS {
+            Duration::ZERO
+        } else {
+            BATCH_GAP_PER_DAEMON * daemons as u32
+        };
         let mut state = self.state.borrow_mut();
-        if state.untold.is_empty() || now < state.told + gap {
+        if state.unsent.is_empty() || now < state.last_batch + gap {
             return;
         }
-        state.told = now;
+        state.last_batch = now;
         let engine_table = daemon.engine_table.borrow();
-        let mut list = Vec::new();
-        state.untold.retain(|id, left| {
-            list.extend(engine_table.engines.get(id).map(|e| e.inventory(now)));
-            *left -= 1;
-            *left > 0
+        let mut inventories = Vec::new();
+        state.unsent.retain(|id, remaining| {
+            inventories.extend(engine_table.engines.get(id).map(|e| e.inventory(now)));
+            *remaining -= 1;
+            *remaining > 0
         });
         drop(engine_table);
         drop(state);
-        self.gossip.publish_inventories(fence, &list);
-        daemon.update_inventory(fence, list);
+        self.gossip.publish_inventories(fence, &inventories);
+        daemon.update_inventory(fence, inventories);
     }
 }
