--- a/lib/src/serve/peer_sync.rs
+++ b/lib/src/serve/peer_sync.rs
@@ -1,4 +1,5 @@
-//! What a daemon fetches from peers: whatever the store or readers' words did not bring.
+//! Fetches configurations and snapshots from peers when the store and the readers' reports do not deliver them, and
+//! detects that this daemon is isolated.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,82 +18,85 @@
 use crate::serve::peer_transfer::FETCH_TIMEOUT;
 use crate::serve::peer_transfer::fetch_from_peer;
 
-/// The store is taken as away when it has not answered for this long: more than a read's pace.
-const STORE_SILENT: Duration = Duration::from_millis(1700);
-/// Time between looks at whether this daemon is behind its peers or cut off.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// A daemon behind its peers waits this long for the store's own word first.
-const BEHIND_FOR: Duration = Duration::from_millis(400);
-/// Fetches of the daemons of a data centre from its readers are spread over this time.
-const FETCH_SPREAD: u64 = 150;
-/// Time between a daemon's fetches of the whole picture from a reader, so that no mistake of a reader lasts longer.
-const WHOLE_EVERY: Duration = Duration::from_secs(30);
+/// The store counts as unavailable when it has not responded for this long, which is more than the interval of reads.
+const STORE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1700);
+/// Interval between checks whether this daemon is behind its peers or isolated.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// A daemon behind its peers waits this long for an update from the store before it fetches from a peer.
+const BEHIND_DELAY: Duration = Duration::from_millis(400);
+/// Period in milliseconds over which the daemons of a data centre spread their fetches from its readers.
+const FETCH_SPREAD_MS: u64 = 150;
+/// Interval between a daemon's fetches of a full snapshot from a reader; it bounds how long a reader's error can last.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Fetches from a peer what the store does not give, and notices when this daemon is cut off.
+/// Fetches snapshots from peers that are ahead while the store does not deliver them, and tracks isolation.
 pub async fn sync_from_peers(daemon: Rc<DaemonState>) {
     let mut behind_since = None;
-    // Daemons begin with different peers.
-    let mut turn = daemon.process as usize;
+    // Starts daemons at different peers.
+    let mut rotation = daemon.process as usize;
     loop {
-        sleep(LOOK_EVERY).await;
-        look_around(&daemon);
-        let Some(peer) = peer_ahead(&daemon, turn) else {
+        sleep(CHECK_INTERVAL).await;
+        update_isolation(&daemon);
+        let Some(peer) = peer_ahead(&daemon, rotation) else {
             behind_since = None;
             continue;
         };
-        if behind_since.get_or_insert_with(Instant::now).elapsed() < BEHIND_FOR {
+        if behind_since.get_or_insert_with(Instant::now).elapsed() < BEHIND_DELAY {
             continue;
         }
         behind_since = None;
-        turn = turn.wrapping_add(1);
+        rotation = rotation.wrapping_add(1);
         fetch_from(&daemon, peer, PeerRequest::Snapshot).await;
     }
 }
 
-/// Fetches from readers what their words tell of: a later configuration, or the picture behind a gap.
+/// Fetches from readers a newer configuration that they advertise, and a full snapshot periodically or after a gap in
+/// their reports.
 pub async fn sync_from_readers(daemon: Rc<DaemonState>) {
-    let mut turn = daemon.process as usize;
-    let mut whole = daemon.now() + first_whole(&daemon);
+    let mut rotation = daemon.process as usize;
+    let mut next_snapshot = daemon.now() + first_snapshot_delay(&daemon);
     loop {
-        let _told = timeout(LOOK_EVERY * 5, daemon.fetch_due.notified()).await;
+        let _notified = timeout(CHECK_INTERVAL * 5, daemon.fetch_due.notified()).await;
         if !daemon.relies_on_readers() {
             continue;
         }
-        turn = turn.wrapping_add(1);
+        rotation = rotation.wrapping_add(1);
         let now = daemon.now();
         let centre = daemon.settings().centre.clone();
         let version = daemon.config_version();
-        let later = daemon.peers.borrow().reader_ahead(&centre, version, turn, now);
-        if let Some(reader) = later {
-            sleep(Duration::from_millis(daemon.process % FETCH_SPREAD)).await;
+        let ahead = daemon.peers.borrow().reader_ahead(&centre, version, rotation, now);
+        if let Some(reader) = ahead {
+            sleep(Duration::from_millis(daemon.process % FETCH_SPREAD_MS)).await;
             fetch_from(&daemon, reader, PeerRequest::Configuration).await;
         }
         let has_gap = daemon.freshness.has_gap.get();
-        if has_gap || now >= whole {
-            whole = now + WHOLE_EVERY;
-            fetch_whole(&daemon, turn).await;
+        if has_gap || now >= next_snapshot {
+            next_snapshot = now + SNAPSHOT_INTERVAL;
+            fetch_reader_snapshot(&daemon, rotation).await;
         }
     }
 }
 
-fn first_whole(daemon: &DaemonState) -> Duration {
-    WHOLE_EVERY / 2 + Duration::from_millis(daemon.process % WHOLE_EVERY.as_millis() as u64)
+/// Returns the delay of the first full snapshot, which differs between daemons to spread the load.
+fn first_snapshot_delay(daemon: &DaemonState) -> Duration {
+    SNAPSHOT_INTERVAL / 2
+        + Duration::from_millis(daemon.process % SNAPSHOT_INTERVAL.as_millis() as u64)
 }
 
-/// Fetches the whole picture from a reader of the data centre.
-async fn fetch_whole(daemon: &DaemonState, turn: usize) {
+/// Fetches a full snapshot from a reader of this data centre.
+async fn fetch_reader_snapshot(daemon: &DaemonState, rotation: usize) {
     let now = daemon.now();
     let centre = daemon.settings().centre.clone();
     let reader = {
         let peers = daemon.peers.borrow();
-        let list: Vec<_> = peers.readers(&centre, now).collect();
-        let chosen = list.get(turn % list.len().max(1));
+        let readers: Vec<_> = peers.readers(&centre, now).collect();
+        let chosen = readers.get(rotation % readers.len().max(1));
         chosen.and_then(|(_, p)| Some((p.addr, p.fresh_reader_status(now)?.read)))
     };
-    let Some((addr, read)) = reader else { return };
+    let Some((addr, read_at)) = reader else { return };
     if fetch_from(daemon, addr, PeerRequest::Snapshot).await {
         daemon.freshness.has_gap.set(false);
-        daemon.freshness.advance_servers(read);
+        daemon.freshness.advance_servers(read_at);
     }
 }
 
@@ -102,8 +106,8 @@
         Err(_elapsed) => Err("timeout".to_owned()),
     };
     match result {
-        Ok(picture) => {
-            adopt(daemon, picture);
+        Ok(snapshot) => {
+            apply_snapshot(daemon, snapshot);
             true
         }
         Err(error) => {
@@ -113,53 +117,59 @@
     }
 }
 
-fn look_around(daemon: &DaemonState) {
+fn update_isolation(daemon: &DaemonState) {
     let now = daemon.now();
     let centre = daemon.settings().centre.clone();
-    let silence = daemon.store_silence(now);
-    // Neither alone is enough: all peers may have stopped, and the store may be away for all.
-    let isolated =
-        silence > store_silent(daemon) && daemon.peers.borrow().is_isolated(&centre, now);
+    let since_response = daemon.store_silence(now);
+    // Both conditions are needed: all peers may have stopped, and the store may be unavailable to all daemons.
+    let isolated = since_response > store_response_timeout(daemon)
+        && daemon.peers.borrow().is_isolated(&centre, now);
     if daemon.isolated.replace(isolated) != isolated {
         slog::warn!(daemon.log, "isolation"; "cut_off" => isolated,
-            "store_seen_ms_ago" => silence.as_millis());
+            "store_seen_ms_ago" => since_response.as_millis());
     }
 }
 
-/// Returns after which silence the store is taken as away. In a large fleet this daemon's own reads come rarely, and
-/// words a moment late.
-fn store_silent(daemon: &DaemonState) -> Duration {
-    if daemon.is_large_fleet() { STORE_SILENT.max(daemon.settings().drain) } else { STORE_SILENT }
+/// Returns after how long without a response the store counts as unavailable. In a large fleet this daemon reads the
+/// store rarely, and readers' reports arrive with a delay.
+fn store_response_timeout(daemon: &DaemonState) -> Duration {
+    if daemon.is_large_fleet() {
+        STORE_RESPONSE_TIMEOUT.max(daemon.settings().drain)
+    } else {
+        STORE_RESPONSE_TIMEOUT
+    }
 }
 
-/// Returns a peer that knows more than this daemon, where the store does not help.
-fn peer_ahead(daemon: &DaemonState, turn: usize) -> Option<SocketAddr> {
+/// Returns a peer with a newer configuration or, if the store does not respond, with a later server feed.
+///
+/// `rotation` varies the choice between peers.
+fn peer_ahead(daemon: &DaemonState, rotation: usize) -> Option<SocketAddr> {
     let now = daemon.now();
     let config = daemon.config_version();
     let servers = daemon.directory.borrow().feed_end();
-    let is_silent = daemon.store_silence(now) > store_silent(daemon);
-    let servers = is_silent.then_some(servers);
+    let is_unresponsive = daemon.store_silence(now) > store_response_timeout(daemon);
+    let servers = is_unresponsive.then_some(servers);
     let centre = &daemon.settings().centre;
-    daemon.peers.borrow().snapshot_source(config, servers, centre, turn, now)
+    daemon.peers.borrow().snapshot_source(config, servers, centre, rotation, now)
 }
 
-fn adopt(daemon: &DaemonState, picture: SnapshotReply) {
-    if !picture.raw_config.is_empty() {
+fn apply_snapshot(daemon: &DaemonState, snapshot: SnapshotReply) {
+    if !snapshot.raw_config.is_empty() {
         apply_updates::apply_config(
             daemon,
-            &Bytes::from(picture.raw_config),
+            &Bytes::from(snapshot.raw_config),
             apply_updates::FROM_PEER,
         );
     }
-    // One of the same age may heal a difference.
+    // A snapshot with the same feed end is applied too, as it may repair a difference.
     let end = daemon.directory.borrow().feed_end();
-    if picture.servers_end < end || picture.raw_servers.is_empty() {
+    if snapshot.servers_end < end || snapshot.raw_servers.is_empty() {
         return;
     }
     let mut changed = false;
-    // The peer waits for these as this daemon does: they are neither there nor gone.
-    let mut listed = picture.awaited;
-    for (id, raw) in picture.raw_servers {
+    // Entries that the peer still waits for count as neither present nor removed.
+    let mut listed = snapshot.awaited;
+    for (id, raw) in snapshot.raw_servers {
         let change = apply_updates::apply_server(
             daemon,
             &id,
@@ -175,7 +185,7 @@
         changed = true;
         slog::info!(daemon.log, "server"; "server" => %id, "change" => ?change, "from" => apply_updates::FROM_PEER);
     }
-    daemon.directory.borrow_mut().advance(picture.servers_end);
+    daemon.directory.borrow_mut().advance(snapshot.servers_end);
     if changed {
         apply_updates::on_servers_changed(daemon);
     }
--- a/lib/src/serve/peer_transfer.rs
+++ b/lib/src/serve/peer_transfer.rs
@@ -1,4 +1,5 @@
-//! The platform's records for a daemon that the platform turns away, over a connection to a peer.
+//! Transfers the configuration and server entries between peers over TCP, for daemons that do not get them from the
+//! platform's store, for instance because it refuses their calls.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,26 +19,26 @@
 use crate::serve::daemon_state::DaemonState;
 use crate::serve::socket;
 
-/// Time for another daemon's picture.
+/// Time limit for fetching a snapshot from a peer, and for serving one.
 pub const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest picture of another daemon, in bytes.
-const PICTURE_LIMIT: u32 = 16 * 1024 * 1024;
-/// Largest request of a peer, in bytes.
-const REQUEST_LIMIT: u32 = 1024;
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Largest accepted snapshot, in bytes.
+const MAX_SNAPSHOT_BYTES: u32 = 16 * 1024 * 1024;
+/// Largest accepted request of a peer, in bytes.
+const MAX_REQUEST_BYTES: u32 = 1024;
+/// Delay after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Asks a peer for its picture, or a part of it.
+/// Fetches a snapshot or only the configuration from a peer.
 ///
 /// # Errors
 ///
-/// The peer cannot be reached or answers nonsense.
+/// Fails if the peer is unreachable or its response is malformed or larger than `MAX_SNAPSHOT_BYTES`.
 pub async fn fetch_from_peer(peer: SocketAddr, request: PeerRequest) -> io::Result<SnapshotReply> {
     let mut stream = socket::connect(peer, FETCH_TIMEOUT).await?;
     let request = postcard::to_stdvec(&request).map_err(io::Error::other)?;
     stream.write_u32(request.len() as u32).await?;
     stream.write_all(&request).await?;
-    let bytes = read_frame(&mut stream, PICTURE_LIMIT).await?;
+    let bytes = read_frame(&mut stream, MAX_SNAPSHOT_BYTES).await?;
     postcard::from_bytes(&bytes).map_err(io::Error::other)
 }
 
@@ -51,11 +52,11 @@
     Ok(bytes)
 }
 
-/// Answers peers that ask for the picture.
+/// Serves peers that request a snapshot.
 pub async fn serve_peers(daemon: Rc<DaemonState>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let daemon = Rc::clone(&daemon);
@@ -68,7 +69,7 @@
 }
 
 async fn serve_peer(daemon: &DaemonState, mut stream: TcpStream) -> io::Result<()> {
-    let request = read_frame(&mut stream, REQUEST_LIMIT).await?;
+    let request = read_frame(&mut stream, MAX_REQUEST_BYTES).await?;
     let mut reply = SnapshotReply {
         config_version: daemon.config_version(),
         raw_config: daemon.raw_config.borrow().to_vec(),
