--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -1,4 +1,4 @@
-//! What this daemon tells its peers, to whom, and when.
+//! Sends this daemon's digests, reader reports, demand and engine inventories to its peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,21 +24,23 @@
 use crate::ids::Fence;
 use crate::serve::gossip::Gossip;
 
-/// Least time between two tellings of demand.
-const DEMAND_GAP: Duration = Duration::from_millis(10);
-/// Time between tellings of demand while it does not change.
-const DEMAND_EVERY: Duration = Duration::from_millis(250);
-/// Servers in one message; more go into further ones.
-const HOLDINGS_EACH: usize = 24;
-/// Bytes of servers' entries in one word; where more came at once, peers fetch the whole picture.
-const JOINED_BYTES: usize = 30_000;
+/// Shortest interval between two demand reports.
+const MIN_DEMAND_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between demand reports while no request begins to wait.
+const DEMAND_INTERVAL: Duration = Duration::from_millis(250);
+/// Most inventories in one message; further ones are sent in more messages.
+const INVENTORIES_PER_MESSAGE: usize = 24;
+/// Most bytes of joined servers' entries in one reader report. If more servers joined at once, peers fetch a full
+/// snapshot.
+const MAX_JOINED_BYTES: usize = 30_000;
 
 fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
 impl Gossip {
-    fn digest_gap(&self) -> Duration {
+    /// Returns the interval between digests.
+    fn current_digest_interval(&self) -> Duration {
         let peers = self.daemon.peers.borrow();
         let is_holder = self.daemon.held_fence().is_some() && !peers.is_large_fleet();
         if is_holder { peers.holder_interval() } else { peers.digest_interval() }
@@ -50,7 +52,7 @@
         let claim = daemon.lease.borrow().claim(now);
         let servers_end = daemon.directory.borrow().feed_end();
         let age = daemon.config_age(now);
-        let note = |(place, work): (WorkloadKey, Workload)| WorkloadReport {
+        let to_report = |(place, work): (WorkloadKey, Workload)| WorkloadReport {
             server: place.server,
             model: place.model,
             running: work.running,
@@ -65,7 +67,7 @@
             departures,
             ready: daemon.is_ready(),
             is_small: settings.host.is_small(),
-            workloads: daemon.workloads.snapshot_own().into_iter().map(note).collect(),
+            workloads: daemon.workloads.snapshot_own().into_iter().map(to_report).collect(),
             limits: daemon.rate_limits.borrow().report(now, daemon.is_reader()),
             quarantine: daemon.quarantine.borrow().report(now, daemon.is_reader()),
             lease: claim.map(LeaseReport::from),
@@ -73,11 +75,11 @@
     }
 
     fn digest_message(&self) -> Vec<u8> {
-        let left = self.daemon.directory.borrow_mut().recent_departures(self.daemon.now());
-        self.encode(Payload::Digest(self.digest(left)))
+        let departures = self.daemon.directory.borrow_mut().recent_departures(self.daemon.now());
+        self.encode(Payload::Digest(self.digest(departures)))
     }
 
-    fn word_message(&self, scope: WorkloadScope) -> Vec<u8> {
+    fn reader_report_message(&self, scope: WorkloadScope) -> Vec<u8> {
         let daemon = &self.daemon;
         let now = daemon.now();
         let centre = daemon.settings().centre.clone();
@@ -88,7 +90,7 @@
             WorkloadScope::Fleet => directory.recent_joins(now),
             WorkloadScope::Centre => Vec::new(),
         };
-        if joined.iter().map(|(_, raw)| raw.len()).sum::<usize>() > JOINED_BYTES {
+        if joined.iter().map(|(_, raw)| raw.len()).sum::<usize>() > MAX_JOINED_BYTES {
             joined.clear();
             changes_from = directory.feed_end();
         }
@@ -99,7 +101,7 @@
             WorkloadScope::Centre => daemon.workloads.centre_table(now).summaries(true),
         };
         let remote_heard = daemon.peers.borrow().remote_heard(&centre, now);
-        let told = ReaderReport {
+        let report = ReaderReport {
             digest: Digest { workloads: Vec::new(), ..self.digest(departures) },
             changes_from,
             read_age: millis(now.saturating_sub(daemon.freshness.servers_at.get())),
@@ -109,56 +111,56 @@
             scope,
             workloads,
         };
-        self.encode(Payload::ReaderReport(told))
+        self.encode(Payload::ReaderReport(report))
     }
 
-    /// Looks whether this daemon should read the store for its data centre.
-    fn look_at_duty(&self, now: Moment) {
+    /// Updates whether this daemon reads the store for its data centre.
+    fn update_reader_role(&self, now: Moment) {
         let daemon = &self.daemon;
         let centre = daemon.settings().centre.clone();
-        let before = daemon.peers.borrow().higher_ranked(daemon.reader_rank(), &centre, now);
+        let higher = daemon.peers.borrow().higher_ranked(daemon.reader_rank(), &centre, now);
         let is_needed =
             daemon.is_large_fleet() && daemon.peers_known.get() && daemon.stopping.get().is_none();
         let mut role = daemon.reader_role.borrow_mut();
-        let did = role.is_reader();
-        let does = if is_needed {
-            role.update(before, now)
+        let was_reader = role.is_reader();
+        let reads = if is_needed {
+            role.update(higher, now)
         } else {
             role.reset();
             false
         };
-        if did != does {
-            slog::info!(daemon.log, "reader"; "reads" => does, "before" => before.daemons,
-                "readers" => before.readers, "blind" => before.blind);
+        if was_reader != reads {
+            slog::info!(daemon.log, "reader"; "reads" => reads, "before" => higher.daemons,
+                "readers" => higher.readers, "blind" => higher.blind);
         }
     }
 
-    /// Tells peers this daemon's state, now and then, and at once what they should know.
+    /// Sends digests to peers periodically, and urgent changes at once.
     pub async fn publish_digests(self: Rc<Self>) {
         loop {
-            let due = self.last_digest.get() + self.digest_gap();
+            let due = self.last_digest.get() + self.current_digest_interval();
             let now = self.daemon.now();
             if now >= due || self.last_digest.get().is_zero() {
-                self.tell_turn(false);
+                self.send_digest(false);
                 continue;
             }
-            let left = due.saturating_sub(now);
+            let remaining = due.saturating_sub(now);
             tokio::select! {
-                () = sleep(left) => {}
-                () = self.daemon.config_changed.notified() => self.tell_version(),
-                () = self.daemon.report_due.notified() => self.tell_words(),
-                () = self.daemon.quarantine_changed.notified() => self.tell_turn(false),
+                () = sleep(remaining) => {}
+                () = self.daemon.config_changed.notified() => self.send_config_version(),
+                () = self.daemon.report_due.notified() => self.send_reader_reports(),
+                () = self.daemon.quarantine_changed.notified() => self.send_digest(false),
                 () = self.daemon.trials.changed.notified() => {
                     self.daemon.model_waits.inventories_changed.notify_waiters();
-                    self.tell_trials();
+                    self.send_trials();
                 }
             }
         }
     }
 
-    /// Tells the data centre at once that a version has come into force, on the part of those who ask for it
-    /// often: the others may not hear of it otherwise for seconds.
-    fn tell_version(&self) {
+    /// Sends a digest to the data centre when a new configuration version is in force, if this daemon polls the
+    /// configuration often: the other daemons might otherwise not learn of the version for seconds.
+    fn send_config_version(&self) {
         if self.daemon.is_large_fleet() || !self.daemon.polls_config() {
             return;
         }
@@ -169,20 +171,21 @@
         }
     }
 
-    /// Tells this daemon's state at once; the lease holder tells all.
+    /// Sends a digest at once; the lease holder sends it to all peers.
     pub fn publish_digest(&self) {
-        self.tell_turn(true);
+        self.send_digest(true);
     }
 
-    /// Tells this daemon's state to those whose turn it is, and words where it reads for others.
-    fn tell_turn(&self, has_news: bool) {
+    /// Sends a digest to the peers that are due, and reader reports if this daemon is a reader. The seeds are included
+    /// while no peer is reachable. An urgent digest of the lease holder goes to all peers.
+    fn send_digest(&self, is_urgent: bool) {
         let now = self.daemon.now();
         self.last_digest.set(now);
         let round = self.round.replace(self.round.get().wrapping_add(1));
         self.daemon.peers.borrow_mut().sweep(now);
-        self.look_at_duty(now);
+        self.update_reader_role(now);
         let bytes = self.digest_message();
-        let addrs = self.listeners(round, has_news, now);
+        let addrs = self.digest_recipients(round, is_urgent, now);
         for addr in &addrs {
             self.send(*addr, &bytes, "digest");
         }
@@ -193,24 +196,24 @@
                 }
             }
         }
-        self.tell_words();
+        self.send_reader_reports();
         if !self.daemon.trials.own().is_empty() {
-            self.tell_trials();
+            self.send_trials();
         }
     }
 
-    /// Tells all daemons which suspected requests are here: each must know before it sends a copy of one.
-    fn tell_trials(&self) {
+    /// Sends the suspected requests at this daemon to all daemons: each must know them before it sends a copy of one.
+    fn send_trials(&self) {
         let bytes = self.encode(Payload::Trials(self.daemon.trials.own()));
         for (_, peer) in self.daemon.peers.borrow().all() {
             self.send(peer.addr, &bytes, "trials");
         }
     }
 
-    fn listeners(&self, round: u64, has_news: bool, now: Moment) -> Vec<SocketAddr> {
+    fn digest_recipients(&self, round: u64, is_urgent: bool, now: Moment) -> Vec<SocketAddr> {
         let peers = self.daemon.peers.borrow();
         let centre = self.daemon.settings().centre.clone();
-        let is_due = has_news || now >= self.last_broadcast.get() + peers.holder_interval();
+        let is_due = is_urgent || now >= self.last_broadcast.get() + peers.holder_interval();
         if self.daemon.held_fence().is_some() && is_due {
             self.last_broadcast.set(now);
             return peers.all().map(|(_, p)| p.addr).collect();
@@ -218,19 +221,19 @@
         peers.digest_targets(&centre, round, now)
     }
 
-    /// Tells the data centre, the readers of the others and the lease holder what a reader knows.
-    fn tell_words(&self) {
+    /// Sends a reader's reports to its data centre, the readers of the other data centres and the lease holder.
+    fn send_reader_reports(&self) {
         let daemon = &self.daemon;
         if !daemon.is_large_fleet() || !daemon.is_reader() {
             return;
         }
         let now = daemon.now();
         let centre = daemon.settings().centre.clone();
-        let near = self.word_message(WorkloadScope::Fleet);
-        let far = self.word_message(WorkloadScope::Centre);
+        let local_report = self.reader_report_message(WorkloadScope::Fleet);
+        let remote_report = self.reader_report_message(WorkloadScope::Centre);
         let peers = daemon.peers.borrow();
         for peer in peers.in_centre(&centre) {
-            self.send(peer.addr, &near, "word");
+            self.send(peer.addr, &local_report, "word");
         }
         let mut addrs: Vec<SocketAddr> = peers
             .centres()
@@ -241,45 +244,45 @@
         addrs.sort_unstable();
         addrs.dedup();
         for addr in addrs {
-            self.send(addr, &far, "word");
+            self.send(addr, &remote_report, "word");
         }
     }
 
-    /// Tells the holder of the placement lease what callers ask for: at once when something new is
-    /// waited for, then in steps.
+    /// Sends the demand of waiting requests to the holder of the placement lease: at once when a request begins to
+    /// wait, then periodically.
     pub async fn publish_demand(self: Rc<Self>) {
         loop {
-            let begun = self.daemon.model_waits.wait_started.notified();
-            self.tell_demand_now();
-            sleep(DEMAND_GAP).await;
-            let _begun = timeout(DEMAND_EVERY, begun).await;
+            let wait_started = self.daemon.model_waits.wait_started.notified();
+            self.send_demand();
+            sleep(MIN_DEMAND_INTERVAL).await;
+            let _notified = timeout(DEMAND_INTERVAL, wait_started).await;
         }
     }
 
-    fn tell_demand_now(&self) {
+    fn send_demand(&self) {
         let daemon = &self.daemon;
         let now = daemon.now();
-        let note = daemon.model_waits.demand_note(now);
-        if note == DemandReport::default() {
+        let report = daemon.model_waits.demand_note(now);
+        if report == DemandReport::default() {
             return;
         }
         if daemon.fence().is_some() {
             let id = daemon.settings().id.clone();
-            daemon.demand.borrow_mut().update(&id, note, now);
+            daemon.demand.borrow_mut().update(&id, report, now);
             daemon.plan_due.notify_one();
             return;
         }
         let holder = daemon.peers.borrow().holder(now).map(|(_, peer, _)| peer.addr);
         if let Some(addr) = holder {
-            let bytes = self.encode(Payload::Demand(note));
+            let bytes = self.encode(Payload::Demand(report));
             self.send(addr, &bytes, "demand");
         }
     }
 
-    /// Tells all peers what engines hold, in a large fleet by way of readers.
+    /// Sends engines' inventories to all peers, in a large fleet through readers.
     pub fn publish_inventories(&self, fence: Fence, inventories: &[EngineInventory]) {
-        let addrs = self.holdings_listeners();
-        for part in inventories.chunks(HOLDINGS_EACH) {
+        let addrs = self.inventory_recipients();
+        for part in inventories.chunks(INVENTORIES_PER_MESSAGE) {
             let bytes = self.encode(Payload::Inventories(fence, part.to_vec()));
             for addr in &addrs {
                 self.send(*addr, &bytes, "holdings");
@@ -287,7 +290,7 @@
         }
     }
 
-    fn holdings_listeners(&self) -> Vec<SocketAddr> {
+    fn inventory_recipients(&self) -> Vec<SocketAddr> {
         let peers = self.daemon.peers.borrow();
         if !peers.is_large_fleet() {
             return peers.all().map(|(_, p)| p.addr).collect();
@@ -296,13 +299,13 @@
         let own = self.daemon.settings().centre.clone();
         let to_centre = |centre: &CentreId| -> Vec<SocketAddr> {
             let readers: Vec<_> = peers.readers(centre, now).map(|(_, p)| p.addr).collect();
-            let is_told = *centre != own && !readers.is_empty();
-            if is_told { readers } else { peers.in_centre(centre).map(|p| p.addr).collect() }
+            let via_readers = *centre != own && !readers.is_empty();
+            if via_readers { readers } else { peers.in_centre(centre).map(|p| p.addr).collect() }
         };
         peers.centres().flat_map(to_centre).collect()
     }
 
-    /// Passes the lease holder's word on to the data centre.
+    /// Forwards inventories from the lease holder to the data centre.
     pub(super) fn relay_holdings(&self, fence: Fence, list: &[EngineInventory]) {
         let bytes = self.encode(Payload::Inventories(fence, list.to_vec()));
         let centre = self.daemon.settings().centre.clone();
@@ -311,7 +314,7 @@
         }
     }
 
-    /// Tells some peers what an engine holds.
+    /// Sends an engine's inventory to the given peers.
     pub fn send_inventory(&self, fence: Fence, inventory: &EngineInventory, daemons: &[DaemonId]) {
         let bytes = self.encode(Payload::Inventories(fence, vec![inventory.clone()]));
         let peers = self.daemon.peers.borrow();
