--- a/lib/src/serve/lifecycle.rs
+++ b/lib/src/serve/lifecycle.rs
@@ -34,7 +34,7 @@
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between checks of the settings file, which may change without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
-/// Interval between removals of expired servers, suspects and unused connections.
+/// Interval between sweeps of awaited server entries, expired suspects and idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Source from which the settings are reloaded.
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -100,12 +100,12 @@
             WorkloadScope::Fleet => daemon.workloads.fleet_table(now).summaries(false),
             WorkloadScope::Centre => daemon.workloads.centre_table(now).summaries(true),
         };
-        let remote_heard = daemon.peers.borrow().remote_heard(&centre, now);
+        let remote_received = daemon.peers.borrow().remote_heard(&centre, now);
         let report = ReaderReport {
             digest: Digest { workloads: Vec::new(), ..self.digest(departures) },
             changes_from,
             read_age: millis(now.saturating_sub(daemon.freshness.servers_at.get())),
-            remote_age: millis(now.saturating_sub(remote_heard)),
+            remote_age: millis(now.saturating_sub(remote_received)),
             joined: joined.into_iter().map(|(id, raw)| (id, raw.to_vec())).collect(),
             checksum,
             scope,
