--- a/lib/src/admin.rs
+++ b/lib/src/admin.rs
@@ -1,4 +1,4 @@
-//! `/admin/...`: what operators ask of a daemon.
+//! HTTP handlers of the operator endpoints under `/admin/`.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use crate::reply::RequestRefusal;
 use crate::table::Edit;
 
-/// Longest wait for the log to decide an edit.
+/// Longest wait for the log to accept or reject an edit.
 const EDIT_WAIT: Duration = Duration::from_secs(10);
 
-/// Serves an operator's request; `path` is what follows `/admin/`.
+/// Serves an operator's request; `path` is the part after `/admin/`, including any query.
 pub fn serve(node: &Node, mut request: Request, path: &str) {
     let method = request.method().clone();
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
@@ -43,13 +43,14 @@
     }
 }
 
-type Answer = Result<(u16, Value), RequestRefusal>;
+/// Status and JSON body of a response.
+type AdminResult = Result<(u16, Value), RequestRefusal>;
 
 fn no_state() -> RequestRefusal {
     RequestRefusal::retryable(503, "no-state", "the log was not read yet", Duration::from_secs(1))
 }
 
-fn table(node: &Node) -> Answer {
+fn table(node: &Node) -> AdminResult {
     let view = node.view.load();
     if !view.ready {
         return Err(no_state());
@@ -58,12 +59,12 @@
     Ok((200, json!({"rows": rows, "log_up": view.log_up})))
 }
 
-fn history(node: &Node) -> Answer {
+fn history(node: &Node) -> AdminResult {
     let state = node.state().ok_or_else(no_state)?;
     Ok((200, json!({"edits": state.history})))
 }
 
-fn status(node: &Node) -> Answer {
+fn status(node: &Node) -> AdminResult {
     let state = node.state().ok_or_else(no_state)?;
     let view = node.view.load();
     let slots: Vec<Value> = state
@@ -92,7 +93,7 @@
     Ok((200, value))
 }
 
-fn explain(node: &Node, query: &str) -> Answer {
+fn explain(node: &Node, query: &str) -> AdminResult {
     let id = query.strip_prefix("id=").unwrap_or_default();
     if id.is_empty() {
         return Err(RequestRefusal::permanent(
@@ -105,7 +106,7 @@
     Ok((200, json!({"lines": node.decision_log.find(id)})))
 }
 
-fn edit(node: &Node, request: &mut Request) -> Answer {
+fn edit(node: &Node, request: &mut Request) -> AdminResult {
     let body = read_body(node, request)?;
     let edit: Edit = serde_json::from_slice(&body)
         .map_err(|e| RequestRefusal::permanent(400, "bad-json", e.to_string()))?;
--- a/lib/src/admin_client.rs
+++ b/lib/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a daemon over HTTP.
+//! HTTP client for a daemon's operator endpoints under `/admin/`.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -15,37 +15,37 @@
 use crate::table::Table;
 use crate::table::VersionedRow;
 
-/// Longest wait for an answer.
+/// Timeout of one request.
 const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why an operator's request gave nothing.
+/// Why an operator's request failed.
 #[derive(Debug, Diagnostic, Error)]
 pub enum ClientError {
-    /// The daemon did not answer.
+    /// No response from the daemon.
     #[error("no answer from {url}: {message}")]
     #[diagnostic(help("is the daemon running there? --daemon or COMFREYMUX_DAEMON names another"))]
     Unreachable {
-        /// What was asked.
+        /// URL of the request.
         url: String,
-        /// Why.
+        /// Error of the HTTP client.
         message: String,
     },
-    /// The daemon refused.
+    /// The daemon refused the request, with this reason.
     #[error("the daemon refused: {0}")]
     Refused(String),
-    /// The answer is not what was expected.
+    /// The response cannot be parsed.
     #[error("the daemon's answer cannot be read: {0}")]
     Malformed(String),
 }
 
-/// What became of an edit.
+/// Result of an edit of the table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ApplyResult {
-    /// The table already was as asked.
+    /// The table already had the requested rows.
     Unchanged,
-    /// It is in force from this log position on.
+    /// The edit applies from this log position on.
     Accepted(u64),
-    /// This row changed meanwhile.
+    /// The edit was rejected because this row was changed concurrently.
     Conflict(String),
 }
 
@@ -54,19 +54,19 @@
     rows: Vec<VersionedRow>,
 }
 
-/// A client of one daemon's operator side.
+/// Client for the operator endpoints of one daemon.
 #[derive(Clone, Debug)]
 pub struct AdminClient {
     base: String,
 }
 
 impl AdminClient {
-    /// Creates a client of the daemon at `base`, such as `http://127.0.0.1:8080`.
+    /// Creates a client for the daemon at `base`, such as `http://127.0.0.1:8080`.
     pub fn new(base: impl Into<String>) -> Self {
         Self { base: base.into() }
     }
 
-    fn ask(&self, request: minreq::Request, path: &str) -> Result<(u16, Value), ClientError> {
+    fn send(&self, request: minreq::Request, path: &str) -> Result<(u16, Value), ClientError> {
         let sent = request.with_timeout(TIMEOUT.as_secs()).with_follow_redirects(false).send();
         let response = sent.map_err(|e| ClientError::Unreachable {
             url: format!("{}{path}", self.base),
@@ -77,22 +77,22 @@
         Ok((response.status_code, value))
     }
 
-    /// Asks for a JSON value under `/admin/`.
+    /// Returns the JSON value at `/admin/{name}`.
     ///
     /// # Errors
     ///
-    /// The daemon did not answer or refused.
+    /// Fails if the daemon does not answer or refuses the request, or if its response is malformed.
     pub fn get(&self, name: &str) -> Result<Value, ClientError> {
         let path = format!("/admin/{name}");
-        let (status, value) = self.ask(minreq::get(format!("{}{path}", self.base)), &path)?;
-        if status == 200 { Ok(value) } else { Err(ClientError::Refused(message_of(&value))) }
+        let (status, value) = self.send(minreq::get(format!("{}{path}", self.base)), &path)?;
+        if status == 200 { Ok(value) } else { Err(ClientError::Refused(error_message(&value))) }
     }
 
-    /// Returns the table in force.
+    /// Returns the current table.
     ///
     /// # Errors
     ///
-    /// The daemon did not answer, or has not read a table yet.
+    /// Fails if the daemon does not answer or has not read a table yet.
     pub fn table(&self) -> Result<Table, ClientError> {
         let value = self.get("table")?;
         let answer: TableAnswer =
@@ -100,11 +100,12 @@
         Ok(Table::from_rows(answer.rows))
     }
 
-    /// Makes the table equal to `rows`, if nobody else changes the same rows meanwhile.
+    /// Makes the table equal to `rows`, unless one of the changed rows is edited concurrently.
     ///
     /// # Errors
     ///
-    /// The daemon did not answer, or the log has not decided.
+    /// Fails if the daemon does not answer, or if the log has not accepted or rejected the edit
+    /// yet.
     pub fn apply(&self, rows: &[Row], author: &str, id: &str) -> Result<ApplyResult, ClientError> {
         let changes = self.table()?.diff(rows);
         if changes.is_empty() {
@@ -113,48 +114,50 @@
         self.send_edit(&Edit { id: id.into(), author: author.into(), changes })
     }
 
-    /// Sends an edit.
+    /// Sends an edit and waits until the log accepts or rejects it.
     ///
     /// # Errors
     ///
-    /// The daemon did not answer, or the log has not decided.
+    /// Fails if the daemon does not answer, or if the log has not accepted or rejected the edit
+    /// yet.
     pub fn send_edit(&self, edit: &Edit) -> Result<ApplyResult, ClientError> {
         let path = "/admin/edits";
         let body = serde_json::to_vec(edit).map_err(|e| ClientError::Malformed(e.to_string()))?;
         let request = minreq::post(format!("{}{path}", self.base)).with_body(body);
-        let (status, value) = self.ask(request, path)?;
+        let (status, value) = self.send(request, path)?;
         match status {
             200 => Ok(ApplyResult::Accepted(value["position"].as_u64().unwrap_or(0))),
             409 => Ok(ApplyResult::Conflict(value["conflict"].as_str().unwrap_or_default().into())),
-            _ => Err(ClientError::Refused(message_of(&value))),
+            _ => Err(ClientError::Refused(error_message(&value))),
         }
     }
 
-    /// Tells the daemon to stop: it refuses new work and ends once its requests have ended.
+    /// Starts a graceful stop: the daemon refuses new requests and exits once those in progress
+    /// have ended.
     ///
     /// # Errors
     ///
-    /// The daemon did not answer.
+    /// Fails if the daemon does not answer.
     pub fn drain(&self) -> Result<Value, ClientError> {
         let path = "/admin/drain";
-        Ok(self.ask(minreq::post(format!("{}{path}", self.base)), path)?.1)
+        Ok(self.send(minreq::post(format!("{}{path}", self.base)), path)?.1)
     }
 
-    /// Returns what would change if `rows` became the table.
+    /// Returns the changes that would make the table equal to `rows`, without applying them.
     ///
     /// # Errors
     ///
-    /// The daemon did not answer, or has not read a table yet.
+    /// Fails if the daemon does not answer or has not read a table yet.
     pub fn diff(&self, rows: &[Row]) -> Result<Vec<RowChange>, ClientError> {
         Ok(self.table()?.diff(rows))
     }
 }
 
-fn message_of(value: &Value) -> String {
+fn error_message(value: &Value) -> String {
     value.pointer("/error/message").and_then(Value::as_str).unwrap_or("no reason given").to_owned()
 }
 
-/// Returns an edit id that no other edit has.
+/// Returns a unique edit id, built from the author, the time and the process id.
 pub fn new_edit_id(author: &str) -> String {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("{author}-{:x}-{:x}", since.as_nanos(), std::process::id())
--- a/lib/src/appender.rs
+++ b/lib/src/appender.rs
@@ -1,4 +1,7 @@
-//! Appends of one daemon: batched, one at a time, repeated until known.
+//! Queue of the records that one daemon appends to the log.
+//!
+//! Records are batched into entries. One entry is in flight at a time, and it is retried until it
+//! is read back from the log.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,164 +11,169 @@
 use crate::record::Entry;
 use crate::record::Record;
 
-/// Most records put into one entry.
-const BATCH: usize = 256;
-/// Most records that wait for an append.
+/// Most records in one entry.
+const MAX_BATCH: usize = 256;
+/// Most queued records, without the entry in flight.
 const MAX_QUEUE: usize = 4096;
-/// An append without an answer is repeated after this time.
-const ANSWER_BOUND: Duration = Duration::from_secs(2);
-/// First pause after a failed append; doubled up to [`MAX_PAUSE`].
+/// Time after which an append without a response is retried.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after the first failed append; each further failure doubles it, up to [`MAX_PAUSE`].
 const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause after a failed append.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
+/// The entry in flight.
 #[derive(Debug)]
-struct Flight {
+struct PendingAppend {
     entry: Entry,
-    /// Time before the first attempt: whatever the entry does, it does not do it earlier.
-    first: Duration,
-    retry: Duration,
+    /// Taken before the first attempt, so the entry cannot take effect earlier.
+    first_sent: Duration,
+    retry_at: Duration,
     failures: u32,
-    answered: bool,
+    /// Whether the log acknowledged the append; the entry still has to be read back.
+    acknowledged: bool,
 }
 
-/// An entry that was read back, with the time before its first append.
+/// An entry of this daemon that was read back from the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ConfirmedAppend {
-    /// Time before the first attempt to append it.
+    /// Time just before the first attempt to append it.
     pub sent_at: Duration,
 }
 
-/// Queue of records and the one append under way.
+/// Queue of records, and the entry in flight.
 #[derive(Debug)]
 pub struct Appender {
     writer: DaemonId,
     incarnation: Incarnation,
     sequence: u64,
     queue: VecDeque<Record>,
-    flight: Option<Flight>,
-    gap: Duration,
-    next: Duration,
+    pending: Option<PendingAppend>,
+    append_gap: Duration,
+    next_append: Duration,
 }
 
 impl Appender {
-    /// Creates an appender that waits at least `gap` between two entries, to group records.
-    pub fn new(writer: DaemonId, incarnation: Incarnation, gap: Duration) -> Self {
+    /// Creates an appender that waits at least `append_gap` between two entries, so that records
+    /// are batched.
+    pub fn new(writer: DaemonId, incarnation: Incarnation, append_gap: Duration) -> Self {
         Self {
             writer,
             incarnation,
             sequence: 0,
             queue: VecDeque::new(),
-            flight: None,
-            gap,
-            next: Duration::ZERO,
+            pending: None,
+            append_gap,
+            next_append: Duration::ZERO,
         }
     }
 
-    /// Returns the start count that entries carry.
+    /// Returns the incarnation that entries carry.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Queues a record; returns whether there was room.
+    /// Queues a record; returns false if the queue is full.
     pub fn push(&mut self, record: Record) -> bool {
-        let fits = self.queue.len() < MAX_QUEUE;
-        if fits {
+        let has_room = self.queue.len() < MAX_QUEUE;
+        if has_room {
             self.queue.push_back(record);
         }
-        fits
+        has_room
     }
 
-    /// Queues a record unless an equal one waits or is under way; returns whether it was queued.
+    /// Queues a record unless an equal one is queued or in flight; returns whether it was queued.
     pub fn push_unique(&mut self, record: Record) -> bool {
-        !self.holds(&record) && self.push(record)
+        !self.is_pending(&record) && self.push(record)
     }
 
-    /// Returns whether an equal record waits or is under way.
-    pub fn holds(&self, record: &Record) -> bool {
-        let flying = self.flight.as_ref().is_some_and(|f| f.entry.records.contains(record));
-        flying || self.queue.contains(record)
+    /// Returns whether an equal record is queued or in flight.
+    pub fn is_pending(&self, record: &Record) -> bool {
+        let in_flight = self.pending.as_ref().is_some_and(|p| p.entry.records.contains(record));
+        in_flight || self.queue.contains(record)
     }
 
-    /// Returns whether any record that `wanted` selects waits or is under way.
-    pub fn any_pending(&self, wanted: impl Fn(&Record) -> bool) -> bool {
-        let flying = self.flight.as_ref().is_some_and(|f| f.entry.records.iter().any(&wanted));
-        flying || self.queue.iter().any(wanted)
+    /// Returns whether any record that `matches` selects is queued or in flight.
+    pub fn any_pending(&self, matches: impl Fn(&Record) -> bool) -> bool {
+        let in_flight = self.pending.as_ref().is_some_and(|p| p.entry.records.iter().any(&matches));
+        in_flight || self.queue.iter().any(matches)
     }
 
-    /// Removes queued records that `stale` selects; what is under way cannot be taken back.
+    /// Removes queued records that `stale` selects; the entry in flight cannot be withdrawn.
     pub fn discard_queued(&mut self, stale: impl Fn(&Record) -> bool) {
         self.queue.retain(|r| !stale(r));
     }
 
-    /// Returns how long the append under way has been waiting.
+    /// Returns the time since the first attempt of the entry in flight; `None` if there is none.
     pub fn pending_for(&self, now: Duration) -> Option<Duration> {
-        self.flight.as_ref().map(|f| now.saturating_sub(f.first))
+        self.pending.as_ref().map(|p| now.saturating_sub(p.first_sent))
     }
 
-    /// Returns the entry to send now, if any.
+    /// Returns the entry to send now, if any: a retry of the one in flight, or a new one.
     pub fn poll(&mut self, now: Duration) -> Option<Entry> {
-        if let Some(flight) = &mut self.flight {
-            if flight.answered || now < flight.retry {
+        if let Some(pending) = &mut self.pending {
+            if pending.acknowledged || now < pending.retry_at {
                 return None;
             }
-            flight.retry = now + ANSWER_BOUND;
-            return Some(flight.entry.clone());
+            pending.retry_at = now + RESPONSE_TIMEOUT;
+            return Some(pending.entry.clone());
         }
-        if self.queue.is_empty() || now < self.next {
+        if self.queue.is_empty() || now < self.next_append {
             return None;
         }
         self.sequence += 1;
-        let count = self.queue.len().min(BATCH);
+        let count = self.queue.len().min(MAX_BATCH);
         let entry = Entry {
             writer: self.writer.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
             records: self.queue.drain(..count).collect(),
         };
-        self.next = now + self.gap;
-        self.flight = Some(Flight {
+        self.next_append = now + self.append_gap;
+        self.pending = Some(PendingAppend {
             entry: entry.clone(),
-            first: now,
-            retry: now + ANSWER_BOUND,
+            first_sent: now,
+            retry_at: now + RESPONSE_TIMEOUT,
             failures: 0,
-            answered: false,
+            acknowledged: false,
         });
         Some(entry)
     }
 
-    /// Notes the answer to the attempt for `sequence`.
+    /// Records the result of an attempt to append entry `sequence`.
     ///
-    /// A failed or lost answer does not mean that the append had no effect; the same entry is
-    /// sent again, and the fold ignores whichever copy comes second.
+    /// The append may have taken effect although it failed or its response was lost. The same entry
+    /// is sent again, and the fold ignores the second copy.
     pub fn on_append_result(&mut self, now: Duration, sequence: u64, appended: bool) {
-        let Some(flight) = self.flight.as_mut().filter(|f| f.entry.sequence == sequence) else {
+        let Some(pending) = self.pending.as_mut().filter(|p| p.entry.sequence == sequence) else {
             return;
         };
         if appended {
-            flight.answered = true;
+            pending.acknowledged = true;
             return;
         }
-        let pause = MIN_PAUSE * 2_u32.saturating_pow(flight.failures.min(10));
-        flight.failures += 1;
-        flight.retry = now + pause.min(MAX_PAUSE);
+        let pause = MIN_PAUSE * 2_u32.saturating_pow(pending.failures.min(10));
+        pending.failures += 1;
+        pending.retry_at = now + pause.min(MAX_PAUSE);
     }
 
-    /// Notes that an entry of this daemon was read from the log.
+    /// Processes an entry that was read from the log.
     ///
-    /// Returns the time before its first append where it is the one under way.
+    /// Returns `None` unless it is this daemon's entry in flight, which is then complete.
     pub fn on_read(&mut self, entry: &Entry) -> Option<ConfirmedAppend> {
         if entry.writer != self.writer || entry.incarnation != self.incarnation {
             return None;
         }
-        let flight = self.flight.take_if(|f| f.entry.sequence == entry.sequence)?;
-        Some(ConfirmedAppend { sent_at: flight.first })
+        let pending = self.pending.take_if(|p| p.entry.sequence == entry.sequence)?;
+        Some(ConfirmedAppend { sent_at: pending.first_sent })
     }
 
-    /// Drops the append under way if `sequence`, the last one in a state taken over whole, covers it.
+    /// Drops the entry in flight if its sequence number is at most `sequence`, the last one of this
+    /// daemon that an installed state includes.
     ///
-    /// Returns whether something was dropped; its records must then be looked up in that state.
+    /// Returns whether it was dropped; the outcome of its records must then be read from that
+    /// state.
     pub fn drop_through(&mut self, sequence: u64) -> bool {
-        self.flight.take_if(|f| f.entry.sequence <= sequence).is_some()
+        self.pending.take_if(|p| p.entry.sequence <= sequence).is_some()
     }
 }
