--- a/lib/src/chat.rs
+++ b/lib/src/chat.rs
@@ -1,4 +1,4 @@
-//! `/v1/chat/completions`: completions of models, streamed or whole.
+//! Handler of `/v1/chat/completions`: model completions, streamed or in one response.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -27,11 +27,11 @@
 use crate::unary;
 use crate::verdict::Verdict;
 
-/// Path of completions, here and at the engines.
+/// Path of chat completions, the same at daemons and engines.
 pub const PATH: &str = "/v1/chat/completions";
 
-/// Bytes of the messages that are taken for the prompt's beginning.
-const PREFIX: usize = 1024;
+/// Bytes of the messages that are hashed as the beginning of the prompt.
+const PREFIX_BYTES: usize = 1024;
 
 #[derive(Deserialize)]
 struct ChatBody<'a> {
@@ -42,21 +42,21 @@
     messages: &'a RawValue,
 }
 
-/// A completion that is wanted.
+/// A parsed request for a completion.
 #[derive(Debug)]
 pub struct ChatRequest {
-    /// The request.
+    /// The request to route.
     pub caller_request: CallerRequest,
-    /// Whether the answer is streamed.
+    /// Whether the caller wants a stream.
     pub stream: bool,
 }
 
 impl ChatRequest {
-    /// Reads a body.
+    /// Parses a request body.
     ///
     /// # Errors
     ///
-    /// The body is not such a request, or names no model of the table.
+    /// Fails if the body is not a valid completion request, or if its model is not in the table.
     pub fn parse(
         node: &Node,
         id: SmolStr,
@@ -73,7 +73,7 @@
             return Err(RequestRefusal::permanent(404, "model_not_found", message));
         };
         let messages = chat.messages.get().as_bytes();
-        let prefix = xxh3_64(&messages[..messages.len().min(PREFIX)]);
+        let prefix = xxh3_64(&messages[..messages.len().min(PREFIX_BYTES)]);
         let stream = chat.stream;
         let caller_request = CallerRequest::new(node, id, request, options, row, body);
         let content_type = "application/json".into();
@@ -88,14 +88,14 @@
 
     /// Serves the completion.
     pub fn serve(&self, node: &Node, request: Request) {
-        // A claimed answer is kept for repeats, so it is not streamed.
+        // The response to a claimed request is stored for retries, so it is not streamed.
         if self.stream && self.caller_request.claim_key().is_none() {
             Streaming {
                 node,
                 caller_request: &self.caller_request,
                 request: Some(request),
                 writer: None,
-                sent: 0,
+                chunks_sent: 0,
             }
             .serve();
         } else {
@@ -104,20 +104,20 @@
     }
 }
 
-/// A stream on its way to the caller.
+/// A streamed completion in progress.
 struct Streaming<'a> {
     node: &'a Node,
     caller_request: &'a CallerRequest,
     request: Option<Request>,
     writer: Option<StreamWriter>,
-    /// Chunks that the caller has; another attempt goes on after them.
-    sent: u64,
+    /// Chunks sent to the caller; the next attempt resumes after them.
+    chunks_sent: u64,
 }
 
-/// How an attempt of a stream ended well.
-enum Whole {
+/// How a successful attempt ended.
+enum Completion {
     Streamed,
-    Answered(StoredResponse),
+    Unary(StoredResponse),
 }
 
 impl Streaming<'_> {
@@ -126,9 +126,9 @@
         let result = dispatch(node, caller_request, |route, server_request| {
             self.attempt(route, server_request)
         });
-        node.metrics.record_events(self.sent);
+        node.metrics.record_events(self.chunks_sent);
         match result {
-            Ok(whole) => self.finish(whole),
+            Ok(completion) => self.finish(completion),
             Err(DispatchError::Refused(refused)) => self.refuse(&refused),
             Err(DispatchError::CallerGone) => {
                 node.log_routing(
@@ -146,18 +146,19 @@
         &mut self,
         route: &Route,
         server_request: &ServerRequest,
-    ) -> Result<Whole, AttemptError> {
-        let server_request = ServerRequest { resume_from: self.sent, ..server_request.clone() };
+    ) -> Result<Completion, AttemptError> {
+        let server_request =
+            ServerRequest { resume_from: self.chunks_sent, ..server_request.clone() };
         let response = self.node.backend_client.send(route.addr, &server_request)?;
         record_response(self.node, self.caller_request, route, &response);
         if response.status != 200 {
-            return Ok(Whole::Answered(read_answer(response)?));
+            return Ok(Completion::Unary(read_answer(response)?));
         }
         let mut reader = StreamReader::new(response.body);
         loop {
             match reader.next_event()? {
                 StreamEvent::Chunk(data) => self.relay(&data)?,
-                StreamEvent::Done => return Ok(Whole::Streamed),
+                StreamEvent::Done => return Ok(Completion::Streamed),
             }
         }
     }
@@ -166,41 +167,41 @@
         let writer = if let Some(writer) = &mut self.writer {
             writer
         } else {
-            let writer = self.start()?;
+            let writer = self.start_stream()?;
             self.writer.insert(writer)
         };
-        writer.write_event(data).map_err(|_gone| AttemptError::CallerGone)?;
-        self.sent += 1;
+        writer.write_event(data).map_err(|_disconnected| AttemptError::CallerGone)?;
+        self.chunks_sent += 1;
         Ok(())
     }
 
-    fn start(&mut self) -> Result<StreamWriter, AttemptError> {
+    fn start_stream(&mut self) -> Result<StreamWriter, AttemptError> {
         let request = self.request.take().ok_or(AttemptError::CallerGone)?;
         let now = self.node.now();
         self.node.metrics.record_first_byte(now.saturating_sub(self.caller_request.arrived));
         let headers = [format!("{REQUEST_ID_HEADER}: {}", self.caller_request.id)];
         StreamWriter::start(request.into_writer(), &headers)
-            .map_err(|_gone| AttemptError::CallerGone)
+            .map_err(|_disconnected| AttemptError::CallerGone)
     }
 
-    fn finish(mut self, whole: Whole) {
+    fn finish(mut self, completion: Completion) {
         let (node, caller_request) = (self.node, self.caller_request);
         node.metrics.record_answer(caller_request.model(), Verdict::Ran);
-        match (whole, self.request.take(), self.writer.take()) {
-            (Whole::Answered(answer), Some(request), _) => {
+        match (completion, self.request.take(), self.writer.take()) {
+            (Completion::Unary(answer), Some(request), _) => {
                 unary::send_response(request, caller_request, &answer, false);
             }
-            // A stream may be whole without a chunk.
-            (Whole::Streamed, Some(request), None) => {
+            // A complete stream may have no chunk.
+            (Completion::Streamed, Some(request), None) => {
                 let headers = [format!("{REQUEST_ID_HEADER}: {}", caller_request.id)];
                 let writer = StreamWriter::start(request.into_writer(), &headers);
-                let _gone = writer.and_then(StreamWriter::finish);
+                let _disconnected = writer.and_then(StreamWriter::finish);
             }
-            (Whole::Streamed, _, Some(writer)) => {
-                let _gone = writer.finish();
+            (Completion::Streamed, _, Some(writer)) => {
+                let _disconnected = writer.finish();
             }
-            (Whole::Answered(_), None, Some(writer)) => {
-                end_with(
+            (Completion::Unary(_), None, Some(writer)) => {
+                close_with_error(
                     writer,
                     &RequestRefusal::permanent(502, "faulted", "the stream broke off"),
                     caller_request,
@@ -213,32 +214,36 @@
             caller_request.model(),
             "done",
             "",
-            format!("chunks={}", self.sent),
+            format!("chunks={}", self.chunks_sent),
         );
     }
 
-    /// Tells the caller that no more comes.
+    /// Refuses the request; if its stream has begun, ends the stream with an error event.
     ///
-    /// What was sent stays with the caller; the last event names the condition, and there is no end
-    /// marker, so that a broken stream is never taken for a whole one.
+    /// The caller keeps the chunks that were sent. The last event carries the error, and no end
+    /// marker follows, so that a truncated stream cannot be mistaken for a complete one.
     fn refuse(mut self, refused: &RequestRefusal) {
         let (node, caller_request) = (self.node, self.caller_request);
         record_refusal(node, caller_request, refused);
         match (self.request.take(), self.writer.take()) {
             (Some(request), _) => reply::send_refusal(request, &caller_request.id, refused),
             (None, Some(writer)) => {
-                // Chunks were sent, so the request did run in part.
+                // Chunks were sent, so the request ran at least in part.
                 let partial = RequestRefusal { verdict: Verdict::MayHaveRun, ..refused.clone() };
-                end_with(writer, &partial, caller_request);
+                close_with_error(writer, &partial, caller_request);
             }
             (None, None) => {}
         }
     }
 }
 
-fn end_with(mut writer: StreamWriter, refused: &RequestRefusal, caller_request: &CallerRequest) {
+fn close_with_error(
+    mut writer: StreamWriter,
+    refused: &RequestRefusal,
+    caller_request: &CallerRequest,
+) {
     let data = refused.to_json(&caller_request.id).to_string();
-    let _gone = writer.write_event(&data).and_then(|()| writer.close());
+    let _disconnected = writer.write_event(&data).and_then(|()| writer.close());
 }
 
 /// Logs and counts a refusal.
@@ -249,7 +254,7 @@
     node.log_routing(&caller_request.id, caller_request.model(), "refuse", "", reason);
 }
 
-/// Notes what the head of an answer says of its replica.
+/// Passes the replica's number of active requests, from the response head, to the router.
 pub fn record_response(
     node: &Node,
     caller_request: &CallerRequest,
@@ -259,11 +264,12 @@
     node.router().record_answer(node.now(), &route.server, caller_request.model(), response.active);
 }
 
-/// Reads a whole answer.
+/// Reads the whole body of a response.
 ///
 /// # Errors
 ///
-/// The body was cut short or silent, or the backend server failed while it ran the request.
+/// Fails if the body is truncated or stalls for the idle timeout, or if the status is 500 or above.
+/// In each case the request may have run.
 pub fn read_answer(mut response: ServerResponse) -> Result<StoredResponse, AttemptError> {
     let mut body = Vec::new();
     std::io::Read::read_to_end(&mut response.body, &mut body)
--- a/lib/src/claim_outcomes.rs
+++ b/lib/src/claim_outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of claimed requests, for callers that ask again.
+//! Outcomes of claimed requests, kept for callers that retry them.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -10,70 +10,73 @@
 use crate::record::StoredResponse;
 use crate::verdict::Verdict;
 
-/// How long an outcome is kept here; small ones stay in the log for longer.
-const KEPT: Duration = Duration::from_mins(10);
+/// Time for which an outcome is kept in memory; the log keeps small ones for longer.
+const OUTCOME_TTL: Duration = Duration::from_mins(10);
 
-/// What is known of a claimed request.
+/// Outcome of a claimed request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimOutcome {
     /// Whether it ran.
     pub verdict: Verdict,
-    /// Its answer.
+    /// Its response, if it is known.
     pub answer: Option<StoredResponse>,
 }
 
 #[derive(Debug, Default)]
-struct Line {
-    end: Option<(Duration, ClaimOutcome)>,
+struct ClaimEntry {
+    /// When the request ended, and its outcome; `None` while it runs.
+    finished: Option<(Duration, ClaimOutcome)>,
     waiters: Vec<flume::Sender<ClaimOutcome>>,
 }
 
-/// Claimed requests that this daemon runs or ran.
+/// Claimed requests that run on this daemon or ran there recently.
 #[derive(Debug, Default)]
 pub struct ClaimOutcomes {
-    lines: Mutex<BTreeMap<ClaimKey, Line>>,
+    entries: Mutex<BTreeMap<ClaimKey, ClaimEntry>>,
 }
 
 impl ClaimOutcomes {
-    fn lines(&self) -> MutexGuard<'_, BTreeMap<ClaimKey, Line>> {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
+    fn entries(&self) -> MutexGuard<'_, BTreeMap<ClaimKey, ClaimEntry>> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the request of `key` begins to run.
+    /// Records that the request of `key` starts to run.
     pub fn begin(&self, key: ClaimKey) {
-        let mut lines = self.lines();
-        let line = lines.entry(key).or_default();
-        line.end = None;
+        let mut entries = self.entries();
+        let entry = entries.entry(key).or_default();
+        entry.finished = None;
     }
 
-    /// Notes how it ended, and tells everybody who waits for it.
-    pub fn finish(&self, now: Duration, key: ClaimKey, end: &ClaimOutcome) {
-        let mut lines = self.lines();
-        let line = lines.entry(key).or_default();
-        line.end = Some((now, end.clone()));
-        for waiter in line.waiters.drain(..) {
-            // A waiter that gave up has dropped its side.
-            let _gone = waiter.send(end.clone());
+    /// Records the outcome of the request and sends it to all waiters.
+    pub fn finish(&self, now: Duration, key: ClaimKey, outcome: &ClaimOutcome) {
+        let mut entries = self.entries();
+        let entry = entries.entry(key).or_default();
+        entry.finished = Some((now, outcome.clone()));
+        for waiter in entry.waiters.drain(..) {
+            // A waiter that timed out has dropped its receiver.
+            let _disconnected = waiter.send(outcome.clone());
         }
     }
 
-    /// Waits up to `wait` for the end of a request; none where it is unknown here or goes on.
+    /// Waits up to `wait` for the outcome of a request; `None` if this daemon does not know the
+    /// request, or if it is still running after that time.
     pub fn wait(&self, key: ClaimKey, wait: Duration) -> Option<ClaimOutcome> {
         let receiver = {
-            let mut lines = self.lines();
-            let line = lines.get_mut(&key)?;
-            if let Some((_, end)) = &line.end {
-                return Some(end.clone());
+            let mut entries = self.entries();
+            let entry = entries.get_mut(&key)?;
+            if let Some((_, outcome)) = &entry.finished {
+                return Some(outcome.clone());
             }
             let (sender, receiver) = flume::bounded(1);
-            line.waiters.push(sender);
+            entry.waiters.push(sender);
             receiver
         };
         receiver.recv_timeout(wait).ok()
     }
 
-    /// Forgets old outcomes.
+    /// Removes outcomes that were kept for their full time.
     pub fn expire(&self, now: Duration) {
-        self.lines().retain(|_, l| l.end.as_ref().is_none_or(|(at, _)| now < *at + KEPT));
+        self.entries()
+            .retain(|_, e| e.finished.as_ref().is_none_or(|(at, _)| now < *at + OUTCOME_TTL));
     }
 }
