--- a/lib/src/control.rs
+++ b/lib/src/control.rs
@@ -1,7 +1,8 @@
 //! The control state machine of one daemon.
 //!
-//! It folds the log, holds leases, places models on backend servers and answers claims and edits.
-//! It has no clock, socket or thread: `handle` takes an event with its time and returns effects.
+//! It applies the log's entries, bids for and holds the lease, places models on backend servers,
+//! and answers claims and edits. It has no clock, socket or thread: `handle` takes an event with
+//! its time and returns effects.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -42,25 +43,25 @@
 use crate::slot_tracker::TrackedSlot;
 use crate::table::Edit;
 
-/// The log counts as down after this time without an answer to a read.
-const LOG_SILENCE: Duration = Duration::from_secs(4);
-/// Entries between two checkpoints, at which daemons compare the hashes of their states.
-const CHECKPOINT_EVERY: Offset = 1024;
+/// Time without a successful read after which the log counts as down.
+const LOG_READ_TIMEOUT: Duration = Duration::from_secs(4);
+/// Log entries between two checkpoints, at which daemons compare hashes of their states.
+const CHECKPOINT_INTERVAL: Offset = 1024;
 
-/// What a control state machine is told at its start.
+/// Settings of a control state machine.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// This daemon.
+    /// This daemon's id.
     pub id: DaemonId,
-    /// Its start count; larger than any before.
+    /// Incarnation of this process; larger than that of any earlier one.
     pub incarnation: Incarnation,
-    /// Its data centre.
+    /// This daemon's data centre.
     pub centre: CentreId,
-    /// Least time between two entries.
+    /// Least time between two appended entries.
     pub append_gap: Duration,
-    /// How keep-warm times are chosen.
+    /// Policy for how long idle models stay loaded.
     pub keep_warm: KeepWarmPolicy,
-    /// Time between reports of one backend server.
+    /// Time between polls of one backend server for its report.
     pub poll_interval: Duration,
 }
 
@@ -77,33 +78,36 @@
     pub(crate) keep_warm: KeepWarm,
     pub(crate) slot_tracker: SlotTracker,
     pub(crate) effects: Vec<Effect>,
-    /// When the log's current tick was read.
+    /// When the latest change of the log's tick count was read.
     pub(crate) last_tick: Duration,
     /// Offset of the last snapshot in the log.
     pub(crate) snapshot_offset: Offset,
-    /// Backend servers of this daemon's data centre, as the log names them.
+    /// Backend servers of this daemon's data centre that the log lists.
     pub(crate) local_servers: Vec<ServerId>,
-    /// When the log's backend servers were last compared with the host list; none when they must be.
+    /// When the log's backend servers were last compared with the host list; `None` if that must be
+    /// done in the next full pass.
     pub(crate) servers_checked: Option<Duration>,
-    /// When the last full round over everything was.
+    /// When the last full pass over all hosts, slots and rows began.
     pub(crate) last_pass: Duration,
-    /// Whether the daemon is stopping and takes no lease.
+    /// Whether the daemon is stopping and no longer bids for the lease or renews it.
     pub(crate) stopping: bool,
     pub(crate) claims: PendingClaims,
     edits: PendingEdits,
     hints: HintTable,
-    /// Orders given since the start.
+    /// Orders sent since the process started.
     pub(crate) orders_given: u64,
-    heard: Option<Duration>,
+    /// When the log last answered a read; `None` before the first one.
+    log_read_at: Option<Duration>,
+    /// Offset of the last checkpoint, and the state's hash there.
     checkpoint: (Offset, u64),
-    /// Why models wait for a load, as last logged.
+    /// The last logged reason why each model waits for a load.
     pub(crate) logged_holds: BTreeMap<ModelName, &'static str>,
-    /// Fence of the lease as last logged.
+    /// Fencing number of the lease when it was last logged; `None` if it was not held then.
     pub(crate) logged_fence: Option<Fence>,
 }
 
 impl Controller {
-    /// Creates a state machine that has read nothing.
+    /// Creates a state machine that has read no log entry.
     pub fn new(settings: ControlSettings) -> Self {
         let id = settings.id.clone();
         let incarnation = settings.incarnation;
@@ -127,7 +131,7 @@
             edits: PendingEdits::default(),
             hints: HintTable::default(),
             orders_given: 0,
-            heard: None,
+            log_read_at: None,
             checkpoint: (0, 0),
             logged_holds: BTreeMap::new(),
             logged_fence: None,
@@ -135,17 +139,17 @@
         }
     }
 
-    /// Returns the log's state as far as it was read.
+    /// Returns the state after all log entries read so far.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Returns the hosts as this daemon sees them.
+    /// Returns the hosts known to this daemon.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Returns the loading speeds learned so far.
+    /// Returns the load rates measured so far.
     pub fn rates(&self) -> &LoadRates {
         &self.rates
     }
@@ -155,12 +159,13 @@
         self.checkpoint
     }
 
-    /// Returns the fresh hints of all lease holders.
+    /// Returns the unexpired hints of all lease holders.
     pub fn hints(&self, now: Duration) -> Vec<Hint> {
         self.hints.fresh(now)
     }
 
-    /// Returns replicas of this daemon's data centre that serve though the log does not show it.
+    /// Returns loaded replicas of this daemon's data centre whose load is not in the log yet; empty
+    /// if this daemon does not hold the lease.
     pub fn own_hints(&self) -> Vec<Hint> {
         if self.held_fence().is_none() {
             return Vec::new();
@@ -176,13 +181,14 @@
 
     /// Returns whether the log answers reads and appends.
     pub fn is_log_up(&self, now: Duration) -> bool {
-        let read = self.heard.is_some_and(|at| now < at + LOG_SILENCE);
-        let bound = crate::pending_claims::CLAIM_TIMEOUT;
-        let append = self.appender.pending_for(now).is_none_or(|waited| waited < bound);
+        let read = self.log_read_at.is_some_and(|at| now < at + LOG_READ_TIMEOUT);
+        let timeout = crate::pending_claims::CLAIM_TIMEOUT;
+        let append = self.appender.pending_for(now).is_none_or(|waited| waited < timeout);
         read && append
     }
 
-    /// Returns the fencing number of the lease that the log says this daemon holds.
+    /// Returns the fencing number of this daemon's lease, as read from the log; `None` if it holds
+    /// none.
     pub fn held_fence(&self) -> Option<Fence> {
         let lease = self.state.leases.get(&self.settings.centre)?;
         let own =
@@ -190,22 +196,22 @@
         own.then_some(lease.fence)
     }
 
-    /// Takes an event and returns what to do.
+    /// Processes an event and returns the effects to carry out.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Entry(offset, entry) => self.take_entry(now, offset, &entry),
-            Event::LogRead => self.log_read(now),
+            Event::Entry(offset, entry) => self.apply_entry(now, offset, &entry),
+            Event::LogRead => self.on_log_read(now),
             Event::LogFailed => {}
             Event::Appended { sequence, done } => {
                 self.appender.on_append_result(now, sequence, done);
             }
             Event::Hosts(hosts) => self.replace_hosts(now, hosts),
-            Event::Report(server, report) => self.take_report(now, &server, report),
-            Event::Ordered(order, answer) => self.take_answer(now, &order, answer),
+            Event::Report(server, report) => self.on_report(now, &server, report),
+            Event::Ordered(order, answer) => self.on_order_answer(now, &order, answer),
             Event::Demand(daemon, waiting) => self.demand.update(now, &daemon, &waiting),
-            Event::Hints(daemon, hints) => self.take_hints(now, daemon, hints),
-            Event::Edit(edit) => self.take_edit(edit),
+            Event::Hints(daemon, hints) => self.update_hints(now, daemon, hints),
+            Event::Edit(edit) => self.add_edit(edit),
             Event::Claim(key) => self.request_claim(now, key),
             Event::Unclaim(key) => self.cancel_claim(key),
             Event::Settle(settlement) => {
@@ -213,13 +219,13 @@
             }
             Event::Stop => self.stop(),
         }
-        self.send(now);
+        self.send_next_entry(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes over a whole state, read from a snapshot or a peer.
+    /// Replaces the state with one from a snapshot or a peer.
     ///
-    /// Ignored unless it is ahead of what was read.
+    /// Does nothing unless that state is ahead of the current one.
     pub fn install(&mut self, now: Duration, state: ReplicatedState) -> Vec<Effect> {
         if state.offset <= self.state.offset {
             return Vec::new();
@@ -231,8 +237,8 @@
             self.appender.drop_through(sequence);
         }
         self.authority.restart_bid_timers(now);
-        self.find_local();
-        self.observe(now);
+        self.refresh_local_servers();
+        self.observe_lease(now);
         let (answers, records) = self.claims.resync(&self.state);
         for (key, answer) in answers {
             self.effects.push(Effect::Claimed(key, answer));
@@ -242,7 +248,7 @@
         }
         self.answer_edits();
         self.effects.push(Effect::Publish);
-        self.send(now);
+        self.send_next_entry(now);
         std::mem::take(&mut self.effects)
     }
 
@@ -261,7 +267,7 @@
         }));
     }
 
-    /// Returns whether a record is about a backend server of this data centre.
+    /// Returns whether a record adds, updates or removes a backend server of this data centre.
     fn is_local(&self, record: &Record) -> bool {
         match record {
             Record::Server(facts) => {
@@ -272,8 +278,9 @@
         }
     }
 
-    /// Looks up the backend servers of this data centre anew; there are many of other ones.
-    fn find_local(&mut self) {
+    /// Rebuilds the list of this data centre's backend servers. It is cached because the state
+    /// holds many servers of other data centres.
+    fn refresh_local_servers(&mut self) {
         let local = self.state.servers.values().filter(|s| s.centre == self.settings.centre);
         self.local_servers = local.map(|s| s.id.clone()).collect();
     }
@@ -283,71 +290,72 @@
         slots.map(|(id, _)| id).collect()
     }
 
-    fn send(&mut self, now: Duration) {
+    fn send_next_entry(&mut self, now: Duration) {
         if let Some(entry) = self.appender.poll(now) {
             self.effects.push(Effect::Append(entry));
         }
     }
 
-    fn log_read(&mut self, now: Duration) {
-        if self.heard.is_some_and(|at| now >= at + LOG_SILENCE) {
-            // While the log was silent nobody's renewal could be read.
+    fn on_log_read(&mut self, now: Duration) {
+        if self.log_read_at.is_some_and(|at| now >= at + LOG_READ_TIMEOUT) {
+            // While the log was unresponsive, no renewal could be read.
             self.authority.restart_bid_timers(now);
         }
-        let is_first = self.heard.replace(now).is_none();
+        let is_first = self.log_read_at.replace(now).is_none();
         if is_first {
-            // An empty log has no record to observe a lease by, and nobody would ever lead.
-            self.observe(now);
+            // In an empty log no record triggers the observation of the lease, so no daemon would
+            // ever bid for it.
+            self.observe_lease(now);
             self.effects.push(Effect::Publish);
         }
     }
 
-    /// Returns whether the log, or a state read from it, was seen at all.
+    /// Returns whether the log has been read, or a state installed.
     pub fn is_ready(&self) -> bool {
-        self.heard.is_some() || self.state.offset > 0
+        self.log_read_at.is_some() || self.state.offset > 0
     }
 
-    fn take_entry(&mut self, now: Duration, offset: Offset, entry: &Entry) {
+    fn apply_entry(&mut self, now: Duration, offset: Offset, entry: &Entry) {
         if offset != self.state.offset {
-            // Read before, or read past what was taken over meanwhile.
+            // Already applied, or not the next entry since a state was installed.
             return;
         }
         let tick = self.state.tick;
         let outcomes = fold::apply(&mut self.state, offset, entry);
-        if self.state.offset.is_multiple_of(CHECKPOINT_EVERY) {
+        if self.state.offset.is_multiple_of(CHECKPOINT_INTERVAL) {
             self.checkpoint = (self.state.offset, self.state.hash());
         }
         if self.state.tick != tick {
             self.last_tick = now;
         }
-        let back = self.appender.on_read(entry);
+        let confirmed = self.appender.on_read(entry);
         let own =
             entry.writer == self.settings.id && entry.incarnation == self.settings.incarnation;
-        let (mut changed, mut moved) = (false, false);
+        let (mut routing_changed, mut servers_changed) = (false, false);
         for (record, outcome) in entry.records.iter().zip(outcomes) {
-            changed |= outcome.is_ok() && is_seen(record);
-            moved |= self.is_local(record);
-            self.note(record, outcome);
+            routing_changed |= outcome.is_ok() && affects_routing(record);
+            servers_changed |= self.is_local(record);
+            self.on_record(record, outcome);
             if own {
-                self.note_own(record, outcome, back.map(|b| b.sent_at));
+                self.on_own_record(record, outcome, confirmed.map(|c| c.sent_at));
             }
         }
-        if moved {
-            self.find_local();
+        if servers_changed {
+            self.refresh_local_servers();
         }
-        self.observe(now);
-        if changed {
+        self.observe_lease(now);
+        if routing_changed {
             self.effects.push(Effect::Publish);
         }
     }
 
-    fn observe(&mut self, now: Duration) {
+    fn observe_lease(&mut self, now: Duration) {
         let centre = self.settings.centre.clone();
         self.authority.observe(now, &centre, self.state.leases.get(&centre));
         self.on_lease_change();
     }
 
-    fn note(&mut self, record: &Record, outcome: Outcome) {
+    fn on_record(&mut self, record: &Record, outcome: Outcome) {
         match record {
             Record::Snapshot(part) if part.part + 1 == part.parts => {
                 self.snapshot_offset = self.snapshot_offset.max(part.at);
@@ -360,7 +368,7 @@
         }
     }
 
-    fn note_own(&mut self, record: &Record, outcome: Outcome, sent: Option<Duration>) {
+    fn on_own_record(&mut self, record: &Record, outcome: Outcome, sent: Option<Duration>) {
         match record {
             Record::Bid(_) | Record::Renew if outcome.is_ok() => {
                 if let Some(sent) = sent {
@@ -379,7 +387,7 @@
         }
     }
 
-    fn take_edit(&mut self, edit: Edit) {
+    fn add_edit(&mut self, edit: Edit) {
         let record = Record::Edit(edit.clone());
         if self.edits.add(edit, &self.state) {
             self.appender.push_unique(record);
@@ -387,20 +395,20 @@
         self.answer_edits();
     }
 
-    /// Answers the edits that the log has decided.
+    /// Answers the pending edits that the log has accepted or rejected.
     fn answer_edits(&mut self) {
         for (edit, answer) in self.edits.take_decided(&self.state) {
             self.effects.push(Effect::Edited(edit, answer));
         }
     }
 
-    fn take_hints(&mut self, now: Duration, daemon: DaemonId, hints: Vec<Hint>) {
+    fn update_hints(&mut self, now: Duration, daemon: DaemonId, hints: Vec<Hint>) {
         if self.hints.update(now, daemon, hints) {
             self.effects.push(Effect::Publish);
         }
     }
 
-    fn take_report(&mut self, now: Duration, server: &str, report: Option<ServerReport>) {
+    fn on_report(&mut self, now: Duration, server: &str, report: Option<ServerReport>) {
         let Some(report) = report else {
             self.fleet.record_failure(now, server);
             self.effects.push(Effect::Publish);
@@ -408,30 +416,30 @@
         };
         let known = self.state.servers.get(server);
         if known.is_some_and(|s| s.incarnation != report.incarnation) {
-            // The report is of another start than the one the log knows.
+            // The report is from another incarnation of the server than the one in the log.
             return;
         }
-        let was = self.fleet.get(server).is_some_and(|m| m.leaving);
-        self.note_use(now, server, &report);
+        let was_leaving = self.fleet.get(server).is_some_and(|m| m.leaving);
+        self.record_usage(now, server, &report);
         let leaving = report.leaving;
         self.fleet.record_report(now, server, report);
-        if leaving && !was {
+        if leaving && !was_leaving {
             self.effects.push(Effect::Publish);
         }
     }
 
-    fn note_use(&mut self, now: Duration, server: &str, report: &ServerReport) {
+    fn record_usage(&mut self, now: Duration, server: &str, report: &ServerReport) {
         let slots: Vec<(SlotId, ModelName)> =
             self.state.slots.on_server(server).map(|(id, s)| (id, s.model.clone())).collect();
         for (id, model) in slots {
-            let Some(line) = report.model(&model) else {
+            let Some(model_report) = report.model(&model) else {
                 continue;
             };
             let tracked = self.slot_tracker.get_or_insert(now, id);
-            let begun = line.served != tracked.served;
-            tracked.served = line.served;
-            tracked.active = line.active;
-            if begun || line.active > 0 {
+            let has_new_requests = model_report.served != tracked.served;
+            tracked.served = model_report.served;
+            tracked.active = model_report.active;
+            if has_new_requests || model_report.active > 0 {
                 tracked.last_used = now;
                 if let Some(gap) = self.slot_tracker.record_use(now, &model) {
                     self.keep_warm.record_gap(&model, gap);
@@ -440,7 +448,7 @@
         }
     }
 
-    fn take_answer(&mut self, now: Duration, order: &Order, answer: OrderAnswer) {
+    fn on_order_answer(&mut self, now: Duration, order: &Order, answer: OrderAnswer) {
         if answer == OrderAnswer::Unknown {
             self.fleet.record_failure(now, &order.server);
         }
@@ -456,8 +464,9 @@
     }
 }
 
-/// Returns whether routers see what a record changes; the others are many.
-fn is_seen(record: &Record) -> bool {
+/// Returns whether a record can change routing. The frequent kinds cannot, so that most entries
+/// publish no new view.
+fn affects_routing(record: &Record) -> bool {
     !matches!(
         record,
         Record::Claim(_)
--- a/lib/src/control_claims.rs
+++ b/lib/src/control_claims.rs
@@ -1,4 +1,4 @@
-//! How control answers claims of requests that may not be repeated.
+//! Claims of requests that may not be repeated: requests, decisions, cancellation and timeouts.
 
 use std::time::Duration;
 
--- a/lib/src/control_slots.rs
+++ b/lib/src/control_slots.rs
@@ -1,4 +1,4 @@
-//! What a lease holder does about its slots: steps, loads, evictions.
+//! Management of the lease holder's slots: next steps, loads, evictions and orders to engines.
 
 use std::time::Duration;
 
@@ -24,9 +24,9 @@
 use crate::slots::Slot;
 
 impl Controller {
-    /// Takes the next step of each slot; between two full rounds only of those that are not at rest.
+    /// Applies the next step of each slot; between two full passes only of slots in transition.
     pub(crate) fn reconcile_slots(&mut self, now: Duration, full: bool) {
-        let ids = if full { self.local_slots() } else { self.moving_slots() };
+        let ids = if full { self.local_slots() } else { self.transitioning_slots() };
         for id in ids {
             let Some(slot) = self.state.slots.get(id).cloned() else {
                 continue;
@@ -42,18 +42,21 @@
                     .and_then(|tracked| reconciler.next_step(id, &slot, tracked))
             };
             if let Some(step) = step {
-                self.take_step(now, id, &slot, step);
+                self.apply_step(now, id, &slot, step);
             }
         }
     }
 
-    /// Returns the slots of this data centre that are not at rest.
-    fn moving_slots(&self) -> Vec<SlotId> {
+    /// Returns the slots of this data centre that are loading or draining, or that have an
+    /// unfinished order.
+    fn transitioning_slots(&self) -> Vec<SlotId> {
         let centre = &self.settings.centre;
         let local =
             |s: &Slot| self.state.servers.get(&s.server).is_some_and(|f| f.centre == *centre);
-        let moving = self.state.slots.transitioning().filter(|(_, s)| local(s)).map(|(id, _)| id);
-        let mut ids: Vec<SlotId> = moving.chain(self.slot_tracker.slots_with_order()).collect();
+        let transitioning =
+            self.state.slots.transitioning().filter(|(_, s)| local(s)).map(|(id, _)| id);
+        let mut ids: Vec<SlotId> =
+            transitioning.chain(self.slot_tracker.slots_with_order()).collect();
         ids.sort_unstable();
         ids.dedup();
         ids
@@ -80,16 +83,16 @@
         }
     }
 
-    fn take_step(&mut self, now: Duration, id: SlotId, slot: &Slot, step: SlotStep) {
+    fn apply_step(&mut self, now: Duration, id: SlotId, slot: &Slot, step: SlotStep) {
         let (model, server) = (slot.model.as_str(), slot.server.as_str());
         match step {
             SlotStep::Load => {
-                self.order(now, id, OrderAction::Load);
+                self.send_order(now, id, OrderAction::Load);
             }
             SlotStep::Reload => {
                 self.change_phase(id, slot.phase);
             }
-            SlotStep::Ready => self.note_ready(now, id, slot),
+            SlotStep::Ready => self.on_ready(now, id, slot),
             SlotStep::Drain(reason) => {
                 if self.change_phase(id, Phase::Draining) {
                     self.log_decision(DecisionKind::Drain, model, server, reason);
@@ -101,7 +104,7 @@
                 }
             }
             SlotStep::Unload(reason) => {
-                if self.order(now, id, OrderAction::Unload) {
+                if self.send_order(now, id, OrderAction::Unload) {
                     self.log_decision(DecisionKind::Unload, model, server, reason);
                 }
             }
@@ -112,7 +115,7 @@
         }
     }
 
-    fn note_ready(&mut self, now: Duration, id: SlotId, slot: &Slot) {
+    fn on_ready(&mut self, now: Duration, id: SlotId, slot: &Slot) {
         let tracked = self.slot_tracker.get_or_insert(now, id);
         if !tracked.loaded {
             tracked.loaded = true;
@@ -141,7 +144,8 @@
         }
     }
 
-    /// Queues a change of phase; returns false where it is queued already.
+    /// Queues a change of phase; returns false if it is queued or in flight already, if the queue
+    /// is full, or if this daemon does not hold the lease.
     fn change_phase(&mut self, slot: SlotId, phase: Phase) -> bool {
         let Some(fence) = self.held_fence() else {
             return false;
@@ -158,7 +162,7 @@
                 PlanStep::Place { model, server, source, reason } => {
                     self.place(now, model, server, source, reason);
                 }
-                PlanStep::Wake { slot, source, reason } => self.wake(now, slot, source, reason),
+                PlanStep::Wake { slot, source, reason } => self.activate(now, slot, source, reason),
                 PlanStep::Evict { slot, reason } => self.evict(now, slot, reason),
                 PlanStep::Hold { model, reason } => {
                     if self.logged_holds.insert(model.clone(), reason) != Some(reason) {
@@ -194,12 +198,13 @@
         self.appender.push(Record::Intent(intent));
     }
 
-    /// Loads into a reserved slot.
+    /// Loads the model of a reserved slot.
     ///
-    /// The record comes first, so that others see the load. While the log is down an engine that
-    /// fences is ordered at once: the slot's count and memory are this lease's until the engine
-    /// has seen a newer fence, so a holder that lost the lease unknowingly is refused there.
-    fn wake(&mut self, now: Duration, id: SlotId, source: Source, reason: String) {
+    /// The phase change is appended first, so that other daemons see the load. While the log is
+    /// down, an engine that checks fencing numbers gets the order at once: the slot's count and
+    /// memory belong to this lease until the engine has seen a newer fencing number, so the engine
+    /// refuses a holder that has lost the lease without knowing it.
+    fn activate(&mut self, now: Duration, id: SlotId, source: Source, reason: String) {
         let Some(slot) = self.state.slots.get(id).cloned() else {
             return;
         };
@@ -210,9 +215,9 @@
             return;
         }
         let fencing = self.state.servers.get(&slot.server).is_some_and(|s| s.fencing);
-        let ordered = self.slot_tracker.get(id).and_then(|w| w.order);
-        let again = ordered.is_none_or(|o| o.action != OrderAction::Load);
-        if fencing && again && self.order(now, id, OrderAction::Load) {
+        let last_order = self.slot_tracker.get(id).and_then(|t| t.order);
+        let is_unordered = last_order.is_none_or(|o| o.action != OrderAction::Load);
+        if fencing && is_unordered && self.send_order(now, id, OrderAction::Load) {
             self.log_decision(
                 DecisionKind::Wake,
                 &slot.model,
@@ -233,19 +238,21 @@
         }
     }
 
-    /// Returns whether the statement that a slot is free is under way.
+    /// Returns whether a record that frees the slot is queued or in flight.
     ///
-    /// From its append on the slot may be free in the log, though this daemon has not read that,
-    /// and will not for long if it is cut off. A load ordered then would have no slot.
+    /// Once it is sent, the slot may be free in the log before this daemon reads that, which can
+    /// take long if it is disconnected from the log. A load ordered in that time would have no
+    /// slot.
     pub(crate) fn is_freeing(&self, id: SlotId) -> bool {
         self.appender.any_pending(|r| matches!(r, Record::Freed(f) if f.slot == id))
     }
 
-    /// Gives an order, unless one to the same backend server is unanswered.
+    /// Sends an order, unless one to the same backend server is unanswered; returns whether it was
+    /// sent.
     ///
-    /// Two orders under way at once could arrive in either order, and the engine would refuse the
-    /// one with the lesser number.
-    pub(crate) fn order(&mut self, now: Duration, id: SlotId, action: OrderAction) -> bool {
+    /// Two concurrent orders could arrive in either sequence, and the engine would refuse the one
+    /// with the lower fencing number if it came second.
+    pub(crate) fn send_order(&mut self, now: Duration, id: SlotId, action: OrderAction) -> bool {
         let (Some(lease), Some(slot)) = (self.held_fence(), self.state.slots.get(id)) else {
             return false;
         };
@@ -269,11 +276,11 @@
             memory_mib: slot.memory_mib,
             load_mib: row.map_or(0, |r| r.load_mib),
         };
-        // An engine that ignores fencing numbers must get no order after the lease's end; one that
-        // heeds them refuses it itself.
-        let until = if server.fencing { None } else { self.authority.valid_until() };
+        // An engine that ignores fencing numbers must not get an order after the lease has ended;
+        // one that checks them refuses such an order itself.
+        let expires = if server.fencing { None } else { self.authority.valid_until() };
         self.slot_tracker.record_order(now, &order);
-        self.effects.push(Effect::Order(order, until));
+        self.effects.push(Effect::Order(order, expires));
         true
     }
 }
--- a/lib/src/control_tick.rs
+++ b/lib/src/control_tick.rs
@@ -1,4 +1,5 @@
-//! What a daemon does as time passes: leases, hosts, reports, the log's clock and snapshots.
+//! Periodic work of the control state machine: lease renewal and bids, the servers in the log,
+//! polls of backend servers, the log's tick count and snapshots.
 
 use std::time::Duration;
 
@@ -24,38 +25,38 @@
 use crate::slots::Slot;
 use crate::snapshot;
 
-/// Time between reports of a server on which something loads: a finished load is seen soon.
-const LOADING_POLL: Duration = Duration::from_millis(100);
-/// Time between two full rounds over all hosts, slots and rows of the data centre.
-const ROUND: Duration = Duration::from_secs(1);
-/// Time after which the log's backend servers are compared with the host list again, though neither
-/// the list nor the lease changed: a record may have been rejected.
-const RESTATE: Duration = Duration::from_secs(10);
-/// How much rarer servers are asked on which nothing is loaded.
+/// Time between polls of a server with a load in progress, so that its end is noticed quickly.
+const LOADING_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two full passes over all hosts, slots and rows of the data centre.
+const FULL_PASS_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which the log's backend servers are compared with the host list again even if neither
+/// the list nor the lease changed, because a record may have been rejected.
+const SERVER_CHECK_INTERVAL: Duration = Duration::from_secs(10);
+/// Factor by which the poll interval of servers without a loaded model is longer.
 const EMPTY_POLL_FACTOR: u32 = 10;
-/// Bids of one data centre's daemons are spread over this time.
+/// Time over which the bids of one data centre's daemons are spread.
 const BID_SPREAD: Duration = Duration::from_millis(1500);
-/// Entries between two snapshots.
+/// Log entries between two snapshots.
 pub const SNAPSHOT_EVERY: Offset = 5000;
-/// Snapshots of several daemons are spread over this many entries.
+/// Log entries over which the snapshots of different daemons are spread.
 const SNAPSHOT_SPREAD: Offset = 2000;
 
 impl Controller {
     pub(crate) fn tick(&mut self, now: Duration) {
         self.demand.expire(now);
         self.refuse_overdue_claims(now);
-        self.keep_lease(now);
+        self.maintain_lease(now);
         if self.held_fence().is_none() {
             return;
         }
-        let full = now >= self.last_pass + ROUND;
+        let full = now >= self.last_pass + FULL_PASS_INTERVAL;
         if full {
             self.last_pass = now;
-            if self.servers_checked.is_none_or(|at| now >= at + RESTATE) {
+            if self.servers_checked.is_none_or(|at| now >= at + SERVER_CHECK_INTERVAL) {
                 self.servers_checked = Some(now);
-                self.state_hosts();
+                self.append_server_changes();
             }
-            self.keep_log(now);
+            self.maintain_log(now);
         }
         self.poll_servers(now);
         self.reconcile_slots(now, full);
@@ -76,22 +77,23 @@
         self.fleet.replace(hosts);
         self.servers_checked = None;
         self.slot_tracker.retain(|id| self.state.slots.contains(id));
-        self.observe_centres(now);
+        self.observe_all_leases(now);
         self.effects.push(Effect::Publish);
     }
 
-    /// Watches the leases of all data centres, so that a lost one is noticed.
-    fn observe_centres(&mut self, now: Duration) {
+    /// Observes the leases of all data centres, so that an expired one is noticed.
+    fn observe_all_leases(&mut self, now: Duration) {
         for (centre, lease) in &self.state.leases {
             self.authority.observe(now, centre, Some(lease));
         }
     }
 
-    fn spread(&self) -> u64 {
+    /// Returns a hash of the daemon's id, which spreads bids and snapshots of different daemons.
+    fn id_hash(&self) -> u64 {
         xxh3_64(self.settings.id.as_bytes())
     }
 
-    fn keep_lease(&mut self, now: Duration) {
+    fn maintain_lease(&mut self, now: Duration) {
         if self.stopping {
             return;
         }
@@ -102,12 +104,12 @@
             }
             return;
         }
-        let patience = BID_SPREAD.mul_f64((self.spread() % 100) as f64 / 100.0);
+        let bid_delay = BID_SPREAD.mul_f64((self.id_hash() % 100) as f64 / 100.0);
         let centre = self.settings.centre.clone();
-        let Some(seen) = self.authority.due_bid(now, &centre, patience) else {
+        let Some(seen) = self.authority.due_bid(now, &centre, bid_delay) else {
             return;
         };
-        // A queued bid that names an old renewal can no longer win.
+        // A queued bid that names an older renewal can no longer succeed.
         self.appender.discard_queued(|r| matches!(r, Record::Bid(b) if b.seen != seen));
         if !self.appender.any_pending(|r| matches!(r, Record::Bid(_))) {
             self.appender.push(Record::Bid(Bid { centre: centre.clone(), seen }));
@@ -115,10 +117,10 @@
         }
     }
 
-    /// Notes a lease won or lost.
+    /// Logs a gained or lost lease and resets what depends on it.
     ///
-    /// What was known of slots under an older fence is forgotten: another holder may have given
-    /// orders meanwhile, so an old answer proves nothing.
+    /// The tracked slots are dropped: another holder may have sent orders since, so old answers of
+    /// engines are no longer valid.
     pub(crate) fn on_lease_change(&mut self) {
         let fence = self.held_fence();
         if fence == self.logged_fence {
@@ -141,8 +143,8 @@
         self.slot_tracker = SlotTracker::default();
     }
 
-    /// Writes to the log which backend servers there are.
-    fn state_hosts(&mut self) {
+    /// Appends records of new, restarted and removed backend servers to the log.
+    fn append_server_changes(&mut self) {
         if !self.fleet.has_host_list() {
             return;
         }
@@ -153,11 +155,11 @@
             }
             let known = self.state.servers.get(&member.host.id);
             if known.is_none_or(|s| s.incarnation < member.host.incarnation) {
-                records.push(Record::Server(facts(&member.host)));
+                records.push(Record::Server(server_facts(&member.host)));
             }
         }
         for (id, server) in &self.state.servers {
-            if self.fleet.get(id).is_none() && self.answers_for(&server.centre) {
+            if self.fleet.get(id).is_none() && self.may_remove_servers(&server.centre) {
                 records.push(Record::Gone(id.clone(), server.incarnation));
             }
         }
@@ -166,11 +168,13 @@
         }
     }
 
-    /// Returns whether this daemon states which hosts of `centre` are gone.
+    /// Returns whether this daemon may record that servers of `centre`, which the host list no
+    /// longer contains, were removed.
     ///
-    /// Slots of a lost data centre would stay taken for ever, since its own daemons are gone too.
-    /// Holders of other leases free them, on the host list's word, when its lease has lapsed.
-    fn answers_for(&self, centre: &str) -> bool {
+    /// Slots of a removed data centre would stay occupied forever, since its own daemons are
+    /// removed too. Lease holders of other data centres free them if `centre` has no lease, or if
+    /// its holder is no longer in the host list.
+    fn may_remove_servers(&self, centre: &str) -> bool {
         centre == self.settings.centre
             || self.state.leases.get(centre).is_none_or(|lease| {
                 self.fleet.has_host_list() && self.fleet.get(&lease.daemon).is_none()
@@ -180,7 +184,7 @@
     fn poll_servers(&mut self, now: Duration) {
         let members = self.local_servers.iter().filter_map(|id| self.fleet.get(id));
         let due: Vec<_> = members
-            .filter(|m| m.polled_at.is_none_or(|at| now >= at + self.poll_period(m)))
+            .filter(|m| m.polled_at.is_none_or(|at| now >= at + self.report_interval(m)))
             .map(|m| m.host.id.clone())
             .collect();
         for id in due {
@@ -189,10 +193,10 @@
         }
     }
 
-    fn poll_period(&self, member: &HostState) -> Duration {
+    fn report_interval(&self, member: &HostState) -> Duration {
         let slots = || self.state.slots.on_server(&member.host.id);
         if slots().any(|(id, s)| self.is_loading(id, s)) {
-            return LOADING_POLL;
+            return LOADING_POLL_INTERVAL;
         }
         let empty = slots().all(|(_, s)| s.phase == Phase::Reserved);
         let factor = if empty && member.last_report.is_some() { EMPTY_POLL_FACTOR } else { 1 };
@@ -200,23 +204,23 @@
     }
 
     fn is_loading(&self, id: SlotId, slot: &Slot) -> bool {
-        let woken = || {
-            self.slot_tracker.get(id).is_some_and(|w| {
-                !w.loaded && w.order.is_some_and(|o| o.action == OrderAction::Load)
+        let load_ordered = || {
+            self.slot_tracker.get(id).is_some_and(|t| {
+                !t.loaded && t.order.is_some_and(|o| o.action == OrderAction::Load)
             })
         };
-        slot.phase.is_loading() || (slot.phase == Phase::Reserved && woken())
+        slot.phase.is_loading() || (slot.phase == Phase::Reserved && load_ordered())
     }
 
-    /// Advances the log's clock and writes snapshots before older entries expire.
-    fn keep_log(&mut self, now: Duration) {
+    /// Advances the log's tick count, and appends snapshots before older entries expire.
+    fn maintain_log(&mut self, now: Duration) {
         let period = Duration::from_secs(TICK_PERIOD_S);
         if now >= self.last_tick + period
             && !self.appender.any_pending(|r| matches!(r, Record::Tick(_)))
         {
             self.appender.push(Record::Tick(self.state.tick + 1));
         }
-        let due = self.snapshot_offset + SNAPSHOT_EVERY + self.spread() % SNAPSHOT_SPREAD;
+        let due = self.snapshot_offset + SNAPSHOT_EVERY + self.id_hash() % SNAPSHOT_SPREAD;
         let writing = || self.appender.any_pending(|r| matches!(r, Record::Snapshot(_)));
         if self.state.offset >= due && !writing() {
             for part in snapshot::split(&self.state) {
@@ -225,14 +229,15 @@
         }
     }
 
-    /// Returns the loaded models of this daemon's data centre that have no request, if it leads.
+    /// Returns the loaded models of this daemon's data centre that have no request; empty if this
+    /// daemon does not hold the lease.
     pub fn idle_models(&self) -> Vec<ModelName> {
         if self.held_fence().is_none() {
             return Vec::new();
         }
         self.local_slots()
             .into_iter()
-            .filter(|id| self.slot_tracker.get(*id).is_some_and(|w| w.active == 0))
+            .filter(|id| self.slot_tracker.get(*id).is_some_and(|t| t.active == 0))
             .filter_map(|id| self.state.slots.get(id))
             .filter(|s| matches!(s.phase, Phase::Loaded | Phase::Draining))
             .map(|s| s.model.clone())
@@ -240,7 +245,7 @@
     }
 }
 
-fn facts(host: &Host) -> ServerFacts {
+fn server_facts(host: &Host) -> ServerFacts {
     ServerFacts {
         id: host.id.clone(),
         incarnation: host.incarnation,
--- a/lib/src/daemon.rs
+++ b/lib/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A whole daemon: starts the threads, and stops them gracefully.
+//! A daemon process: opens its sockets, starts its threads and stops them gracefully.
 
 use std::fmt;
 use std::io;
@@ -34,38 +34,39 @@
 use crate::workers;
 use crate::workers::PlatformClients;
 
-/// Period of the control state machine.
-const TICK: Duration = Duration::from_millis(50);
-/// Time between looks at the requests in progress during a stop.
-const STOP_STEP: Duration = Duration::from_millis(20);
-/// Time in which the balancer notices that a stopping daemon is not ready.
-const LAST_APPEND: Duration = Duration::from_secs(2);
+/// Period of the control state machine's ticks.
+const TICK_PERIOD: Duration = Duration::from_millis(50);
+/// Time between two checks for requests in progress during a graceful stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time before the threads end, in which the release of the lease is appended and the load balancer
+/// notices that the daemon is not ready.
+const RELEASE_WAIT: Duration = Duration::from_secs(2);
 
-/// Why a daemon did not start.
+/// Why a daemon failed to start.
 #[derive(Debug, Diagnostic, Error)]
 pub enum StartError {
-    /// The address for callers cannot be used.
+    /// Listening on the address for callers failed.
     #[error("cannot listen on {addr}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The I/O error.
         #[source]
         source: io::Error,
     },
-    /// The address for other daemons cannot be used.
+    /// Opening the address for other daemons failed.
     #[error("cannot open the peer address {addr}")]
     Peer {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The I/O error.
         #[source]
         source: io::Error,
     },
-    /// The trace file cannot be written.
+    /// The trace file could not be created.
     #[error("cannot write the trace")]
     Trace(#[source] io::Error),
-    /// The system gives no thread or socket.
+    /// The operating system refused a thread or socket.
     #[error("the system refused a thread or socket")]
     System(#[source] io::Error),
 }
@@ -74,7 +75,7 @@
 pub struct Daemon {
     node: Arc<Node>,
     server: Arc<Server>,
-    /// Where callers connect.
+    /// Address for callers.
     pub addr: SocketAddr,
     control: JoinHandle<()>,
     accept: JoinHandle<()>,
@@ -86,19 +87,20 @@
     }
 }
 
-/// A start count from the wall clock: a later start has a larger one.
+/// Returns an incarnation from the wall clock, in milliseconds since 1970: a later start gets a
+/// larger one.
 pub fn incarnation_now() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as Incarnation
 }
 
-/// Sockets of a daemon, opened before anything else so that their addresses are known.
+/// Sockets of a daemon, opened first so that their addresses are known before it starts.
 pub struct Sockets {
     server: Server,
     peers: PeerServer,
-    /// Where callers connect.
+    /// Address for callers.
     pub addr: SocketAddr,
-    /// Where other daemons connect.
+    /// Address for other daemons.
     pub peer_addr: SocketAddr,
 }
 
@@ -109,17 +111,17 @@
 }
 
 impl Sockets {
-    /// Opens the addresses of `settings`; a port of 0 takes any free one.
+    /// Opens the address for callers and the one for other daemons; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// An address cannot be used.
+    /// Fails if an address cannot be used.
     pub fn open(listen: SocketAddr, peer: SocketAddr) -> Result<Self, StartError> {
-        let refused = |source| StartError::Listen { addr: listen, source };
-        let listener = gateway::listen(listen).map_err(refused)?;
-        let addr = listener.local_addr().map_err(refused)?;
+        let listen_error = |source| StartError::Listen { addr: listen, source };
+        let listener = gateway::listen(listen).map_err(listen_error)?;
+        let addr = listener.local_addr().map_err(listen_error)?;
         let server = Server::from_listener(listener, None)
-            .map_err(|e| refused(io::Error::other(e.to_string())))?;
+            .map_err(|e| listen_error(io::Error::other(e.to_string())))?;
         let peers =
             PeerServer::bind(peer).map_err(|source| StartError::Peer { addr: peer, source })?;
         let peer = peers.addr().map_err(StartError::System)?;
@@ -132,7 +134,7 @@
     ///
     /// # Errors
     ///
-    /// The trace cannot be written, or the system refuses a thread.
+    /// Fails if the trace file cannot be created, or if the system refuses a thread or socket.
     pub fn start(
         settings: Settings,
         incarnation: Incarnation,
@@ -167,7 +169,7 @@
             Ok(ControlThread::new(Arc::clone(&node), controller, outputs, trace))
         })()
         .map_err(StartError::System)?;
-        subscribe(&node);
+        start_ticks(&node);
         let server = Arc::new(server);
         let spawn = |name: &str, run: Box<dyn FnOnce() + Send>| {
             thread::Builder::new().name(name.into()).spawn(run).map_err(StartError::System)
@@ -181,46 +183,47 @@
         Ok(Self { node, server, addr, control, accept })
     }
 
-    /// Returns the state that the daemon's threads share.
+    /// Returns the state shared by the daemon's threads.
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
 
-    /// Stops gracefully: refuses new work, lets requests in progress end, gives up the lease.
+    /// Stops gracefully: refuses new requests, waits for those in progress, and releases the lease.
     ///
     /// Returns whether every request in progress ended by itself within the `drain` setting.
     pub fn stop(self) -> bool {
         let node = &self.node;
         node.stopping.store(true, Ordering::Relaxed);
         node.waiting.close();
-        let end = node.now() + node.settings.drain_timeout;
-        while node.limits().total() > 0 && node.now() < end {
-            thread::sleep(STOP_STEP);
+        let deadline = node.now() + node.settings.drain_timeout;
+        while node.limits().total() > 0 && node.now() < deadline {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
-        let left = node.limits().total();
+        let unfinished = node.limits().total();
         node.send(ControlInput::Event(Event::Stop));
-        thread::sleep(LAST_APPEND.min(node.settings.drain_timeout));
-        slog::info!(node.log, "stop"; "cut" => left, "daemon" => node.settings.id.as_str());
+        thread::sleep(RELEASE_WAIT.min(node.settings.drain_timeout));
+        slog::info!(node.log, "stop"; "cut" => unfinished, "daemon" => node.settings.id.as_str());
         self.abort();
-        left == 0
+        unfinished == 0
     }
 
-    /// Ends the daemon's threads without waiting for anything, as a crash would.
+    /// Ends the daemon's threads without waiting for requests or releasing the lease, like a crash.
     pub fn abort(self) {
         self.node.send(ControlInput::Shutdown);
         self.server.unblock();
-        // A thread that panicked has said so on standard error already.
+        // A thread that panicked has already printed that to standard error.
         let _panicked = self.control.join();
         let _panicked = self.accept.join();
     }
 }
 
-fn subscribe(node: &Arc<Node>) {
+fn start_ticks(node: &Arc<Node>) {
     let timer = Timer::start(Clock::start());
     let control = node.control.clone();
-    // The control thread's own clock counts; the timer only paces it.
-    timer.subscribe(TICK, move |_| {
-        // A slow control thread gets no pile of ticks.
+    // The control thread reads its own clock; the timer only triggers the ticks.
+    timer.subscribe(TICK_PERIOD, move |_| {
+        // Skips ticks while more than 1000 inputs are queued, so that they do not pile up behind a
+        // slow control thread.
         control.len() > 1000 || control.send(ControlInput::Event(Event::Tick)).is_ok()
     });
 }
