--- a/lib/src/demand.rs
+++ b/lib/src/demand.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a model, as all daemons report them.
+//! Waiting requests by model, summed over the reports of all daemons.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,42 +9,42 @@
 use crate::ids::DaemonId;
 use crate::ids::ModelName;
 
-/// A report older than this counts no more; daemons repeat theirs several times in it.
-const FRESH: Duration = Duration::from_secs(3);
+/// Age at which a report expires; daemons repeat theirs several times within this time.
+const REPORT_TTL: Duration = Duration::from_secs(3);
 
-/// What one daemon says of one model's waiting requests.
+/// One daemon's report of the requests that wait for one model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WaitingRequests {
     /// The model.
     pub model: ModelName,
-    /// Requests that wait for it.
+    /// Number of requests that wait for it.
     pub count: u32,
     /// Sum of their priorities, each at least 1.
     pub weight: u32,
 }
 
 #[derive(Debug)]
-struct Line {
+struct DaemonReport {
     at: Duration,
     count: u32,
     weight: u32,
 }
 
-/// Waiting requests of one model, over all daemons.
+/// Waiting requests of one model, summed over all daemons.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DemandTotal {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub count: u32,
-    /// Sum of their weights.
+    /// Sum of their priorities, each at least 1.
     pub weight: u32,
-    /// When the first of them was heard of.
+    /// When the model last went from no waiting requests to some.
     pub since: Duration,
 }
 
 #[derive(Debug, Default)]
 struct ModelDemand {
     since: Duration,
-    lines: BTreeMap<DaemonId, Line>,
+    reports: BTreeMap<DaemonId, DaemonReport>,
 }
 
 /// Waiting requests by model.
@@ -54,33 +54,33 @@
 }
 
 impl Demand {
-    /// Replaces what `daemon` said before.
+    /// Replaces the previous report of `daemon`.
     pub fn update(&mut self, now: Duration, daemon: &DaemonId, waiting: &[WaitingRequests]) {
         for (model, demand) in &mut self.models {
             if !waiting.iter().any(|w| w.count > 0 && w.model == *model) {
-                demand.lines.remove(daemon);
+                demand.reports.remove(daemon);
             }
         }
         for w in waiting.iter().filter(|w| w.count > 0) {
             let demand = self.models.entry(w.model.clone()).or_default();
-            if demand.lines.is_empty() {
+            if demand.reports.is_empty() {
                 demand.since = now;
             }
-            let line = Line { at: now, count: w.count, weight: w.weight };
-            demand.lines.insert(daemon.clone(), line);
+            let report = DaemonReport { at: now, count: w.count, weight: w.weight };
+            demand.reports.insert(daemon.clone(), report);
         }
-        self.models.retain(|_, d| !d.lines.is_empty());
+        self.models.retain(|_, d| !d.reports.is_empty());
     }
 
-    /// Forgets reports that were not repeated.
+    /// Drops reports that their daemons have not repeated in time.
     pub fn expire(&mut self, now: Duration) {
         for demand in self.models.values_mut() {
-            demand.lines.retain(|_, line| now < line.at + FRESH);
+            demand.reports.retain(|_, report| now < report.at + REPORT_TTL);
         }
-        self.models.retain(|_, d| !d.lines.is_empty());
+        self.models.retain(|_, d| !d.reports.is_empty());
     }
 
-    /// Returns whether no requests wait.
+    /// Returns whether no request waits for any model.
     pub fn is_empty(&self) -> bool {
         self.models.is_empty()
     }
@@ -90,7 +90,7 @@
         self.models.iter().map(|(model, d)| (model, d.total()))
     }
 
-    /// Returns the requests that wait for `model`.
+    /// Returns the demand for `model`; `None` if no request waits for it.
     pub fn total(&self, model: &str) -> Option<DemandTotal> {
         self.models.get(model).map(ModelDemand::total)
     }
@@ -99,8 +99,8 @@
 impl ModelDemand {
     fn total(&self) -> DemandTotal {
         DemandTotal {
-            count: self.lines.values().map(|l| l.count).sum(),
-            weight: self.lines.values().map(|l| l.weight).sum(),
+            count: self.reports.values().map(|r| r.count).sum(),
+            weight: self.reports.values().map(|r| r.weight).sum(),
             since: self.since,
         }
     }
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Attempts of one request: route, wait, try, and try again where the verdict allows.
+//! Carries out one request: routes it, waits for a replica with free capacity, sends it, and
+//! retries if the verdict on the failed attempt allows it.
 
 use std::time::Duration;
 
@@ -16,19 +17,19 @@
 use crate::router::RouteRequest;
 use crate::verdict::Verdict;
 
-/// Most attempts of one request that may have run.
+/// Maximum number of attempts of one request that failed after they may have run.
 const MAX_FAILURES: u32 = 8;
 /// Pause after every replica was tried, before they are tried again.
-const PAUSE: Duration = Duration::from_millis(100);
-/// When to come back after a refusal that names no better time.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Retry delay sent to the caller if no better estimate exists.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why an attempt gave no answer.
+/// Why an attempt produced no response.
 #[derive(Debug)]
 pub enum AttemptError {
-    /// It failed.
+    /// The backend server or the connection to it failed.
     Failed(Failure),
-    /// The caller is gone; nobody wants the answer.
+    /// The caller has disconnected, so no response is needed.
     CallerGone,
 }
 
@@ -38,30 +39,30 @@
     }
 }
 
-/// How a request ended without an answer.
+/// Why a request ended without a response.
 #[derive(Debug)]
 pub enum DispatchError {
-    /// The caller must be told.
+    /// The refusal must be sent to the caller.
     Refused(RequestRefusal),
-    /// The caller is gone.
+    /// The caller has disconnected.
     CallerGone,
 }
 
-/// What is known over all attempts of a request.
+/// Combined results of all attempts of a request.
 #[derive(Debug)]
 struct History {
     attempts: u32,
-    /// Attempts that may have run.
+    /// Failed attempts that may have run.
     failures: u32,
     verdict: Verdict,
     tried: Vec<ServerId>,
 }
 
-/// Routes a request and runs `attempt` until one succeeds or no other is allowed.
+/// Routes a request and calls `attempt` until it succeeds or no further attempt is allowed.
 ///
 /// # Errors
 ///
-/// The request is refused, or its caller is gone.
+/// Returns an error if the request is refused or its caller has disconnected.
 pub fn dispatch<T>(
     node: &Node,
     caller_request: &CallerRequest,
@@ -90,7 +91,7 @@
             Err(AttemptError::CallerGone) => return Err(DispatchError::CallerGone),
             Err(AttemptError::Failed(failure)) => failure,
         };
-        note_failure(node, caller_request, &route, &failure);
+        record_failed_attempt(node, caller_request, &route, &failure);
         history.verdict = history.verdict.combine(failure.verdict);
         history.failures += u32::from(failure.verdict != Verdict::DidNotRun);
         history.tried.push(route.server);
@@ -111,7 +112,12 @@
     }
 }
 
-fn note_failure(node: &Node, caller_request: &CallerRequest, route: &Route, failure: &Failure) {
+fn record_failed_attempt(
+    node: &Node,
+    caller_request: &CallerRequest,
+    route: &Route,
+    failure: &Failure,
+) {
     let now = node.now();
     match failure.kind {
         FailureKind::Leaving => node.router().mark_leaving(now, &route.server),
@@ -130,10 +136,10 @@
     node.log_routing(&caller_request.id, caller_request.model(), "fail", &route.server, reason);
 }
 
-/// Decides whether another attempt is allowed.
+/// Returns an error if no further attempt is allowed.
 ///
-/// A request that may not be repeated gets one only if no earlier attempt may have run. A refusal
-/// before running costs the backend server nothing and needs no budget.
+/// A request that must not run twice is retried only if no earlier attempt may have run. A refusal
+/// before execution costs the backend server nothing and is not charged to the retry budget.
 fn may_retry(
     node: &Node,
     caller_request: &CallerRequest,
@@ -145,13 +151,13 @@
         verdict: history.verdict,
         code,
         message,
-        retry_after: Some(COME_BACK),
+        retry_after: Some(DEFAULT_RETRY_AFTER),
     };
     if history.verdict != Verdict::DidNotRun && !caller_request.row.repeat {
         let message = format!("the request may have run: {}", failure.detail);
         return Err(RequestRefusal { retry_after: None, ..refused("may-have-run", message) });
     }
-    // What was refused before running cost nothing; the deadline bounds it.
+    // A refusal before execution cost the server nothing; only the deadline limits these retries.
     if matches!(failure.kind, FailureKind::Refused | FailureKind::Leaving | FailureKind::NotLoaded)
     {
         return Ok(());
@@ -165,14 +171,14 @@
     Ok(())
 }
 
-/// Returns a replica with room, after waiting for one if need be.
+/// Returns a replica with free capacity, waiting for one if necessary.
 fn find_route(
     node: &Node,
     caller_request: &CallerRequest,
     history: &mut History,
 ) -> Result<Route, RequestRefusal> {
     let began = node.now();
-    let mut woken = false;
+    let mut dequeued = false;
     loop {
         let now = node.now();
         let view = node.view.load_full();
@@ -181,10 +187,10 @@
             prefix: caller_request.prefix,
             tried: &history.tried,
         };
-        let overtakes = !woken && node.waiting.has_waiters(caller_request.model());
-        let route = if overtakes { None } else { node.router().choose(now, &view, route_request) };
+        let must_queue = !dequeued && node.waiting.has_waiters(caller_request.model());
+        let route = if must_queue { None } else { node.router().choose(now, &view, route_request) };
         if let Some(route) = route {
-            if woken {
+            if dequeued {
                 node.wait_estimator().record_dequeue(
                     now,
                     caller_request.model(),
@@ -197,16 +203,16 @@
         if !history.tried.is_empty()
             && node.router().free_capacity(now, &view, caller_request.model()) > 0
         {
-            // Every replica with room was tried; what refused before may not do so after a pause.
+            // All replicas with free capacity were tried; after a pause one may accept the request.
             history.tried.clear();
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RETRY_PAUSE);
             if node.now() >= caller_request.deadline {
                 return Err(refuse(
                     node,
                     caller_request,
                     history,
                     QueueRefusal::Expired,
-                    COME_BACK,
+                    DEFAULT_RETRY_AFTER,
                 ));
             }
             continue;
@@ -214,14 +220,14 @@
         if !caller_request.row.is_loadable() && view.replicas_of(caller_request.model()).is_empty()
         {
             let message = format!("no backend server answers for {}", caller_request.model());
-            return Err(RequestRefusal::retryable(503, "no-server", message, COME_BACK));
+            return Err(RequestRefusal::retryable(503, "no-server", message, DEFAULT_RETRY_AFTER));
         }
         let waiter = Waiter {
             model: caller_request.model().clone(),
             priority: caller_request.priority,
             deadline: caller_request.deadline,
         };
-        if !woken {
+        if !dequeued {
             node.log_routing(
                 &caller_request.id,
                 caller_request.model(),
@@ -231,16 +237,16 @@
             );
         }
         let expected = expected_wait(node, now, caller_request, &waiter);
-        let turn = node.waiting.wait(now, waiter, expected);
-        turn.map_err(|r| refuse(node, caller_request, history, r, expected))?;
-        woken = true;
+        let wait_result = node.waiting.wait(now, waiter, expected);
+        wait_result.map_err(|r| refuse(node, caller_request, history, r, expected))?;
+        dequeued = true;
     }
 }
 
-/// Returns the time until the request's turn: a request that cannot wait it is refused at once.
+/// Returns the expected time in the queue; a request whose deadline is earlier is refused at once.
 ///
-/// For a cold model it is the least that a load can take; for others it follows from the pace of the
-/// queue.
+/// For a cold model this is the shortest time that a load can take; for others it follows from how
+/// fast the queue advances.
 fn expected_wait(
     node: &Node,
     now: Duration,
@@ -270,13 +276,13 @@
         _ if cold => node.load_rates().expected_time(caller_request.row.load_mib, Source::Disk),
         _ => {
             let now = node.now();
-            let back = node.wait_estimator().retry_after(
+            let delay = node.wait_estimator().retry_after(
                 now,
                 caller_request.model(),
                 caller_request.priority,
                 expected,
             );
-            back.max(COME_BACK)
+            delay.max(DEFAULT_RETRY_AFTER)
         }
     };
     let message = match refusal {
--- a/lib/src/engine_control.rs
+++ b/lib/src/engine_control.rs
@@ -1,4 +1,4 @@
-//! Control of model engines: load reports and orders.
+//! Client for the control interface of model engines: fetches their reports and sends orders.
 
 use std::fmt;
 use std::io::ErrorKind;
@@ -10,28 +10,28 @@
 use crate::host::OrderAnswer;
 use crate::host::ServerReport;
 
-/// Longest wait for a report or for the answer to an order, in whole seconds.
+/// Timeout for a report or for the answer to an order, in whole seconds.
 const TIMEOUT_S: u64 = 2;
 
-/// An engine did not report.
+/// An engine returned no readable report.
 #[derive(Debug, Error)]
 #[error("no report: {0}")]
 pub struct ReportError(pub String);
 
-/// A model engine's control side.
+/// The control interface of model engines.
 pub trait EngineControl: fmt::Debug + Send + Sync {
-    /// Asks for the load report.
+    /// Fetches the report of the engine at `addr`.
     ///
     /// # Errors
     ///
-    /// The engine did not answer.
+    /// Returns an error if the engine does not answer or its answer cannot be decoded.
     fn fetch_report(&self, addr: SocketAddr) -> Result<ServerReport, ReportError>;
 
-    /// Gives an order. A load goes on after the answer and shows in the reports.
+    /// Sends an order. A load continues after the answer; its progress appears in the reports.
     fn send_order(&self, addr: SocketAddr, order: &Order) -> OrderAnswer;
 }
 
-/// Model engines over HTTP.
+/// Control of model engines over HTTP.
 #[derive(Debug, Default)]
 pub struct HttpEngineControl;
 
@@ -50,13 +50,13 @@
             return OrderAnswer::Unsent;
         };
         let request = minreq::post(format!("http://{addr}/order")).with_body(body);
-        // One connection and one write: the order is never repeated below this line.
+        // One connection and one write: the HTTP client never sends the order again.
         let sent = request.with_timeout(TIMEOUT_S).with_follow_redirects(false).send();
         match sent {
             Ok(response) if response.status_code == 200 => {
                 serde_json::from_slice(response.as_bytes()).unwrap_or(OrderAnswer::Unknown)
             }
-            // Nothing was written on a connection that was refused.
+            // A refused connection carried no data.
             Err(minreq::Error::IoError(e)) if e.kind() == ErrorKind::ConnectionRefused => {
                 OrderAnswer::Unsent
             }
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the control state machine and what comes out.
+//! Inputs (events) and outputs (effects) of the control state machine.
 //!
 //! Events can be written to a trace and replayed; see [`crate::trace`].
 
@@ -23,18 +23,18 @@
 use crate::table::Edit;
 use crate::verdict::Verdict;
 
-/// Something that the control state machine learns.
+/// An input of the control state machine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Event {
-    /// Time passed.
+    /// Periodic tick, for everything that depends on time.
     Tick,
     /// The next entry of the log, from the log itself or from a peer.
     Entry(Offset, Entry),
-    /// The log answered a read, with or without entries.
+    /// A read of the log succeeded, with or without entries.
     LogRead,
-    /// The log failed to answer a read.
+    /// A read of the log failed.
     LogFailed,
-    /// The log answered an append, or failed to.
+    /// An append to the log succeeded or failed.
     Appended {
         /// Sequence number of the entry.
         sequence: u64,
@@ -43,19 +43,19 @@
     },
     /// A complete host list.
     Hosts(Vec<Host>),
-    /// An engine's load report; none where it did not answer.
+    /// An engine's report; `None` if it did not answer.
     Report(ServerId, Option<ServerReport>),
     /// An engine's answer to an order.
     Ordered(Order, OrderAnswer),
     /// A daemon's waiting requests.
     Demand(DaemonId, Vec<WaitingRequests>),
-    /// What the holder of a data centre's lease says of replicas that the log does not show yet.
+    /// Replicas that a lease holder reports as ready before the log shows it.
     Hints(DaemonId, Vec<Hint>),
     /// An operator's edit.
     Edit(Edit),
-    /// A request wants to run and may not be repeated.
+    /// A request that must not run twice needs a claim before it is sent.
     Claim(ClaimKey),
-    /// A claim is no longer wanted, and nothing was sent.
+    /// A claim is no longer needed; the request was not sent.
     Unclaim(ClaimKey),
     /// A claimed request ended.
     Settle(Settlement),
@@ -72,57 +72,58 @@
     pub server: ServerId,
 }
 
-/// What became of a request's claim.
+/// Result of a request's claim.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ClaimAnswer {
-    /// This daemon may run it, once.
+    /// This daemon may run the request once.
     Granted,
-    /// Another request has it, run by this daemon.
+    /// Another request with the same key is in progress at the named daemon.
     Taken(DaemonId),
-    /// It was run by this daemon and ended.
+    /// A request with the same key ended at the named daemon.
     Ended(DaemonId, Verdict, Option<StoredResponse>),
-    /// The log does not answer, and nothing was claimed that will be run.
+    /// The log is unavailable; no claim was made under which the request would run.
     LogDown,
 }
 
-/// What became of an edit.
+/// Result of an edit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EditAnswer {
-    /// It is in force from this log position on.
+    /// It takes effect at this log position.
     Accepted(u64),
-    /// This row changed after the author looked.
+    /// The named row changed since the version that the edit is based on.
     Conflict(ModelName),
 }
 
-/// Something that the control state machine wants done.
+/// An action that the control state machine requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Effect {
     /// Append this entry to the log.
     Append(Entry),
-    /// Ask a backend server for its report.
+    /// Fetch the report of a backend server.
     Poll(ServerId),
-    /// Give an order to an engine, unless it is this late; checked again just before the write.
+    /// Send an order to an engine unless this time has passed. The time is checked again just before
+    /// the write.
     Order(Order, Option<Duration>),
-    /// Tell the waiting request.
+    /// Send the result to the request that waits for the claim.
     Claimed(ClaimKey, ClaimAnswer),
-    /// Tell the operator.
+    /// Send the result to the operator.
     Edited(Edit, EditAnswer),
-    /// What routers see has changed.
+    /// Publish the routing view, which has changed.
     Publish,
     /// Log a decision.
     Decide(Decision),
 }
 
-/// A decision and its reason, one log line.
+/// A decision and its reason; becomes one log line.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Decision {
     /// What was decided.
     pub action: DecisionKind,
-    /// The model, where it concerns one.
+    /// The model; empty if the decision concerns none.
     pub model: ModelName,
-    /// The backend server or data centre, where it concerns one.
+    /// The backend server or data centre; empty if the decision concerns none.
     pub place: ServerId,
-    /// Why, in a few words.
+    /// The reason in a few words.
     pub reason: String,
 }
 
@@ -130,9 +131,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DecisionKind {
-    /// Reserve a new slot and load.
+    /// Reserve a new slot and load the model into it.
     Place,
-    /// Load into a slot that is reserved.
+    /// Load the model into its reserved slot.
     Wake,
     /// A load finished.
     Ready,
@@ -140,13 +141,13 @@
     Drain,
     /// Unload now.
     Unload,
-    /// Keep loaded after all.
+    /// Cancel a drain and keep the model loaded.
     Retain,
-    /// Give a slot back.
+    /// Free a slot.
     Free,
     /// Bid for a lease.
     Bid,
-    /// A lease was won.
+    /// A lease was acquired.
     Lead,
     /// A lease was lost.
     Yield,
@@ -154,12 +155,12 @@
     Accept,
     /// An edit or record was rejected.
     Reject,
-    /// A load waits, for the weight store or for memory.
+    /// A load is postponed, for instance until the weight store or memory is free.
     Hold,
 }
 
 impl DecisionKind {
-    /// Returns the word of the log line.
+    /// Returns the name used in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Place => "place",
@@ -179,7 +180,7 @@
     }
 }
 
-/// An event and when it happened, on the daemon's monotonic clock.
+/// An event and the time at which it happened, on the daemon's monotonic clock.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TimedEvent {
     /// Time since the daemon's start.
--- a/lib/src/failure_backoff.rs
+++ b/lib/src/failure_backoff.rs
@@ -1,17 +1,18 @@
-//! Leaving a host alone after failures in a row.
+//! Backoff for a host after consecutive failures.
 
 use std::time::Duration;
 
-/// Failures in a row after which a host is suspected.
-const FAILURES: u32 = 2;
-/// First time for which a suspected host gets no work; doubled with each further failure.
+/// Consecutive failures after which a host is suspected.
+const FAILURE_THRESHOLD: u32 = 2;
+/// First pause during which a suspected host gets no work; doubled with each further failure.
 const MIN_PAUSE: Duration = Duration::from_secs(1);
-/// Longest time without another try.
+/// Longest pause before the host is tried again.
 const MAX_PAUSE: Duration = Duration::from_secs(30);
 
-/// Failures of one host since its last answer.
+/// Consecutive failures of one host since its last answer.
 ///
-/// One silent connection does not condemn a host that answers others: any answer clears it.
+/// Any answer resets the count, so that one unresponsive connection does not exclude a host that
+/// answers on others.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureBackoff {
     failures: u32,
@@ -19,20 +20,20 @@
 }
 
 impl FailureBackoff {
-    /// Notes a failed connection or report.
+    /// Records a failed connection or report.
     pub fn record_failure(&mut self, now: Duration) {
         self.failures += 1;
-        let extra = self.failures.saturating_sub(FAILURES).min(8);
-        self.until = now + (MIN_PAUSE * 2_u32.pow(extra)).min(MAX_PAUSE);
+        let doublings = self.failures.saturating_sub(FAILURE_THRESHOLD).min(8);
+        self.until = now + (MIN_PAUSE * 2_u32.pow(doublings)).min(MAX_PAUSE);
     }
 
-    /// Notes an answer.
+    /// Records an answer, which ends the backoff.
     pub fn record_answer(&mut self) {
         self.failures = 0;
     }
 
-    /// Returns whether the host is left alone now.
+    /// Returns whether the host gets no new work at `now`.
     pub fn is_active(&self, now: Duration) -> bool {
-        self.failures >= FAILURES && now < self.until
+        self.failures >= FAILURE_THRESHOLD && now < self.until
     }
 }
