--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -1,7 +1,9 @@
-//! Hosts that can be reached: the host list, load reports and this daemon's own failures.
+//! State of every host: its entry in the host list, its last report and the failures that this
+//! daemon saw.
 //!
-//! The host list lags. A backend server that leaves says so in its reports and refusals, and one
-//! that died fails this daemon's own requests; both take it out of routing before the list does.
+//! The host list lags. A backend server that is leaving states this in its reports and refusals,
+//! and this daemon's requests to one that has died fail; both exclude it from routing before the
+//! list does.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,16 +15,16 @@
 use crate::ids::Incarnation;
 use crate::ids::ServerId;
 
-/// What is known of one host.
+/// State of one host.
 #[derive(Clone, Debug)]
 pub struct HostState {
-    /// The host list's line.
+    /// The host's entry in the host list.
     pub host: Host,
-    /// Whether the host list or the host itself says that it leaves.
+    /// Whether the host list or the host itself reports that it is leaving.
     pub leaving: bool,
-    /// Last report and when it came.
+    /// The last report and the time when it arrived; `None` before the first.
     pub last_report: Option<(Duration, ServerReport)>,
-    /// When the last report was asked for.
+    /// When a report was last requested; `None` if never.
     pub polled_at: Option<Duration>,
     backoff: FailureBackoff,
 }
@@ -39,12 +41,12 @@
         }
     }
 
-    /// Returns whether the host failed several times and is left alone for now.
+    /// Returns whether the host gets no new work at `now` because of consecutive failures.
     pub fn is_suspected(&self, now: Duration) -> bool {
         self.backoff.is_active(now)
     }
 
-    /// Returns whether new work may go there.
+    /// Returns whether the host may get new work.
     pub fn is_usable(&self, now: Duration) -> bool {
         !self.leaving && !self.is_suspected(now)
     }
@@ -53,61 +55,62 @@
 /// All hosts of the host list.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    members: BTreeMap<ServerId, HostState>,
-    known: bool,
+    host_states: BTreeMap<ServerId, HostState>,
+    list_received: bool,
 }
 
 impl Fleet {
-    /// Takes over a complete host list and returns the hosts that are not in it any more.
+    /// Applies a complete host list. Returns the hosts that are no longer in it, with their last
+    /// incarnations.
     pub fn replace(&mut self, hosts: Vec<Host>) -> Vec<(ServerId, Incarnation)> {
-        self.known = true;
-        let mut old = std::mem::take(&mut self.members);
+        self.list_received = true;
+        let mut old = std::mem::take(&mut self.host_states);
         for host in hosts {
             let kept = old.remove(&host.id).filter(|m| m.host.incarnation == host.incarnation);
-            let mut member = kept.unwrap_or_else(|| HostState::new(host.clone()));
-            // A host that said itself that it leaves does not come back by a lagging list.
-            member.leaving |= host.leaving;
-            member.host = host;
-            self.members.insert(member.host.id.clone(), member);
+            let mut host_state = kept.unwrap_or_else(|| HostState::new(host.clone()));
+            // A host that reported that it is leaving stays so, whatever a lagging list shows.
+            host_state.leaving |= host.leaving;
+            host_state.host = host;
+            self.host_states.insert(host_state.host.id.clone(), host_state);
         }
         old.into_values().map(|m| (m.host.id, m.host.incarnation)).collect()
     }
 
-    /// Returns whether a host list was read at least once.
+    /// Returns whether a host list was received at least once.
     pub fn has_host_list(&self) -> bool {
-        self.known
+        self.list_received
     }
 
-    /// Returns what is known of `id`.
+    /// Returns the state of host `id`; `None` if the host list does not contain it.
     pub fn get(&self, id: &str) -> Option<&HostState> {
-        self.members.get(id)
+        self.host_states.get(id)
     }
 
     /// Iterates over the hosts with `role`.
     pub fn with_role(&self, role: HostRole) -> impl Iterator<Item = &HostState> {
-        self.members.values().filter(move |m| m.host.role == role)
+        self.host_states.values().filter(move |m| m.host.role == role)
     }
 
-    /// Notes that a report of `id` is being asked for.
+    /// Records that a report of `id` was requested at `now`.
     pub fn record_poll(&mut self, now: Duration, id: &str) {
-        if let Some(member) = self.members.get_mut(id) {
-            member.polled_at = Some(now);
+        if let Some(host_state) = self.host_states.get_mut(id) {
+            host_state.polled_at = Some(now);
         }
     }
 
-    /// Notes a load report.
+    /// Records a report, which ends the backoff of `id`.
     pub fn record_report(&mut self, now: Duration, id: &str, report: ServerReport) {
-        if let Some(member) = self.members.get_mut(id) {
-            member.leaving |= report.leaving;
-            member.backoff.record_answer();
-            member.last_report = Some((now, report));
+        if let Some(host_state) = self.host_states.get_mut(id) {
+            host_state.leaving |= report.leaving;
+            host_state.backoff.record_answer();
+            host_state.last_report = Some((now, report));
         }
     }
 
-    /// Notes that a connection or report failed.
+    /// Records a failed connection or report of `id`.
     pub fn record_failure(&mut self, now: Duration, id: &str) {
-        if let Some(member) = self.members.get_mut(id) {
-            member.backoff.record_failure(now);
+        if let Some(host_state) = self.host_states.get_mut(id) {
+            host_state.backoff.record_failure(now);
         }
     }
 }
--- a/lib/src/fold.rs
+++ b/lib/src/fold.rs
@@ -1,8 +1,8 @@
-//! The deterministic fold of the log.
+//! The deterministic fold of the log into the replicated state.
 //!
-//! Every daemon applies the same entries in the same order. Racing records need no agreement: the
-//! first whose preconditions hold is accepted, every other is rejected with a reason, and all
-//! readers come to the same result. Nothing here reads a clock.
+//! Every daemon applies the same entries in the same order. Conflicting records need no further
+//! agreement: the first whose preconditions hold is accepted, and every other is rejected with a
+//! reason, so all daemons reach the same state. Nothing here reads a clock.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -40,7 +40,7 @@
 /// Why a record has no effect.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Error, PartialEq, Serialize)]
 pub enum Rejection {
-    /// The writer's entry was read before.
+    /// The writer's entry, or the edit, was applied before.
     #[error("duplicate entry")]
     Duplicate,
     /// The edit was based on an old version of a row.
@@ -49,10 +49,10 @@
     /// The writer does not hold the lease that the record needs.
     #[error("lease not held")]
     NotHolder,
-    /// The lease was renewed or changed hands since the bidder looked.
+    /// The lease was renewed or acquired by another daemon since the renewal named in the bid.
     #[error("lease renewed meanwhile")]
     LeaseRenewed,
-    /// The model has no row, or its row is not loaded onto backend servers.
+    /// The model has no row, or its row is not of a kind that is loaded onto backend servers.
     #[error("model not in the table")]
     NoModel,
     /// The model already has as many slots as the table allows.
@@ -61,36 +61,37 @@
     /// The model already has a slot on this backend server.
     #[error("already on this server")]
     SameServer,
-    /// The backend server's memory is taken.
+    /// The backend server has too little free memory.
     #[error("memory taken")]
     MemoryTaken,
     /// The backend server is unknown or has another incarnation.
     #[error("server replaced")]
     ServerReplaced,
-    /// The slot is not there.
+    /// The slot does not exist.
     #[error("slot not found")]
     NoSlot,
-    /// An order of another daemon may still reach a backend server that ignores fencing numbers.
+    /// An order of another daemon may still reach the backend server, which ignores fencing
+    /// numbers.
     #[error("an order may be under way")]
     OrderUnresolved,
-    /// The request is claimed already.
+    /// The request has a claim already.
     #[error("claimed already")]
     Claimed,
-    /// The claim is not the writer's.
+    /// The writer does not hold the claim.
     #[error("claim not held")]
     NotClaimant,
-    /// The statement is old news.
+    /// The record is older than the state.
     #[error("stale")]
     Stale,
 }
 
-/// What became of one record.
+/// Result of one record: the position of an accepted one, or why it was rejected.
 pub type Outcome = Result<Position, Rejection>;
 
-/// Applies one entry at `offset` and returns what became of each record.
+/// Applies the entry at `offset` and returns the result of each record.
 ///
-/// An offset below `state.offset` was applied before and is ignored; a gap above it means that
-/// records expired unread, and the caller must start from a snapshot instead.
+/// The caller must skip offsets below `state.offset`, which were applied before. An offset above it
+/// means that entries expired before they were read; the caller must install a snapshot instead.
 pub fn apply(state: &mut ReplicatedState, offset: Offset, entry: &Entry) -> Vec<Outcome> {
     debug_assert!(offset >= state.offset, "entries are applied in order");
     state.offset = offset + 1;
@@ -104,19 +105,19 @@
     entry.records.iter().enumerate().map(apply_one).collect()
 }
 
-/// Notes the entry's number and returns whether it was not read before.
+/// Records the entry's sequence number and returns whether the entry was not applied before.
 ///
-/// An append whose answer was lost may stand in the log twice, the second time after later
-/// entries of the same writer. A writer has one append under way at a time, so every number up to
-/// the last one seen is old.
+/// An append whose answer did not arrive is repeated, so its entry may be in the log twice, the
+/// second time after later entries of the same writer. A writer has one append in progress at a
+/// time, so every number up to the last one applied is old.
 fn is_new(state: &mut ReplicatedState, entry: &Entry) -> bool {
-    let this =
+    let current =
         WriterState { incarnation: entry.incarnation, sequence: entry.sequence, tick: state.tick };
     let last = state.writers.get(&entry.writer);
     let is_new =
-        last.is_none_or(|w| (w.incarnation, w.sequence) < (this.incarnation, this.sequence));
+        last.is_none_or(|w| (w.incarnation, w.sequence) < (current.incarnation, current.sequence));
     if is_new {
-        state.writers.insert(entry.writer.clone(), this);
+        state.writers.insert(entry.writer.clone(), current);
     }
     is_new
 }
@@ -145,7 +146,7 @@
         Record::Claim(key) => apply_claim(state, entry, *key),
         Record::Settle(settlement) => apply_settle(state, entry, settlement),
         Record::Tick(tick) => apply_tick(state, *tick),
-        // Snapshots are collected by the reader; they change nothing.
+        // The log reader assembles snapshots; they do not change the state.
         Record::Snapshot(_) => Ok(()),
     }
 }
@@ -178,7 +179,7 @@
             return Err(Rejection::Stale);
         }
         let fencing = old.fencing;
-        drop_slots(state, &facts.id, fencing);
+        remove_slots(state, &facts.id, fencing);
     }
     state.servers.insert(facts.id.clone(), facts.clone());
     Ok(())
@@ -193,20 +194,21 @@
     if known.incarnation > incarnation {
         return Err(Rejection::Stale);
     }
-    // The host list's word that a host is gone means that nothing reaches it any more.
-    drop_slots(state, server, true);
+    // A host that the host list no longer contains cannot be reached by any order.
+    remove_slots(state, server, true);
     state.servers.remove(server);
     Ok(())
 }
 
-/// Frees the slots of a backend server that starts anew.
+/// Removes the slots of a backend server that was restarted or removed.
 ///
-/// An order to load that its sender still holds reaches the new start as well. An engine that
-/// ignores fencing numbers would carry it out, so there the slot stays until the order is resolved.
-fn drop_slots(state: &mut ReplicatedState, server: &ServerId, fencing: bool) {
-    let stays = |slot: &Slot| !fencing && slot.phase.is_loading();
+/// An order to load that has not been sent yet may still reach the new incarnation. An engine that
+/// ignores fencing numbers would carry it out, so its loading slots are kept until the order is
+/// resolved.
+fn remove_slots(state: &mut ReplicatedState, server: &ServerId, fencing: bool) {
+    let must_keep = |slot: &Slot| !fencing && slot.phase.is_loading();
     let gone: Vec<SlotId> =
-        state.slots.on_server(server).filter(|(_, s)| !stays(s)).map(|(id, _)| id).collect();
+        state.slots.on_server(server).filter(|(_, s)| !must_keep(s)).map(|(id, _)| id).collect();
     for id in gone {
         state.slots.remove(id);
     }
@@ -218,8 +220,8 @@
     at: Position,
     bid: &Bid,
 ) -> Result<(), Rejection> {
-    // A holder that renewed after the bidder's last look keeps the lease: the bidder's clock may
-    // have run while it read nothing.
+    // A holder that renewed after the renewal named in the bid keeps the lease: the bidder's timer
+    // may have expired while it could not read the log.
     let renewed = state.leases.get(&bid.centre).map_or(0, |l| l.renewed);
     if renewed != bid.seen {
         return Err(Rejection::LeaseRenewed);
@@ -367,7 +369,7 @@
     Ok(())
 }
 
-/// Advances the log's clock and forgets what is older than it keeps.
+/// Advances the log's tick count and removes expired claims and writers.
 fn apply_tick(state: &mut ReplicatedState, tick: u64) -> Result<(), Rejection> {
     if tick != state.tick + 1 {
         return Err(Rejection::Stale);
@@ -378,7 +380,7 @@
             break;
         }
         state.expiry.pop_front();
-        // A released and newly claimed key has a younger entry of its own.
+        // A key that was released and claimed again has a later expiry entry of its own.
         if state.claims.get(&key).is_some_and(|c| c.tick == claimed) {
             state.claims.remove(&key);
         }
--- a/lib/src/hints.rs
+++ b/lib/src/hints.rs
@@ -1,4 +1,4 @@
-//! Replicas that lease holders know to serve though the log does not show it yet.
+//! Replicas that lease holders report as ready before the log shows it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,26 +6,26 @@
 use crate::event::Hint;
 use crate::ids::DaemonId;
 
-/// Hints of a lease holder count for this long; it repeats them several times meanwhile.
-const FRESH: Duration = Duration::from_secs(4);
+/// Time after which hints expire; a lease holder repeats them several times within it.
+const HINT_TTL: Duration = Duration::from_secs(4);
 
-/// The last hints of each daemon.
+/// The latest hints of each daemon and when they arrived.
 #[derive(Debug, Default)]
 pub struct HintTable {
     daemons: BTreeMap<DaemonId, (Duration, Vec<Hint>)>,
 }
 
 impl HintTable {
-    /// Replaces a daemon's hints; returns whether they differ from before.
+    /// Replaces a daemon's hints. Returns whether they differ from its previous ones.
     pub fn update(&mut self, now: Duration, daemon: DaemonId, hints: Vec<Hint>) -> bool {
         let changed = self.daemons.get(&daemon).is_none_or(|(_, old)| *old != hints);
         self.daemons.insert(daemon, (now, hints));
         changed
     }
 
-    /// Returns all hints that still count.
+    /// Returns all hints that have not expired at `now`.
     pub fn fresh(&self, now: Duration) -> Vec<Hint> {
-        let fresh = self.daemons.values().filter(|(at, _)| now < *at + FRESH);
+        let fresh = self.daemons.values().filter(|(at, _)| now < *at + HINT_TTL);
         fresh.flat_map(|(_, hints)| hints.iter().cloned()).collect()
     }
 }
--- a/lib/src/host.rs
+++ b/lib/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts as the platform's host list and the engines' reports describe them.
+//! Data types for hosts: entries of the host list, engines' reports, and orders to engines.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
 use crate::ids::SlotId;
 use crate::record::Source;
 
-/// What runs on a host.
+/// The kind of process that runs on a host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostRole {
@@ -33,70 +33,70 @@
 pub struct Host {
     /// Its name.
     pub id: SmolStr,
-    /// What runs on it.
+    /// The kind of process that runs on it.
     pub role: HostRole,
-    /// Where it answers: HTTP for back ends, the peer exchange for daemons.
+    /// Address for HTTP requests (backend servers) or for the peer protocol (daemons).
     pub addr: SocketAddr,
     /// Its data centre.
     pub centre: CentreId,
-    /// Start count; grows when the host is replaced.
+    /// Start count; increases when the host is replaced.
     pub incarnation: Incarnation,
-    /// Whether the platform will take it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
-    /// Accelerator memory; 0 where there is none.
+    /// Accelerator memory; 0 if the host has no accelerator.
     pub memory_mib: Mebibytes,
-    /// Whether an engine refuses orders with an old fencing number.
+    /// Whether the engine refuses orders with an old fencing number.
     pub fencing: bool,
-    /// Table rows that a plain service answers for.
+    /// Names of the table rows that a plain service serves.
     pub services: Vec<ModelName>,
 }
 
-/// What an engine says of one model.
+/// An engine's report of one model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ModelReport {
     /// The model.
     pub model: ModelName,
-    /// Whether it can serve; otherwise it is loading.
+    /// Whether it is loaded; otherwise it is loading.
     pub loaded: bool,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub active: u32,
-    /// Requests begun since the engine's start.
+    /// Number of requests that began since the engine started.
     pub served: u64,
     /// Ticket of the order that loaded it; see [`crate::slots::Slot::ticket`].
     pub ticket: Position,
 }
 
-/// A checkpoint that an engine need not fetch from the weight store.
+/// A checkpoint of which the engine's host has a local copy.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CachedCheckpoint {
     /// The model.
     pub model: ModelName,
-    /// Where its checkpoint is.
+    /// Where the copy is.
     pub source: Source,
 }
 
-/// An engine's load report. It lags behind what the engine does.
+/// An engine's report. It lags behind the engine's actual state.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServerReport {
     /// The engine's start count.
     pub incarnation: Incarnation,
-    /// Largest fencing number seen.
+    /// Largest fencing number that the engine has received.
     pub fence: Fence,
-    /// Whether the host is being taken away.
+    /// Whether the platform is about to remove the host.
     pub leaving: bool,
     /// Models that are loaded or loading.
     pub models: Vec<ModelReport>,
-    /// Checkpoints in memory or on disk.
+    /// Checkpoints in the host's memory or on its disk.
     pub cached: Vec<CachedCheckpoint>,
 }
 
 impl ServerReport {
-    /// Returns what it says of `model`.
+    /// Returns the report of `model`; `None` if it is neither loaded nor loading.
     pub fn model(&self, model: &str) -> Option<&ModelReport> {
         self.models.iter().find(|m| m.model == model)
     }
 
-    /// Returns where a load of `model` would read its checkpoint.
+    /// Returns the source from which a load of `model` would read its checkpoint.
     pub fn source(&self, model: &str) -> Source {
         self.cached
             .iter()
@@ -110,31 +110,31 @@
 /// An order to an engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Order {
-    /// What to do.
+    /// The action to carry out.
     pub action: OrderAction,
     /// The backend server.
     pub server: ServerId,
-    /// Incarnation that it is meant for.
+    /// Incarnation of the backend server that the order is for.
     pub incarnation: Incarnation,
     /// The model.
     pub model: ModelName,
-    /// The slot that it is about.
+    /// The slot that the order concerns.
     pub slot: SlotId,
     /// Ticket of the slot; see [`crate::slots::Slot::ticket`].
     pub ticket: Position,
     /// Fencing number; see [`crate::ids::order_fence`].
     pub fence: Fence,
-    /// Memory that the model will take.
+    /// Accelerator memory that the model occupies once loaded.
     pub memory_mib: Mebibytes,
     /// Size of the checkpoint.
     pub load_mib: Mebibytes,
 }
 
-/// What an order asks for.
+/// The action of an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderAction {
-    /// Start to load a model.
+    /// Start loading a model.
     Load,
     /// Unload a model, unless requests are in progress.
     Unload,
@@ -144,16 +144,16 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderAnswer {
-    /// A load began or was done before; an unload is complete.
+    /// The load has begun or had been done before, or the unload is complete.
     Done,
     /// Requests are in progress; nothing was unloaded.
     Busy,
     /// The fencing number or incarnation is old; nothing was done.
     Stale,
-    /// The engine cannot do it.
+    /// The engine cannot carry it out.
     Refused,
-    /// It was not sent.
+    /// The order was not sent.
     Unsent,
-    /// No answer came: the order may or may not take effect, now or later.
+    /// No valid answer arrived: the order may or may not take effect, now or later.
     Unknown,
 }
--- a/lib/src/host_clock.rs
+++ b/lib/src/host_clock.rs
@@ -1,11 +1,11 @@
-//! The border to a host's clock.
+//! The interface to a host's clock, which tests replace.
 
 use std::fmt;
 
 use crate::boot_clock::Moment;
 
-/// Tells the time since a host's start.
+/// A monotonic clock that counts from a host's start.
 pub trait HostClock: fmt::Debug {
-    /// Returns the time since the host's start; it never goes back.
+    /// Returns the time since the host's start; it never decreases.
     fn now(&self) -> Moment;
 }
--- a/lib/src/host_list.rs
+++ b/lib/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's host list.
+//! Client for the platform's host list, and a cache that applies its changes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,34 +10,34 @@
 
 use crate::host::Host;
 
-/// Longest wait for an answer, in whole seconds.
+/// Timeout for a request, in whole seconds.
 const TIMEOUT_S: u64 = 2;
 
-/// The host list did not answer.
+/// The host list did not answer, or its answer cannot be decoded.
 #[derive(Debug, Error)]
 #[error("host list unavailable: {0}")]
 pub struct HostListError(pub String);
 
-/// What changed since a version of the list.
+/// Changes since a version of the host list.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct HostChange {
     /// Version of the list after the change.
     pub version: u64,
-    /// Whether `hosts` is the whole list.
+    /// Whether `hosts` is the whole list, which replaces the previous one.
     pub whole: bool,
     /// Hosts that are new or changed.
     pub hosts: Vec<Host>,
-    /// Hosts that are no longer in it.
+    /// Names of hosts that are no longer in the list.
     pub removed: Vec<SmolStr>,
 }
 
-/// The list of live and leaving hosts. It lags.
+/// The list of running and leaving hosts. It lags behind the actual state.
 pub trait HostList: fmt::Debug + Send + Sync {
-    /// Returns what changed since `version`; 0 asks for the whole list.
+    /// Returns the changes since `version`; version 0 requests the whole list.
     ///
     /// # Errors
     ///
-    /// The list did not answer.
+    /// Returns an error if the list does not answer or its answer cannot be decoded.
     fn changes(&self, version: u64) -> Result<HostChange, HostListError>;
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl HttpHostList {
-    /// Creates a client of the list at `base`.
+    /// Creates a client for the host list at URL `base`.
     pub fn new(base: impl Into<String>) -> Self {
         Self { base: base.into() }
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// The whole list, put together from its changes.
+/// The whole host list, assembled from its changes.
 #[derive(Debug, Default)]
 pub struct HostListCache {
     version: u64,
@@ -76,12 +76,12 @@
 }
 
 impl HostListCache {
-    /// Returns the version to ask changes of.
+    /// Returns the current version, from which the next changes must be requested.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes a change; returns the whole list if it differs from before.
+    /// Applies a change. Returns the whole list, or `None` if the version is unchanged.
     pub fn apply(&mut self, change: HostChange) -> Option<Vec<Host>> {
         if change.version == self.version && !change.whole {
             return None;
