--- a/lib/src/ids.rs
+++ b/lib/src/ids.rs
@@ -11,47 +11,50 @@
 pub type ServerId = SmolStr;
 /// Name of a daemon, unique among the entry hosts.
 pub type DaemonId = SmolStr;
-/// Name of a data centre. It is also the unit of leases: one holder orders its backend servers.
+/// Name of a data centre. Each has one lease, whose holder gives orders to its backend servers.
 pub type CentreId = SmolStr;
-/// Name under which a caller's limits and idempotency keys are kept.
+/// Name of a caller; request limits and idempotency keys are kept per caller.
 pub type CallerId = SmolStr;
 /// Offset of an entry in the platform's log.
 pub type Offset = u64;
-/// Place of a record in the log: the entry's offset and the record's index inside the entry.
+/// Position of a record in the log: the entry's offset combined with the record's index in it.
 pub type Position = u64;
 /// Fencing number of a lease: the position of the record that granted it.
 pub type Fence = Position;
-/// Start count of a process or host; a later start has a larger number.
+/// Start count of a process or host; each later start has a larger number.
 pub type Incarnation = u64;
-/// Unix millisecond of a backend server's start, by its own clock; a later start has a larger one.
+/// Start time of a backend server in Unix milliseconds, by its own clock; a later start has a
+/// larger value.
 pub type StartTime = u64;
 /// Identity of a slot: the position of the record that reserved it.
 pub type SlotId = Position;
-/// Identity of a request, unique for one daemon's start.
+/// Identity of a request, unique within one incarnation of a daemon.
 pub type RequestId = u64;
 /// Accelerator memory or checkpoint size, in mebibytes.
 pub type Mebibytes = u64;
 
-/// Bits of a [`Position`] that number the records of one entry.
+/// Number of low bits of a [`Position`] that hold the record's index in its entry.
 pub const INDEX_BITS: u32 = 10;
-/// Most records one entry may hold.
+/// Maximum number of records in one entry.
 pub const MAX_BATCH: usize = 1 << INDEX_BITS;
 
-/// Bits of a fencing number that count the orders under one lease.
+/// Number of low bits of an order's fencing number that count the orders under one lease.
 pub const ORDER_BITS: u32 = 24;
 
-/// Returns the fencing number of an order: the lease's place in the log, then the order's count.
+/// Returns the fencing number of an order: the offset of the lease in the high bits, the order's
+/// count in the low bits.
 ///
-/// A later lease has a greater number than every order of an earlier one. Under one lease, too,
-/// each order has a greater number than those before: an order that arrives after a later one was
-/// carried out is refused. With offsets below 2^40 this lasts for 70 years of 500 appends a second.
+/// Every order under a later lease has a greater number than all orders under earlier ones. Under
+/// one lease, each order has a greater number than those before it, so an order that arrives after
+/// a later one was carried out is refused. Offsets must stay below 2^40, which suffices for 70
+/// years at 500 appends a second.
 pub fn order_fence(lease: Fence, count: u64) -> Fence {
     (offset_of(lease) << ORDER_BITS) | (count & ((1 << ORDER_BITS) - 1))
 }
 
-/// Joins an entry's offset and a record's index to a position.
+/// Combines an entry's offset and a record's index into a position.
 ///
-/// No position is 0, which stands for "never": the log's first record must not look like none.
+/// No position is 0: the value 0 means "never", also for the log's first record.
 pub fn position(offset: Offset, index: usize) -> Position {
     ((offset + 1) << INDEX_BITS) | (index as u64 & ((1 << INDEX_BITS) - 1))
 }
@@ -61,12 +64,14 @@
     (position >> INDEX_BITS).saturating_sub(1)
 }
 
-/// Identity of a request that may not be repeated: a hash of its caller, path and key.
+/// Identity of a request that must not run twice: a hash of its caller, service and idempotency
+/// key.
 pub type ClaimKey = u128;
 
-/// Hashes a caller, a service and the caller's idempotency key to a claim key.
+/// Hashes a caller, a service and the caller's idempotency key into a claim key.
 ///
-/// The parts are separated, so that two callers cannot meet by shifting letters between them.
+/// Each part is hashed with its length, so that no other division of the same letters into parts
+/// gives the same key.
 pub fn claim_key(caller: &str, service: &str, key: &str) -> ClaimKey {
     let mut hasher = Xxh3::new();
     for part in [caller, service, key] {
--- a/lib/src/keep_warm.rs
+++ b/lib/src/keep_warm.rs
@@ -1,9 +1,9 @@
-//! How long a replica without requests stays loaded.
+//! Chooses how long a replica without requests stays loaded.
 //!
-//! For each model the times between its last request and the next one are counted. Staying loaded
-//! for a time `t` costs the idle accelerator time up to `t`, priced by the table's `idle_price`, and a
-//! cold start whenever the next request comes later than `t`. The best `t` under the counted
-//! times, mixed with a heavy-tailed prior, is taken.
+//! A histogram per model counts the gaps between one request and the next. Staying loaded for a
+//! time `t` costs the idle accelerator time up to `t`, priced by the table's `idle_price`, plus a
+//! cold start if the next request arrives later than `t`. The `t` with the lowest expected cost is
+//! chosen, under the histogram mixed with a heavy-tailed prior.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,66 +13,68 @@
 
 use crate::ids::ModelName;
 
-/// Upper edges of the buckets of return times, in seconds.
-const EDGES: [f64; 16] = [
+/// Upper edges of the histogram's buckets, in seconds.
+const BUCKET_EDGES_S: [f64; 16] = [
     5.0, 10.0, 20.0, 40.0, 60.0, 90.0, 150.0, 300.0, 600.0, 1200.0, 2400.0, 4800.0, 9600.0,
     19200.0, 38400.0, 86400.0,
 ];
-/// Weight of the prior, in observed returns.
-const PRIOR: f64 = 4.0;
-/// Factor by which older returns fade with each new one.
-const FADE: f64 = 0.97;
-/// Shape of the prior's tail: the chance of a return later than `t` falls as `t` to this power.
-const TAIL: f64 = -0.5;
+/// Weight of the prior, in observed gaps.
+const PRIOR_WEIGHT: f64 = 4.0;
+/// Factor on the weight of older gaps at each new one.
+const DECAY: f64 = 0.97;
+/// Exponent of the prior's tail: the probability of a gap longer than `t` falls as `t` to this
+/// power.
+const PRIOR_EXPONENT: f64 = -0.5;
 
-/// How the keep-warm time is chosen.
+/// Policy for the keep-warm time.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum KeepWarmPolicy {
-    /// From return times and the idle price.
+    /// Computed from each model's gaps and the idle price.
     Learned,
-    /// The same for every model; the baselines.
+    /// The same for every model; the baseline in comparisons.
     Fixed(Duration),
 }
 
 #[derive(Clone, Debug)]
-struct Returns {
-    counts: [f64; EDGES.len() + 1],
+struct GapHistogram {
+    counts: [f64; BUCKET_EDGES_S.len() + 1],
 }
 
-impl Returns {
+impl GapHistogram {
     fn new() -> Self {
-        Self { counts: [0.0; EDGES.len() + 1] }
+        Self { counts: [0.0; BUCKET_EDGES_S.len() + 1] }
     }
 
     fn add(&mut self, gap: Duration) {
         for count in &mut self.counts {
-            *count *= FADE;
+            *count *= DECAY;
         }
         let seconds = gap.as_secs_f64();
-        let bucket = EDGES.iter().position(|e| seconds <= *e).unwrap_or(EDGES.len());
+        let bucket =
+            BUCKET_EDGES_S.iter().position(|e| seconds <= *e).unwrap_or(BUCKET_EDGES_S.len());
         self.counts[bucket] += 1.0;
     }
 
-    /// Returns the probability of each bucket, the prior mixed in.
-    fn shares(&self) -> [f64; EDGES.len() + 1] {
+    /// Returns the probability of each bucket, with the prior mixed in.
+    fn shares(&self) -> [f64; BUCKET_EDGES_S.len() + 1] {
         let mut shares = self.counts;
         let mut above = 1.0;
-        for (share, edge) in shares.iter_mut().zip(EDGES) {
-            let tail = (edge / EDGES[0]).powf(TAIL);
-            *share += PRIOR * (above - tail);
+        for (share, edge) in shares.iter_mut().zip(BUCKET_EDGES_S) {
+            let tail = (edge / BUCKET_EDGES_S[0]).powf(PRIOR_EXPONENT);
+            *share += PRIOR_WEIGHT * (above - tail);
             above = tail;
         }
-        shares[EDGES.len()] += PRIOR * above;
+        shares[BUCKET_EDGES_S.len()] += PRIOR_WEIGHT * above;
         let sum = shares.iter().sum::<f64>();
         shares.map(|s| s / sum)
     }
 }
 
-/// Return times of all models.
+/// Histograms of the gaps between requests, by model.
 #[derive(Debug)]
 pub struct KeepWarm {
     policy: KeepWarmPolicy,
-    models: BTreeMap<ModelName, Returns>,
+    models: BTreeMap<ModelName, GapHistogram>,
 }
 
 impl KeepWarm {
@@ -81,42 +83,45 @@
         Self { policy, models: BTreeMap::new() }
     }
 
-    /// Notes that `model` was used again after `gap` without a request.
+    /// Records that a request for `model` arrived after `gap` without one.
     ///
-    /// Gaps inside a burst are left out: every keep-warm time covers them, and they would crowd
-    /// out the rare long ones.
+    /// Gaps within a burst are ignored: every keep-warm time covers them, and they would outweigh
+    /// the rare long ones.
     pub fn record_gap(&mut self, model: &ModelName, gap: Duration) {
-        if gap.as_secs_f64() < EDGES[0] {
+        if gap.as_secs_f64() < BUCKET_EDGES_S[0] {
             return;
         }
-        self.models.entry(model.clone()).or_insert_with(Returns::new).add(gap);
+        self.models.entry(model.clone()).or_insert_with(GapHistogram::new).add(gap);
     }
 
     /// Returns how long `model` may stay loaded without a request.
     ///
-    /// `cold` is the expected cold start and `idle_price` the cold-start seconds that one idle
-    /// accelerator hour is worth.
-    pub fn keep_time(&self, model: &str, cold: Duration, idle_price: f64) -> Duration {
+    /// `cold_start` is the expected time of a cold start, and `idle_price` is the cost of one idle
+    /// accelerator hour in seconds of cold start.
+    pub fn keep_time(&self, model: &str, cold_start: Duration, idle_price: f64) -> Duration {
         if let KeepWarmPolicy::Fixed(time) = self.policy {
             return time;
         }
-        let shares =
-            self.models.get(model).map_or_else(|| Returns::new().shares(), Returns::shares);
-        let cold = cold.as_secs_f64();
-        let per_second = idle_price / 3600.0;
-        let mut best = (f64::INFINITY, EDGES[0]);
+        let shares = self
+            .models
+            .get(model)
+            .map_or_else(|| GapHistogram::new().shares(), GapHistogram::shares);
+        let cold_start = cold_start.as_secs_f64();
+        let idle_cost_per_s = idle_price / 3600.0;
+        let mut best = (f64::INFINITY, BUCKET_EDGES_S[0]);
         let mut idle = 0.0;
-        let mut later = 1.0;
-        let mut last = 0.0;
-        for (share, edge) in shares.iter().zip(EDGES) {
-            // Returns inside the bucket idle for its middle, the others for its whole width.
-            idle += share * (edge - last) / 2.0 + (later - share) * (edge - last);
-            later -= share;
-            let cost = per_second * idle + later * cold;
+        let mut longer_share = 1.0;
+        let mut lower_edge = 0.0;
+        for (share, edge) in shares.iter().zip(BUCKET_EDGES_S) {
+            // Gaps that end in this bucket add half its width on average, longer ones all of it.
+            idle +=
+                share * (edge - lower_edge) / 2.0 + (longer_share - share) * (edge - lower_edge);
+            longer_share -= share;
+            let cost = idle_cost_per_s * idle + longer_share * cold_start;
             if cost < best.0 {
                 best = (cost, edge);
             }
-            last = edge;
+            lower_edge = edge;
         }
         Duration::from_secs_f64(best.1)
     }
