--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -101,8 +101,8 @@
     Append(Entry),
     /// Fetch the report of a backend server.
     Poll(ServerId),
-    /// Send an order to an engine unless this time has passed. The time is checked again just before
-    /// the write.
+    /// Send an order to an engine unless this time has passed. The time is checked again just
+    /// before the write.
     Order(Order, Option<Duration>),
     /// Send the result to the request that waits for the claim.
     Claimed(ClaimKey, ClaimAnswer),
@@ -149,7 +149,7 @@
     Bid,
     /// A lease was acquired.
     Lead,
-    /// A lease was lost.
+    /// This daemon no longer holds a lease.
     Yield,
     /// An edit was accepted.
     Accept,
--- a/lib/src/host.rs
+++ b/lib/src/host.rs
@@ -71,7 +71,7 @@
 pub struct CachedCheckpoint {
     /// The model.
     pub model: ModelName,
-    /// Where the copy is.
+    /// Whether the copy is in memory or on disk.
     pub source: Source,
 }
 
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -66,8 +66,8 @@
 
     /// Returns the renewal to name in a bid for `centre`; `None` if no bid is due yet.
     ///
-    /// A lease without a holder may be bid for after `bid_delay` alone. The delay spreads the bids of
-    /// the daemons of one data centre.
+    /// A lease without a holder may be bid for after `bid_delay` alone. The delay spreads the bids
+    /// of the daemons of one data centre.
     pub fn due_bid(&self, now: Duration, centre: &str, bid_delay: Duration) -> Option<Position> {
         let (position, since) = *self.last_renewals.get(centre)?;
         let wait = if position == 0 { bid_delay } else { BID_AFTER + bid_delay };
--- a/lib/src/load_planner.rs
+++ b/lib/src/load_planner.rs
@@ -1,8 +1,8 @@
-//! Which model to load next, and where.
+//! Plans which models to load next, and on which backend servers.
 //!
-//! Demand for a cold model reaches the lease holders of all data centres. Each waits a small share of
-//! its own expected load time before it writes an intent, so that the one with the nearest
-//! checkpoint is first in the log; the fold rejects the others.
+//! Demand for a cold model reaches the lease holders of all data centres. Each waits for a small
+//! fraction of its own expected load time before it appends an intent, so that the intent of the
+//! holder with the shortest load time is first in the log; the fold rejects the others.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -27,138 +27,143 @@
 use crate::table::Row;
 use crate::table::RowKind;
 
-/// Reason of a load without callers.
-const FETCH: &str = "nothing else to do, checkpoint only in the weight store";
-/// Share of the expected load time that a holder waits before its intent.
-const BID_SHARE: f64 = 0.05;
-/// Longest such wait.
-const MAX_WAIT: Duration = Duration::from_secs(1);
-/// Weight-store loads that run at full speed at once.
+/// Reason given for a load of a model that no request waits for.
+const PREFETCH_REASON: &str = "nothing else to do, checkpoint only in the weight store";
+/// Fraction of the expected load time that a lease holder waits before it appends an intent.
+const INTENT_DELAY_RATIO: f64 = 0.05;
+/// Maximum time that a lease holder waits before it appends an intent.
+const MAX_INTENT_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of concurrent loads from the weight store; up to this many run at full speed.
 pub const MAX_STORE_LOADS: usize = 4;
-/// Factor on the load time of an engine that ignores fencing numbers: fencing ones are preferred.
-const UNFENCED: f64 = 1.25;
+/// Factor on the expected load time of engines that ignore fencing numbers, so that engines that
+/// check them are preferred.
+const UNFENCED_TIME_FACTOR: f64 = 1.25;
 
-/// What placement looks at.
+/// Plans the loads of one data centre from the state that it borrows.
 #[derive(Debug)]
 pub struct LoadPlanner<'a> {
-    /// Now.
+    /// Current time on the daemon's monotonic clock.
     pub now: Duration,
     /// The data centre whose backend servers may be chosen.
     pub centre: &'a str,
-    /// The log's state.
+    /// The replicated state.
     pub state: &'a ReplicatedState,
-    /// The hosts.
+    /// State of all hosts.
     pub fleet: &'a Fleet,
-    /// Waiting requests.
+    /// Waiting requests by model.
     pub demand: &'a Demand,
-    /// Loading speeds.
+    /// Loading speeds by source.
     pub rates: &'a LoadRates,
     /// Slots of this data centre.
     pub slot_tracker: &'a SlotTracker,
 }
 
-/// A planned step towards a loaded replica.
+/// A planned step in loading a model.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanStep {
-    /// Reserve a slot and load.
+    /// Reserve a slot and load the model into it.
     Place {
         /// The model.
         model: ModelName,
         /// The backend server.
         server: ServerId,
-        /// Where its checkpoint is.
+        /// Source that the checkpoint is read from.
         source: Source,
-        /// Why there.
+        /// Why this server was chosen.
         reason: String,
     },
-    /// Load into a reserved slot.
+    /// Load the model into its reserved slot.
     Wake {
         /// The slot.
         slot: SlotId,
-        /// Where its checkpoint is.
+        /// Source that the checkpoint is read from.
         source: Source,
-        /// Why now.
+        /// Why the model is loaded.
         reason: String,
     },
-    /// Give an idle slot's memory back to make room.
+    /// Free an idle slot's memory for another model.
     Evict {
         /// The slot.
         slot: SlotId,
-        /// For which model.
+        /// Why the slot is evicted; names the model that needs the memory.
         reason: String,
     },
-    /// Nothing can be done yet.
+    /// Postpone the load.
     Hold {
         /// The model.
         model: ModelName,
-        /// What it waits for.
+        /// What the load waits for.
         reason: &'static str,
     },
 }
 
 struct Candidate<'a> {
-    member: &'a HostState,
+    host_state: &'a HostState,
     source: Source,
     time: Duration,
 }
 
 impl LoadPlanner<'_> {
-    /// Plans loads for the models that requests wait for, the most urgent first.
+    /// Plans loads for the models that requests wait for, most urgent first; if there is nothing to
+    /// do for them, plans to prefetch one checkpoint.
     pub fn plan_loads(&self) -> Vec<PlanStep> {
-        let mut wanted = self.wanted();
-        wanted.sort_by(|a, b| b.2.total_cmp(&a.2).then_with(|| a.0.name.cmp(&b.0.name)));
+        let mut demanded = self.demanded_rows();
+        demanded.sort_by(|a, b| b.2.total_cmp(&a.2).then_with(|| a.0.name.cmp(&b.0.name)));
         let mut remote = self.remote_loads();
-        let mut plans = Vec::new();
-        for (row, total, _) in wanted {
+        let mut steps = Vec::new();
+        for (row, total, _) in demanded {
             let Some(plan) = self.plan_model(row, total, remote) else {
                 continue;
             };
             if let PlanStep::Place { source, .. } | PlanStep::Wake { source, .. } = &plan {
                 remote += usize::from(*source == Source::Remote);
             }
-            plans.push(plan);
+            steps.push(plan);
         }
-        if plans.is_empty() && remote == 0 {
-            plans.extend(self.plan_prime());
+        if steps.is_empty() && remote == 0 {
+            steps.extend(self.plan_prefetch());
         }
-        plans
+        steps
     }
 
-    /// Plans to fetch a checkpoint that only the weight store has, while nothing else is to do.
+    /// Plans to prefetch a checkpoint that can only be read from the weight store.
     ///
-    /// The load is unloaded again soon; what it leaves on the server's disk is there for the
-    /// model's first callers, who would wait for the weight store otherwise.
-    fn plan_prime(&self) -> Option<PlanStep> {
+    /// Called while no other load is planned and no load from the weight store is in progress.
+    ///
+    /// The model is unloaded again soon, but the copy on the server's disk remains, so the model's
+    /// first callers need not wait for a load from the weight store.
+    fn plan_prefetch(&self) -> Option<PlanStep> {
         let rows = self.state.table.iter().map(|v| &v.row);
         let models = rows.filter(|r| matches!(r.kind, RowKind::Model | RowKind::Version));
-        models.filter(|r| r.replicas > 0 && self.primes(r)).find_map(|row| {
+        models.filter(|r| r.replicas > 0 && self.is_prefetch_centre(r)).find_map(|row| {
             match self.state.slots_of(&row.name).next() {
-                Some((slot, place)) => self.prime_slot(row, slot, place),
-                None => self.prime_anew(row),
+                Some((slot, reserved)) => self.prefetch_into_slot(row, slot, reserved),
+                None => self.prefetch_into_new_slot(row),
             }
         })
     }
 
-    /// Returns whether this data centre is the one that fetches `row`: each model has one.
-    fn primes(&self, row: &Row) -> bool {
+    /// Returns whether this data centre prefetches `row`; for each model exactly one does.
+    fn is_prefetch_centre(&self, row: &Row) -> bool {
         let score =
             |centre: &str| xxh3_64_with_seed(centre.as_bytes(), xxh3_64(row.name.as_bytes()));
         self.state.leases.keys().max_by_key(|c| score(c)).is_some_and(|c| *c == self.centre)
     }
 
-    fn prime_slot(&self, row: &Row, slot: SlotId, place: &Slot) -> Option<PlanStep> {
-        if place.phase != Phase::Reserved || place.memory_mib != row.memory_mib {
+    fn prefetch_into_slot(&self, row: &Row, slot: SlotId, reserved: &Slot) -> Option<PlanStep> {
+        if reserved.phase != Phase::Reserved || reserved.memory_mib != row.memory_mib {
             return None;
         }
-        let member = self.fleet.get(&place.server)?;
-        let local = member.host.centre == self.centre && member.is_usable(self.now);
-        let far = member.last_report.is_some() && source_on(member, row) == Source::Remote;
-        let (source, reason) = (Source::Remote, FETCH.into());
+        let host_state = self.fleet.get(&reserved.server)?;
+        let local = host_state.host.centre == self.centre && host_state.is_usable(self.now);
+        let is_remote =
+            host_state.last_report.is_some() && source_on(host_state, row) == Source::Remote;
+        let (source, reason) = (Source::Remote, PREFETCH_REASON.into());
         let wake = PlanStep::Wake { slot, source, reason };
-        (local && far && !self.is_giving(slot)).then_some(wake)
+        (local && is_remote && !self.is_evicting(slot)).then_some(wake)
     }
 
-    fn prime_anew(&self, row: &Row) -> Option<PlanStep> {
+    fn prefetch_into_new_slot(&self, row: &Row) -> Option<PlanStep> {
         let reported = self.local().all(|m| m.last_report.is_some());
         if !reported || self.best_source(row) != Source::Remote {
             return None;
@@ -166,32 +171,32 @@
         let fits = |m: &&HostState| {
             self.state.servers.contains_key(&m.host.id) && self.free_mib(m) >= row.memory_mib
         };
-        let member = self.local().filter(fits).max_by_key(|m| self.free_mib(m))?;
+        let host_state = self.local().filter(fits).max_by_key(|m| self.free_mib(m))?;
         Some(PlanStep::Place {
             model: row.name.clone(),
-            server: member.host.id.clone(),
+            server: host_state.host.id.clone(),
             source: Source::Remote,
-            reason: FETCH.into(),
+            reason: PREFETCH_REASON.into(),
         })
     }
 
-    /// Returns the rows to load, with demand and urgency: waiting weight over load time.
-    fn wanted(&self) -> Vec<(&Row, DemandTotal, f64)> {
+    /// Returns the rows with demand and their urgency: the weight of the demand over the load time.
+    fn demanded_rows(&self) -> Vec<(&Row, DemandTotal, f64)> {
         let mut seen = BTreeSet::new();
-        let mut wanted = Vec::new();
+        let mut demanded = Vec::new();
         for (model, total) in self.demand.iter() {
             let Some(row) = self.state.table.row(model).filter(|r| r.is_loadable()) else {
                 continue;
             };
-            // An adapter runs on its base, so its requests wait for the base as well.
+            // An adapter runs on its base model, so its requests wait for the base as well.
             let base = self.state.table.row(&row.base).filter(|_| row.kind == RowKind::Adapter);
             for row in base.into_iter().chain([row]) {
                 if seen.insert(row.name.clone()) {
-                    wanted.push((row, total, self.urgency(row, total)));
+                    demanded.push((row, total, self.urgency(row, total)));
                 }
             }
         }
-        wanted
+        demanded
     }
 
     fn urgency(&self, row: &Row, total: DemandTotal) -> f64 {
@@ -233,34 +238,35 @@
         Some(plan)
     }
 
-    /// Returns whether a slot serves or will soon do so.
+    /// Returns whether a slot's model is loaded, loading or ordered to load, on a host that is not
+    /// leaving.
     fn is_warm(&self, id: SlotId, slot: &Slot) -> bool {
         let phase = matches!(slot.phase, Phase::Loading(_) | Phase::Loaded);
-        let woken = self.slot_tracker.get(id).and_then(|w| w.order).is_some_and(|o| {
+        let load_ordered = self.slot_tracker.get(id).and_then(|w| w.order).is_some_and(|o| {
             o.action == crate::host::OrderAction::Load && slot.phase == Phase::Reserved
         });
         let leaving = self.fleet.get(&slot.server).is_some_and(|m| m.leaving);
-        (phase || woken) && !leaving
+        (phase || load_ordered) && !leaving
     }
 
     fn plan_wake(&self, row: &Row, slots: &[(SlotId, &Slot)]) -> Option<PlanStep> {
         slots
             .iter()
-            .filter(|(id, s)| s.phase == Phase::Reserved && !self.is_giving(*id))
+            .filter(|(id, s)| s.phase == Phase::Reserved && !self.is_evicting(*id))
             .filter(|(_, s)| s.memory_mib == row.memory_mib)
             .filter_map(|(id, s)| {
-                let member = self.fleet.get(&s.server)?;
-                let local = member.host.centre == self.centre && member.is_usable(self.now);
-                (local && self.has_base(row, &s.server)).then(|| (source_on(member, row), *id))
+                let host_state = self.fleet.get(&s.server)?;
+                let local = host_state.host.centre == self.centre && host_state.is_usable(self.now);
+                (local && self.has_base(row, &s.server)).then(|| (source_on(host_state, row), *id))
             })
             .min()
             .map(|(source, slot)| {
-                let reason = format!("reserved here, checkpoint in {}", name_of(source));
+                let reason = format!("reserved here, checkpoint in {}", source_name(source));
                 PlanStep::Wake { slot, source, reason }
             })
     }
 
-    fn is_giving(&self, slot: SlotId) -> bool {
+    fn is_evicting(&self, slot: SlotId) -> bool {
         self.slot_tracker.get(slot).is_some_and(|w| w.evicting)
     }
 
@@ -278,55 +284,55 @@
             .local()
             .filter(|m| self.state.servers.contains_key(&m.host.id) && !taken(&m.host.id))
             .filter(|m| m.host.memory_mib >= row.memory_mib && self.has_base(row, &m.host.id))
-            .map(|member| self.candidate(member, row))
+            .map(|host_state| self.candidate(host_state, row))
             .collect();
-        candidates.sort_by(|a, b| a.time.cmp(&b.time).then_with(|| self.order_free(a, b)));
+        candidates.sort_by(|a, b| a.time.cmp(&b.time).then_with(|| self.cmp_free_memory(a, b)));
         let best = candidates.first()?;
-        if self.now < total.since + self.patience(best.time) {
+        if self.now < total.since + self.intent_delay(best.time) {
             let model = row.name.clone();
             return Some(PlanStep::Hold { model, reason: "a nearer checkpoint may bid first" });
         }
-        let fits = candidates.iter().find(|c| self.free_mib(c.member) >= row.memory_mib);
-        let Some(found) = fits else {
+        let fits = candidates.iter().find(|c| self.free_mib(c.host_state) >= row.memory_mib);
+        let Some(chosen) = fits else {
             return self.plan_evict(row, &candidates);
         };
         Some(PlanStep::Place {
             model: row.name.clone(),
-            server: found.member.host.id.clone(),
-            source: found.source,
+            server: chosen.host_state.host.id.clone(),
+            source: chosen.source,
             reason: format!(
                 "{} wait, checkpoint in {}, expected {:.1}s",
                 total.count,
-                name_of(found.source),
-                found.time.as_secs_f64()
+                source_name(chosen.source),
+                chosen.time.as_secs_f64()
             ),
         })
     }
 
-    fn candidate<'b>(&self, member: &'b HostState, row: &Row) -> Candidate<'b> {
-        let source = source_on(member, row);
+    fn candidate<'b>(&self, host_state: &'b HostState, row: &Row) -> Candidate<'b> {
+        let source = source_on(host_state, row);
         let time = self.rates.expected_time(row.load_mib, source);
-        let factor = if member.host.fencing { 1.0 } else { UNFENCED };
-        Candidate { member, source, time: time.mul_f64(factor) }
+        let factor = if host_state.host.fencing { 1.0 } else { UNFENCED_TIME_FACTOR };
+        Candidate { host_state, source, time: time.mul_f64(factor) }
     }
 
-    /// Of equally near servers the one with the most free memory comes first.
-    fn order_free(&self, a: &Candidate<'_>, b: &Candidate<'_>) -> std::cmp::Ordering {
-        self.free_mib(b.member).cmp(&self.free_mib(a.member))
+    /// Orders candidates with equal load times by free memory, largest first.
+    fn cmp_free_memory(&self, a: &Candidate<'_>, b: &Candidate<'_>) -> std::cmp::Ordering {
+        self.free_mib(b.host_state).cmp(&self.free_mib(a.host_state))
     }
 
-    fn free_mib(&self, member: &HostState) -> u64 {
-        member.host.memory_mib.saturating_sub(self.state.memory_used(&member.host.id))
+    fn free_mib(&self, host_state: &HostState) -> u64 {
+        host_state.host.memory_mib.saturating_sub(self.state.memory_used(&host_state.host.id))
     }
 
-    fn patience(&self, time: Duration) -> Duration {
+    fn intent_delay(&self, time: Duration) -> Duration {
         if self.state.leases.len() <= 1 {
             return Duration::ZERO;
         }
-        time.mul_f64(BID_SHARE).min(MAX_WAIT)
+        time.mul_f64(INTENT_DELAY_RATIO).min(MAX_INTENT_DELAY)
     }
 
-    /// Returns whether an adapter's base is loaded on `server`; true for others.
+    /// Returns whether the base model of adapter `row` is loaded on `server`; true for other rows.
     fn has_base(&self, row: &Row, server: &str) -> bool {
         row.kind != RowKind::Adapter
             || self
@@ -335,15 +341,17 @@
                 .any(|(_, s)| s.server == server && s.phase == Phase::Loaded)
     }
 
-    /// Chooses an idle slot whose memory makes room for `row`, the longest unused first.
+    /// Chooses an idle slot to evict for `row`: reserved slots first, then the least recently used.
     fn plan_evict(&self, row: &Row, candidates: &[Candidate<'_>]) -> Option<PlanStep> {
         let hold = |reason| Some(PlanStep::Hold { model: row.name.clone(), reason });
         for candidate in candidates {
-            let server = &candidate.member.host.id;
+            let server = &candidate.host_state.host.id;
             let on_server = || self.state.slots.on_server(server);
-            let freeing: u64 =
-                on_server().filter(|(id, _)| self.is_giving(*id)).map(|(_, s)| s.memory_mib).sum();
-            if freeing + self.free_mib(candidate.member) >= row.memory_mib {
+            let freeing: u64 = on_server()
+                .filter(|(id, _)| self.is_evicting(*id))
+                .map(|(_, s)| s.memory_mib)
+                .sum();
+            if freeing + self.free_mib(candidate.host_state) >= row.memory_mib {
                 return hold("memory is being freed");
             }
             let idle = on_server().filter(|(id, s)| self.is_idle(*id, s)).min_by_key(|(id, s)| {
@@ -359,7 +367,7 @@
     }
 
     fn is_idle(&self, id: SlotId, slot: &Slot) -> bool {
-        if self.is_giving(id) || self.demand.total(&slot.model).is_some() {
+        if self.is_evicting(id) || self.demand.total(&slot.model).is_some() {
             return false;
         }
         if self.is_adapter_base(slot) {
@@ -372,7 +380,7 @@
         }
     }
 
-    /// Returns whether an adapter on the same server needs `slot`'s model.
+    /// Returns whether an adapter on the same server has `slot`'s model as its base.
     pub fn is_adapter_base(&self, slot: &Slot) -> bool {
         self.state
             .slots
@@ -383,11 +391,11 @@
     }
 }
 
-fn source_on(member: &HostState, row: &Row) -> Source {
-    member.last_report.as_ref().map_or(Source::Remote, |(_, report)| report.source(&row.name))
+fn source_on(host_state: &HostState, row: &Row) -> Source {
+    host_state.last_report.as_ref().map_or(Source::Remote, |(_, report)| report.source(&row.name))
 }
 
-fn name_of(source: Source) -> &'static str {
+fn source_name(source: Source) -> &'static str {
     match source {
         Source::Memory => "memory",
         Source::Disk => "disk",
--- a/lib/src/log_reader.rs
+++ b/lib/src/log_reader.rs
@@ -1,4 +1,4 @@
-//! The thread that reads the log, or what peers have read of it.
+//! The thread that reads the log and, while the log is unavailable, entries and state from peers.
 
 use std::net::SocketAddr;
 use std::sync::PoisonError;
@@ -19,14 +19,14 @@
 use crate::snapshot::SnapshotAssembler;
 use crate::wire;
 
-/// How long a read waits for the next entry.
+/// Maximum time that a read waits for the next entry.
 const READ_WAIT: Duration = Duration::from_secs(1);
-/// Pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(300);
-/// Most entries that the control thread has still to apply before more are read.
-const MAX_BEHIND: Offset = 20_000;
+/// Pause after a failed read, or while the control thread has too many entries to apply.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Number of entries not yet applied by the control thread above which reading pauses.
+const MAX_UNAPPLIED_ENTRIES: Offset = 20_000;
 
-/// Reads the log until the daemon ends.
+/// Reads the log until the control thread ends.
 pub fn run(node: &Node, log: &dyn LogService) {
     let mut reader = Reader { node, log, next: 0 };
     while !node.control.is_disconnected() {
@@ -44,27 +44,27 @@
     fn step(&mut self) {
         let applied = self.node.applied_offset.load(Ordering::Relaxed);
         self.next = self.next.max(applied);
-        if self.next > applied + MAX_BEHIND {
-            thread::sleep(PAUSE);
+        if self.next > applied + MAX_UNAPPLIED_ENTRIES {
+            thread::sleep(RETRY_PAUSE);
             return;
         }
         match self.log.read(self.next, READ_WAIT) {
             Ok(entries) => {
                 self.node.send(ControlInput::Event(Event::LogRead));
                 for (offset, bytes) in entries {
-                    self.take(offset, &bytes);
+                    self.forward(offset, &bytes);
                 }
             }
             Err(ReadError::Expired(oldest)) => self.recover(oldest),
             Err(ReadError::Unavailable(_)) => {
                 self.node.send(ControlInput::Event(Event::LogFailed));
-                self.ask_peers();
-                thread::sleep(PAUSE);
+                self.fetch_from_peers();
+                thread::sleep(RETRY_PAUSE);
             }
         }
     }
 
-    fn take(&mut self, offset: Offset, bytes: &[u8]) {
+    fn forward(&mut self, offset: Offset, bytes: &[u8]) {
         if offset != self.next {
             return;
         }
@@ -72,9 +72,11 @@
         self.node.send(ControlInput::Event(Event::Entry(offset, decode_entry(bytes))));
     }
 
-    /// Starts from a snapshot, because what comes next in the log has expired.
+    /// Continues from the newest snapshot in the log, because the next entry has expired.
+    ///
+    /// Without a complete snapshot it fetches from peers.
     fn recover(&mut self, oldest: Offset) {
-        let mut collector = SnapshotAssembler::default();
+        let mut assembler = SnapshotAssembler::default();
         let mut at = oldest;
         let mut newest: Option<ReplicatedState> = None;
         loop {
@@ -87,7 +89,7 @@
                 for record in decode_entry(&bytes).records {
                     if let Record::Snapshot(part) = record
                         && part.at >= oldest
-                        && let Some(state) = collector.add_part(&part)
+                        && let Some(state) = assembler.add_part(&part)
                     {
                         newest = Some(state);
                     }
@@ -99,12 +101,12 @@
             self.node.send(ControlInput::InstallState(Box::new(state)));
             self.await_applied();
         } else {
-            self.ask_peers();
-            thread::sleep(PAUSE);
+            self.fetch_from_peers();
+            thread::sleep(RETRY_PAUSE);
         }
     }
 
-    /// Waits until the control thread has taken over a state, so that reading goes on from it.
+    /// Waits until the control thread has installed a state, so that reading continues from it.
     fn await_applied(&self) {
         while self.node.applied_offset.load(Ordering::Relaxed) < self.next
             && !self.node.control.is_disconnected()
@@ -113,11 +115,12 @@
         }
     }
 
-    /// Fetches from a peer that has read further, while the log does not answer.
+    /// Fetches entries, or else a state, from a peer that has applied more of the log.
     ///
-    /// A data centre that is cut off from the platform but not from a neighbour still learns of
-    /// edits, and a daemon that starts during an outage takes over a peer's state.
-    fn ask_peers(&mut self) {
+    /// Called while the log is unavailable, or if entries expired and it holds no complete snapshot.
+    /// So a data centre that can reach another one but not the platform still receives edits, and a
+    /// daemon that starts during an outage installs a peer's state.
+    fn fetch_from_peers(&mut self) {
         for addr in self.peers_ahead() {
             if let Some(entries) = peer_client::fetch_entries(self.node, addr, self.next)
                 && entries.first().is_some_and(|(offset, _)| *offset == self.next)
@@ -141,8 +144,8 @@
 
     fn peers_ahead(&self) -> Vec<SocketAddr> {
         let view = self.node.view.load();
-        let ahead = self.node.peer_offsets.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut peers: Vec<(Offset, SocketAddr)> = ahead
+        let offsets = self.node.peer_offsets.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut peers: Vec<(Offset, SocketAddr)> = offsets
             .iter()
             .filter(|(_, offset)| **offset > self.next)
             .filter_map(|(peer, offset)| Some((*offset, *view.daemons.get(peer)?)))
@@ -152,7 +155,7 @@
     }
 }
 
-/// Decodes an entry; one that nobody can read is taken as empty, the same everywhere.
+/// Decodes an entry. A malformed one becomes an empty entry, so that all daemons treat it alike.
 fn decode_entry(bytes: &[u8]) -> Entry {
     wire::decode(bytes).unwrap_or_else(|_malformed| Entry {
         writer: "".into(),
--- a/lib/src/log_service.rs
+++ b/lib/src/log_service.rs
@@ -1,4 +1,4 @@
-//! The platform's log service.
+//! Client for the platform's log service.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,47 +10,47 @@
 use crate::ids::Offset;
 use crate::wire;
 
-/// Longest wait for the answer to an append, in whole seconds.
+/// Timeout for an append, in whole seconds.
 const APPEND_TIMEOUT_S: u64 = 2;
-/// Time beyond the asked wait after which a read is given up, in whole seconds.
+/// Time added to the requested wait to give the timeout of a read, in whole seconds.
 const READ_SLACK_S: u64 = 2;
 
-/// Why a read gave nothing.
+/// Why a read failed.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The offset is older than what the log keeps; reading can begin at this one.
+    /// Entries at the offset have expired; holds the oldest offset that can be read.
     #[error("expired; the oldest offset is {0}")]
     Expired(Offset),
-    /// The log did not answer, or not in its protocol.
+    /// The log did not answer, or its answer is invalid.
     #[error("log unavailable: {0}")]
     Unavailable(String),
 }
 
-/// An append whose effect is not known.
+/// An append with unknown outcome: the entry may or may not be in the log.
 #[derive(Debug, Error)]
 #[error("append not confirmed: {0}")]
 pub struct AppendError(pub String);
 
-/// An append-only log with offsets that count up by one.
+/// An append-only log with consecutive offsets.
 ///
-/// A failed append may have taken effect. Records are kept for a limited time.
+/// A failed append may have taken effect. Entries are kept for a limited time.
 pub trait LogService: fmt::Debug + Send + Sync {
-    /// Appends an entry.
+    /// Appends an entry and returns its offset.
     ///
     /// # Errors
     ///
-    /// The entry may or may not have been appended.
+    /// Returns an error if the append is not confirmed; the entry may still have been appended.
     fn append(&self, entry: &[u8]) -> Result<Offset, AppendError>;
 
-    /// Reads entries from `from` on, waiting up to `wait` for the first.
+    /// Reads entries from offset `from` on, waiting up to `wait` for the first.
     ///
     /// # Errors
     ///
-    /// The offset expired, or the log did not answer.
+    /// Returns an error if the entry at `from` has expired or the log is unavailable.
     fn read(&self, from: Offset, wait: Duration) -> Result<Vec<(Offset, Vec<u8>)>, ReadError>;
 }
 
-/// Answer to a read, as the service sends it.
+/// Answer to a read, in the service's wire format.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct LogPage {
     /// Oldest offset that is kept.
@@ -59,10 +59,10 @@
     pub entries: Vec<(Offset, Vec<u8>)>,
 }
 
-/// Answer to an append, as the service sends it.
+/// Answer to an append, in the service's wire format.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct AppendResponse {
-    /// Where the entry stands.
+    /// Offset of the appended entry.
     pub offset: Offset,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl HttpLog {
-    /// Creates a client of the service at `base`, such as `http://127.0.0.1:7000`.
+    /// Creates a client for the service at URL `base`, such as `http://127.0.0.1:7000`.
     pub fn new(base: impl Into<String>) -> Self {
         Self { base: base.into() }
     }
@@ -106,7 +106,7 @@
         if response.status_code != 200 {
             return Err(unavailable(format!("status {}", response.status_code)));
         }
-        // A body that was cut short is not such a page, so its length needs no check of its own.
+        // A truncated body cannot be decoded as a page, so its length needs no separate check.
         let page: LogPage =
             wire::decode(response.as_bytes()).map_err(|e| unavailable(e.to_string()))?;
         if from < page.oldest {
