--- a/lib/src/demand.rs
+++ b/lib/src/demand.rs
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct DaemonReport {
-    at: Duration,
+    received_at: Duration,
     count: u32,
     weight: u32,
 }
@@ -66,7 +66,7 @@
             if demand.reports.is_empty() {
                 demand.since = now;
             }
-            let report = DaemonReport { at: now, count: w.count, weight: w.weight };
+            let report = DaemonReport { received_at: now, count: w.count, weight: w.weight };
             demand.reports.insert(daemon.clone(), report);
         }
         self.models.retain(|_, d| !d.reports.is_empty());
@@ -75,7 +75,7 @@
     /// Drops reports that their daemons have not repeated in time.
     pub fn expire(&mut self, now: Duration) {
         for demand in self.models.values_mut() {
-            demand.reports.retain(|_, report| now < report.at + REPORT_TTL);
+            demand.reports.retain(|_, report| now < report.received_at + REPORT_TTL);
         }
         self.models.retain(|_, d| !d.reports.is_empty());
     }
--- a/lib/src/dispatch.rs
+++ b/lib/src/dispatch.rs
@@ -17,7 +17,7 @@
 use crate::router::RouteRequest;
 use crate::verdict::Verdict;
 
-/// Maximum number of attempts of one request that failed after they may have run.
+/// Maximum number of failed attempts of one request that may have run.
 const MAX_FAILURES: u32 = 8;
 /// Pause after every replica was tried, before they are tried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -1,6 +1,6 @@
 //! Times of leases: until when this daemon may act on its own, and from when it may bid for others.
 //!
-//! The fold holds no clock. A holder counts its authority from before the append of the last
+//! The fold reads no clock. A holder counts its authority from before the append of the last
 //! renewal that it read back; a bidder counts from after it read the last renewal. So the holder
 //! stops first even with equal periods, whatever the log's delay. The bidder's period is longer,
 //! which covers clocks whose rates differ by less than [`DRIFT_PERCENT`].
--- a/lib/src/log_reader.rs
+++ b/lib/src/log_reader.rs
@@ -28,27 +28,27 @@
 
 /// Reads the log until the control thread ends.
 pub fn run(node: &Node, log: &dyn LogService) {
-    let mut reader = Reader { node, log, next: 0 };
+    let mut log_reader = LogReader { node, log, next_offset: 0 };
     while !node.control.is_disconnected() {
-        reader.step();
+        log_reader.step();
     }
 }
 
-struct Reader<'a> {
+struct LogReader<'a> {
     node: &'a Node,
     log: &'a dyn LogService,
-    next: Offset,
+    next_offset: Offset,
 }
 
-impl Reader<'_> {
+impl LogReader<'_> {
     fn step(&mut self) {
         let applied = self.node.applied_offset.load(Ordering::Relaxed);
-        self.next = self.next.max(applied);
-        if self.next > applied + MAX_UNAPPLIED_ENTRIES {
+        self.next_offset = self.next_offset.max(applied);
+        if self.next_offset > applied + MAX_UNAPPLIED_ENTRIES {
             thread::sleep(RETRY_PAUSE);
             return;
         }
-        match self.log.read(self.next, READ_WAIT) {
+        match self.log.read(self.next_offset, READ_WAIT) {
             Ok(entries) => {
                 self.node.send(ControlInput::Event(Event::LogRead));
                 for (offset, bytes) in entries {
@@ -65,10 +65,10 @@
     }
 
     fn forward(&mut self, offset: Offset, bytes: &[u8]) {
-        if offset != self.next {
+        if offset != self.next_offset {
             return;
         }
-        self.next += 1;
+        self.next_offset += 1;
         self.node.send(ControlInput::Event(Event::Entry(offset, decode_entry(bytes))));
     }
 
@@ -77,15 +77,15 @@
     /// Without a complete snapshot it fetches from peers.
     fn recover(&mut self, oldest: Offset) {
         let mut assembler = SnapshotAssembler::default();
-        let mut at = oldest;
+        let mut read_from = oldest;
         let mut newest: Option<ReplicatedState> = None;
         loop {
-            let entries = match self.log.read(at, Duration::ZERO) {
+            let entries = match self.log.read(read_from, Duration::ZERO) {
                 Ok(entries) if !entries.is_empty() => entries,
                 _ => break,
             };
             for (offset, bytes) in entries {
-                at = offset + 1;
+                read_from = offset + 1;
                 for record in decode_entry(&bytes).records {
                     if let Record::Snapshot(part) = record
                         && part.at >= oldest
@@ -97,7 +97,7 @@
             }
         }
         if let Some(state) = newest {
-            self.next = state.offset;
+            self.next_offset = state.offset;
             self.node.send(ControlInput::InstallState(Box::new(state)));
             self.await_applied();
         } else {
@@ -108,7 +108,7 @@
 
     /// Waits until the control thread has installed a state, so that reading continues from it.
     fn await_applied(&self) {
-        while self.node.applied_offset.load(Ordering::Relaxed) < self.next
+        while self.node.applied_offset.load(Ordering::Relaxed) < self.next_offset
             && !self.node.control.is_disconnected()
         {
             thread::sleep(Duration::from_millis(5));
@@ -117,24 +117,24 @@
 
     /// Fetches entries, or else a state, from a peer that has applied more of the log.
     ///
-    /// Called while the log is unavailable, or if entries expired and it holds no complete snapshot.
+    /// Called while the log is unavailable, and if entries expired without a complete snapshot.
     /// So a data centre that can reach another one but not the platform still receives edits, and a
     /// daemon that starts during an outage installs a peer's state.
     fn fetch_from_peers(&mut self) {
         for addr in self.peers_ahead() {
-            if let Some(entries) = peer_client::fetch_entries(self.node, addr, self.next)
-                && entries.first().is_some_and(|(offset, _)| *offset == self.next)
+            if let Some(entries) = peer_client::fetch_entries(self.node, addr, self.next_offset)
+                && entries.first().is_some_and(|(offset, _)| *offset == self.next_offset)
             {
                 for (offset, entry) in entries {
-                    self.next = offset + 1;
+                    self.next_offset = offset + 1;
                     self.node.send(ControlInput::Event(Event::Entry(offset, entry)));
                 }
                 return;
             }
             if let Some(state) = peer_client::fetch_state(self.node, addr)
-                && state.offset > self.next
+                && state.offset > self.next_offset
             {
-                self.next = state.offset;
+                self.next_offset = state.offset;
                 self.node.send(ControlInput::InstallState(Box::new(state)));
                 self.await_applied();
                 return;
@@ -147,7 +147,7 @@
         let offsets = self.node.peer_offsets.lock().unwrap_or_else(PoisonError::into_inner);
         let mut peers: Vec<(Offset, SocketAddr)> = offsets
             .iter()
-            .filter(|(_, offset)| **offset > self.next)
+            .filter(|(_, offset)| **offset > self.next_offset)
             .filter_map(|(peer, offset)| Some((*offset, *view.daemons.get(peer)?)))
             .collect();
         peers.sort_unstable_by(|a, b| b.cmp(a));
