--- a/lib/src/fold.rs
+++ b/lib/src/fold.rs
@@ -40,7 +40,7 @@
 /// Why a record has no effect.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Error, PartialEq, Serialize)]
 pub enum Rejection {
-    /// The writer's entry, or the edit, was applied before.
+    /// The writer's entry, or the edit, was processed before.
     #[error("duplicate entry")]
     Duplicate,
     /// The edit was based on an old version of a row.
--- a/lib/src/ids.rs
+++ b/lib/src/ids.rs
@@ -54,7 +54,7 @@
 
 /// Combines an entry's offset and a record's index into a position.
 ///
-/// No position is 0: the value 0 means "never", also for the log's first record.
+/// No position is 0, not even that of the log's first record, because 0 stands for "never".
 pub fn position(offset: Offset, index: usize) -> Position {
     ((offset + 1) << INDEX_BITS) | (index as u64 & ((1 << INDEX_BITS) - 1))
 }
