--- a/lib/src/logging.rs
+++ b/lib/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs an event.
+//! Structured logging: each event is one line of key=value pairs.
 
 use std::fmt;
 use std::fmt::Write as _;
@@ -20,10 +20,10 @@
 use slog::Record;
 use slog::Serializer;
 
-/// Lines that wait for a slow standard error; more are counted and dropped.
-const CHANNEL: usize = 8192;
+/// Most lines that are queued for a slow standard error; further lines are counted and dropped.
+const MAX_QUEUED_LINES: usize = 8192;
 
-/// Pairs as the logger hands them out: the last one of a line first.
+/// Collects key=value pairs in the order in which slog emits them: the last pair of a line first.
 #[derive(Default)]
 struct Pairs {
     pairs: Vec<String>,
@@ -46,7 +46,7 @@
     if !value.is_empty() && value.chars().all(plain) {
         line.push_str(value);
     } else {
-        // Quoted and escaped, so that a caller's text cannot start a line of its own.
+        // Quoted and escaped, so that text from a caller cannot start a new log line.
         let _infallible = write!(line, "{value:?}");
     }
 }
@@ -67,7 +67,7 @@
         let mut pairs = Pairs::default();
         record.kv().serialize(record, &mut pairs).map_err(io::Error::other)?;
         values.serialize(record, &mut pairs).map_err(io::Error::other)?;
-        // Within each part the newest pair comes first; the reader expects them as written.
+        // slog emits the newest pair of each part first; the line lists them in source order.
         pairs.pairs.reverse();
         line.extend(pairs.pairs);
         line.push('\n');
@@ -76,31 +76,32 @@
     }
 }
 
-/// Creates a logger that writes lines to standard error without holding up its caller.
+/// Creates a logger that writes lines to standard error without blocking its caller.
 pub fn to_stderr() -> Logger {
     let drain = LineDrain { writer: Mutex::new(io::stderr()) };
-    let drain = slog_async::Async::new(drain.ignore_res()).chan_size(CHANNEL).build();
+    let drain = slog_async::Async::new(drain.ignore_res()).chan_size(MAX_QUEUED_LINES).build();
     Logger::root(drain.ignore_res(), slog::o!())
 }
 
-/// Bytes of lines that wait for a slow standard output; more are counted and dropped.
-const WAITING_BYTES: usize = 512 * 1024;
-/// Time between writes: one wake-up of the writing thread carries many lines.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
+/// Most bytes that are buffered for a slow output; further lines are counted and dropped.
+const MAX_BUFFERED_BYTES: usize = 512 * 1024;
+/// Time between writes; batching lets one wake-up of the writer thread write many lines.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks at whether the last lines are written, at most, before a process ends.
-const FLUSH_LOOKS: u32 = 4;
+/// Most checks, one per [`WRITE_INTERVAL`], that [`LineLog::flush`] makes before it returns anyway.
+const MAX_FLUSH_CHECKS: u32 = 4;
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct LineBuffer {
     bytes: Vec<u8>,
     dropped: u64,
-    /// Whether lines were taken and are not written yet.
+    /// Whether the writer thread has taken lines that it has not written yet.
     writing: bool,
 }
 
-impl Waiting {
-    /// Takes the lines to be written.
+impl LineBuffer {
+    /// Removes and returns the buffered lines, followed by a count of dropped ones if there are
+    /// any.
     fn take(&mut self) -> Vec<u8> {
         let mut bytes = std::mem::take(&mut self.bytes);
         let dropped = std::mem::take(&mut self.dropped);
@@ -112,20 +113,20 @@
     }
 }
 
-fn lock(waiting: &Mutex<Waiting>) -> MutexGuard<'_, Waiting> {
-    waiting.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(buffer: &Mutex<LineBuffer>) -> MutexGuard<'_, LineBuffer> {
+    buffer.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Keeps lines until the writing thread takes them; never blocks whoever logs.
-struct WaitingWriter(Arc<Mutex<Waiting>>);
+/// Buffers lines for the writer thread; a write never waits for the output.
+struct BufferWriter(Arc<Mutex<LineBuffer>>);
 
-impl io::Write for WaitingWriter {
+impl io::Write for BufferWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let mut waiting = lock(&self.0);
-        if waiting.bytes.len() + buf.len() > WAITING_BYTES {
-            waiting.dropped += 1;
+        let mut buffer = lock(&self.0);
+        if buffer.bytes.len() + buf.len() > MAX_BUFFERED_BYTES {
+            buffer.dropped += 1;
         } else {
-            waiting.bytes.extend_from_slice(buf);
+            buffer.bytes.extend_from_slice(buf);
         }
         Ok(buf.len())
     }
@@ -135,67 +136,68 @@
     }
 }
 
-/// Lines on their way to an output that may block.
+/// A logger for an output that may block: lines are buffered and written by a separate thread.
 #[derive(Debug)]
 pub struct LineLog {
     logger: Logger,
-    waiting: Arc<Mutex<Waiting>>,
+    buffer: Arc<Mutex<LineBuffer>>,
 }
 
 impl LineLog {
-    /// Logs to `output` from a thread of its own.
+    /// Starts a thread that writes the log lines to `output`.
     ///
     /// # Panics
     ///
-    /// Panics if the system gives no thread.
+    /// Panics if the thread cannot be started.
     pub fn with_output(output: impl io::Write + Send + 'static) -> Self {
-        let waiting = Arc::new(Mutex::new(Waiting::default()));
-        let drain = LineDrain { writer: Mutex::new(WaitingWriter(Arc::clone(&waiting))) };
-        let for_thread = Arc::clone(&waiting);
+        let buffer = Arc::new(Mutex::new(LineBuffer::default()));
+        let drain = LineDrain { writer: Mutex::new(BufferWriter(Arc::clone(&buffer))) };
+        let writer_buffer = Arc::clone(&buffer);
         thread::Builder::new()
             .name("log".into())
-            .spawn(move || write_lines(&for_thread, output))
-            .expect("a thread at start");
-        Self { logger: Logger::root(drain.ignore_res(), slog::o!()), waiting }
+            .spawn(move || write_lines(&writer_buffer, output))
+            .expect("the log thread can be started");
+        Self { logger: Logger::root(drain.ignore_res(), slog::o!()), buffer }
     }
 
-    /// Returns the logger.
+    /// Returns a handle to the logger; clones write to the same buffer.
     pub fn logger(&self) -> Logger {
         self.logger.clone()
     }
 
-    /// Gives the lines that wait a last moment to be written.
+    /// Waits until the buffered lines are written, for a limited time; called before the process
+    /// exits.
     ///
-    /// Lines that the writing thread has taken count as well: a process that ended then would lose its
-    /// last line, and its stop would look like a crash.
+    /// It also waits for lines that the writer thread has taken but not written: a process that
+    /// exits before that loses its last line, and its stop looks like a crash.
     pub fn flush(&self) {
-        for _ in 0..FLUSH_LOOKS {
-            thread::sleep(WRITE_EVERY);
-            let waiting = lock(&self.waiting);
-            if waiting.bytes.is_empty() && !waiting.writing {
+        for _ in 0..MAX_FLUSH_CHECKS {
+            thread::sleep(WRITE_INTERVAL);
+            let buffer = lock(&self.buffer);
+            if buffer.bytes.is_empty() && !buffer.writing {
                 return;
             }
         }
     }
 }
 
-fn write_lines(waiting: &Mutex<Waiting>, mut output: impl io::Write) {
+fn write_lines(buffer: &Mutex<LineBuffer>, mut output: impl io::Write) {
     loop {
-        thread::sleep(WRITE_EVERY);
-        let bytes = lock(waiting).take();
+        thread::sleep(WRITE_INTERVAL);
+        let bytes = lock(buffer).take();
         if !bytes.is_empty() && output.write_all(&bytes).and_then(|()| output.flush()).is_err() {
             return;
         }
-        lock(waiting).writing = false;
+        lock(buffer).writing = false;
     }
 }
 
-/// Logs to standard output without ever holding up its caller.
+/// Creates a logger that writes lines to standard output without blocking its caller.
 pub fn to_stdout() -> LineLog {
     LineLog::with_output(io::stdout())
 }
 
-/// Creates a logger that drops everything.
+/// Creates a logger that discards all lines.
 pub fn to_nowhere() -> Logger {
     Logger::root(slog::Discard, slog::o!())
 }
--- a/lib/src/metrics.rs
+++ b/lib/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `opentelemetry`, read at `/metrics`.
+//! OpenTelemetry metrics of one daemon, exported in the Prometheus text format at `/metrics`.
 
 use std::fmt;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 
 use crate::verdict::Verdict;
 
-/// Bounds of the time histograms, in seconds.
-const BOUNDS: [f64; 14] =
+/// Bucket bounds of the time histograms, in seconds.
+const BUCKET_BOUNDS_S: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0, 60.0];
 
 /// Instruments of one daemon.
@@ -26,20 +26,20 @@
     verdicts: Counter<u64>,
     refusals: Counter<u64>,
     retries: Counter<u64>,
-    first: Histogram<f64>,
-    cold: Histogram<f64>,
+    first_byte: Histogram<f64>,
+    replica_wait: Histogram<f64>,
     tokens: Counter<u64>,
-    idle: Counter<f64>,
+    idle_time: Counter<f64>,
     waiting: Gauge<u64>,
     active: Gauge<u64>,
     config_version: Gauge<u64>,
     config_age: Gauge<f64>,
-    control: Counter<u64>,
-    calls: Counter<u64>,
-    unread: Counter<u64>,
-    words: Counter<u64>,
-    loads: Histogram<f64>,
-    held: Gauge<u64>,
+    control_bytes: Counter<u64>,
+    store_calls: Counter<u64>,
+    unreadable_records: Counter<u64>,
+    reader_reports: Counter<u64>,
+    load_time: Histogram<f64>,
+    quarantined: Gauge<u64>,
 }
 
 impl fmt::Debug for Metrics {
@@ -55,17 +55,17 @@
 }
 
 impl Metrics {
-    /// Creates the instruments in a registry of their own.
+    /// Creates the instruments in a new registry.
     ///
     /// # Panics
     ///
-    /// Panics if the exporter refuses an empty registry, which it never does.
+    /// Panics if the exporter cannot be registered, which does not happen with an empty registry.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("an empty registry takes the exporter");
+            .expect("an empty registry accepts the exporter");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("comfreymux");
         let seconds = |name: &'static str, text: &'static str| {
@@ -73,7 +73,7 @@
                 .f64_histogram(name)
                 .with_unit("s")
                 .with_description(text)
-                .with_boundaries(BOUNDS.to_vec())
+                .with_boundaries(BUCKET_BOUNDS_S.to_vec())
                 .build()
         };
         let counter = |name: &'static str, text: &'static str| {
@@ -86,10 +86,10 @@
             verdicts: counter("requests", "Requests by verdict"),
             refusals: counter("refusals", "Refused requests by reason"),
             retries: counter("retries", "Attempts after the first"),
-            first: seconds("first_token", "Time to the first byte of an answer"),
-            cold: seconds("cold_start", "Time that requests waited for a replica"),
+            first_byte: seconds("first_token", "Time to the first byte of an answer"),
+            replica_wait: seconds("cold_start", "Time that requests waited for a replica"),
             tokens: counter("tokens", "Stream events relayed"),
-            idle: meter
+            idle_time: meter
                 .f64_counter("idle_accelerator")
                 .with_unit("s")
                 .with_description("Seconds that replicas were loaded without a request")
@@ -104,50 +104,50 @@
                     "Time since the store last told whether the configuration changed",
                 )
                 .build(),
-            control: counter("control_bytes", "Bytes exchanged with daemons and the log"),
-            calls: counter(
+            control_bytes: counter("control_bytes", "Bytes exchanged with daemons and the log"),
+            store_calls: counter(
                 "store_calls",
                 "Operations at the platform's store by feed and outcome; a listing takes a call a page",
             ),
-            unread: counter(
+            unreadable_records: counter(
                 "unreadable_records",
                 "Records of the platform's store that cannot be read by feed, each time one is met",
             ),
-            words: counter("reader_words", "Words of readers by what came of them"),
-            held: gauge(
+            reader_reports: counter("reader_words", "Words of readers by what came of them"),
+            quarantined: gauge(
                 "held_requests",
                 "Requests that go to no server, since several crashed under each",
             ),
-            loads: seconds("load", "Time of models' loads by source and outcome"),
+            load_time: seconds("load", "Time of models' loads by source and outcome"),
             registry,
             _provider: provider,
         }
     }
 
-    /// Counts an answered request.
+    /// Counts an answered request by model and verdict.
     pub fn record_answer(&self, model: &str, verdict: Verdict) {
         let model = KeyValue::new("model", model.to_owned());
         self.verdicts.add(1, &[model, KeyValue::new("verdict", verdict.as_str())]);
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request.
     pub fn record_refusal(&self, reason: &'static str) {
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts another attempt.
+    /// Counts an attempt after the first.
     pub fn record_retry(&self) {
         self.retries.add(1, &[]);
     }
 
-    /// Notes the time to the first byte of an answer.
+    /// Records the time to the first byte of a response.
     pub fn record_first_byte(&self, time: Duration) {
-        self.first.record(time.as_secs_f64(), &[]);
+        self.first_byte.record(time.as_secs_f64(), &[]);
     }
 
-    /// Notes how long a request waited for a replica.
+    /// Records how long a request waited for a replica.
     pub fn record_wait(&self, model: &str, time: Duration) {
-        self.cold.record(time.as_secs_f64(), &[KeyValue::new("model", model.to_owned())]);
+        self.replica_wait.record(time.as_secs_f64(), &[KeyValue::new("model", model.to_owned())]);
     }
 
     /// Counts relayed stream events.
@@ -155,55 +155,56 @@
         self.tokens.add(events, &[]);
     }
 
-    /// Adds time that a replica of `model` was loaded without a request.
+    /// Adds time during which a replica of `model` was loaded but served no request.
     pub fn record_idle(&self, model: &str, time: Duration) {
-        self.idle.add(time.as_secs_f64(), &[KeyValue::new("model", model.to_owned())]);
+        self.idle_time.add(time.as_secs_f64(), &[KeyValue::new("model", model.to_owned())]);
     }
 
-    /// Notes the requests that wait and that are in progress.
+    /// Sets the numbers of waiting requests and of requests in progress.
     pub fn set_requests(&self, waiting: usize, active: u32) {
         self.waiting.record(waiting as u64, &[]);
         self.active.record(u64::from(active), &[]);
     }
 
-    /// Notes the configuration in force and for how long the store has said nothing about it.
+    /// Sets the version of the configuration in force and the time since the store last confirmed
+    /// or replaced it.
     pub fn configuration(&self, version: u64, age: Duration) {
         self.config_version.record(version, &[]);
         self.config_age.record(age.as_secs_f64(), &[]);
     }
 
-    /// Counts bytes of control traffic.
+    /// Counts bytes of control traffic, by `kind` of connection.
     pub fn record_control_bytes(&self, kind: &'static str, bytes: usize) {
-        self.control.add(bytes as u64, &[KeyValue::new("kind", kind)]);
+        self.control_bytes.add(bytes as u64, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Counts a call to the platform's store, which is paid for also where it failed.
+    /// Counts a call to the platform's store; a failed call is charged too.
     pub fn record_store_call(&self, feed: &'static str, outcome: &'static str) {
-        self.calls.add(1, &[KeyValue::new("feed", feed), KeyValue::new("outcome", outcome)]);
+        self.store_calls.add(1, &[KeyValue::new("feed", feed), KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a record of a feed that cannot be read.
+    /// Counts a record of a feed that cannot be parsed.
     pub fn unread(&self, feed: &'static str) {
-        self.unread.add(1, &[KeyValue::new("feed", feed)]);
+        self.unreadable_records.add(1, &[KeyValue::new("feed", feed)]);
     }
 
-    /// Counts a reader's word.
+    /// Counts a reader report by its outcome.
     pub fn record_reader_report(&self, outcome: &'static str) {
-        self.words.add(1, &[KeyValue::new("outcome", outcome)]);
+        self.reader_reports.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Records the time of a model's load.
+    /// Records how long the load of a model took.
     pub fn record_load(&self, source: &'static str, outcome: &'static str, time: Duration) {
         let labels = [KeyValue::new("source", source), KeyValue::new("outcome", outcome)];
-        self.loads.record(time.as_secs_f64(), &labels);
+        self.load_time.record(time.as_secs_f64(), &labels);
     }
 
-    /// Notes how many requests go to no server.
+    /// Sets the number of requests in quarantine, which are sent to no server.
     pub fn set_quarantined(&self, count: usize) {
-        self.held.record(count as u64, &[]);
+        self.quarantined.record(count as u64, &[]);
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn to_text(&self) -> String {
         let mut out = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut out) {
--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -1,4 +1,4 @@
-//! What the threads of one daemon share.
+//! State that the threads of one daemon share, and the messages to its control thread.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -41,23 +41,24 @@
 use crate::wait_estimator::WaitEstimator;
 use crate::wait_queue::WaitQueue;
 
-/// What the control thread takes in.
+/// Messages to the control thread.
 pub enum ControlInput {
     /// An event for the control state machine.
     Event(Event),
-    /// A whole state, from a snapshot or a peer.
+    /// Replaces the whole state by one from a snapshot or a peer.
     InstallState(Box<ReplicatedState>),
-    /// A request wants to run and may not be repeated.
+    /// Requests the claim for a request that must not run twice.
     Claim(ClaimKey, flume::Sender<ClaimAnswer>),
-    /// An operator's edit.
+    /// Applies an operator's edit.
     Edit(Edit, flume::Sender<EditAnswer>),
-    /// Somebody wants the state.
+    /// Requests a copy of the state.
     GetState(flume::Sender<ReplicatedState>),
-    /// A peer wants entries from this offset on.
+    /// Requests the log entries from this offset on; the answer is `None` if they are not kept.
     GetEntries(Offset, flume::Sender<Option<Vec<(Offset, Entry)>>>),
-    /// A peer has read the log to this offset; its state's hash at a checkpoint.
+    /// Reports the offset up to which a peer has read the log, and a hash of its state at an
+    /// earlier offset.
     PeerOffset(SmolStr, Offset, (Offset, u64)),
-    /// The daemon ends.
+    /// Stops the control thread.
     Shutdown,
 }
 
@@ -70,41 +71,41 @@
 /// State that all threads of a daemon share.
 #[derive(Debug)]
 pub struct Node {
-    /// The settings.
+    /// Validated settings of this daemon.
     pub settings: Settings,
-    /// This start's count.
+    /// Counts the starts of this daemon.
     pub incarnation: Incarnation,
-    /// Time since the start.
+    /// Clock that starts at the daemon's start.
     pub clock: Clock,
-    /// What routers see.
+    /// Current routing view; replaced as a whole.
     pub view: ArcSwap<RoutingView>,
-    /// Learned loading speeds.
+    /// Load rates learned from completed loads.
     pub load_rates: Mutex<LoadRates>,
     /// Requests that wait for a replica.
     pub waiting: WaitQueue,
     /// Outcomes of claimed requests.
     pub outcomes: ClaimOutcomes,
-    /// To the control thread.
+    /// Channel to the control thread.
     pub control: flume::Sender<ControlInput>,
-    /// Requests to backend servers.
+    /// Client that sends requests to backend servers.
     pub backend_client: Arc<dyn BackendClient>,
-    /// Metrics.
+    /// Instruments behind `/metrics`.
     pub metrics: Metrics,
-    /// Latest decisions.
+    /// Recent decisions, for `explain`.
     pub decision_log: DecisionLog,
-    /// Log lines.
+    /// Logger of this daemon.
     pub log: Logger,
-    /// Whether the daemon takes no new work.
+    /// Whether the daemon is stopping and accepts no new work.
     pub stopping: AtomicBool,
-    /// Offset up to which the log was read.
+    /// Offset up to which this daemon has read the log.
     pub applied_offset: AtomicU64,
     /// Offsets up to which peers have read the log.
     pub peer_offsets: Mutex<BTreeMap<SmolStr, Offset>>,
     router: Mutex<Router>,
     limits: Mutex<RequestLimits>,
-    budget: Mutex<RetryBudget>,
+    retry_budget: Mutex<RetryBudget>,
     wait_estimator: Mutex<WaitEstimator>,
-    requests: AtomicU64,
+    request_count: AtomicU64,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -129,14 +130,14 @@
             outcomes: ClaimOutcomes::default(),
             router: Mutex::new(Router::new(centre, incarnation)),
             limits: Mutex::new(RequestLimits::new(settings.max_requests, settings.caller_requests)),
-            budget: Mutex::default(),
+            retry_budget: Mutex::default(),
             wait_estimator: Mutex::default(),
             metrics: Metrics::new(),
             decision_log: DecisionLog::default(),
             stopping: AtomicBool::new(false),
             applied_offset: AtomicU64::new(0),
             peer_offsets: Mutex::default(),
-            requests: AtomicU64::new(0),
+            request_count: AtomicU64::new(0),
             settings,
             incarnation,
             control,
@@ -150,44 +151,44 @@
         self.clock.now()
     }
 
-    /// Returns a new request id, unique in the whole system.
+    /// Returns a new request id, unique across all daemons and their starts.
     pub fn next_request_id(&self) -> SmolStr {
-        let number = self.requests.fetch_add(1, Ordering::Relaxed);
+        let number = self.request_count.fetch_add(1, Ordering::Relaxed);
         SmolStr::new(format!("{}-{:x}-{number}", self.settings.id, self.incarnation))
     }
 
-    /// Returns the router, locked.
+    /// Locks the router.
     pub fn router(&self) -> MutexGuard<'_, Router> {
         lock(&self.router)
     }
 
-    /// Returns the limits, locked.
+    /// Locks the limits on requests in progress.
     pub fn limits(&self) -> MutexGuard<'_, RequestLimits> {
         lock(&self.limits)
     }
 
-    /// Returns the retry budget, locked.
+    /// Locks the retry budget.
     pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
-        lock(&self.budget)
+        lock(&self.retry_budget)
     }
 
-    /// Returns the pace of the queues, locked.
+    /// Locks the wait estimator.
     pub fn wait_estimator(&self) -> MutexGuard<'_, WaitEstimator> {
         lock(&self.wait_estimator)
     }
 
-    /// Returns the learned loading speeds.
+    /// Returns a copy of the learned load rates.
     pub fn load_rates(&self) -> LoadRates {
         *lock(&self.load_rates)
     }
 
-    /// Publishes a new picture and wakes requests that it has room for.
+    /// Publishes a new routing view and wakes waiting requests for which it has capacity.
     pub fn publish(&self, view: RoutingView) {
         self.view.store(Arc::new(view));
         self.wake_waiting();
     }
 
-    /// Wakes waiting requests for which there is room.
+    /// Wakes waiting requests whose model has a replica with free capacity.
     pub fn wake_waiting(&self) {
         if self.waiting.is_empty() {
             return;
@@ -197,24 +198,24 @@
         self.waiting.wake_ready(now, |model| self.router().free_capacity(now, &view, model));
     }
 
-    /// Returns whether the daemon takes no new work.
+    /// Returns whether the daemon is stopping and accepts no new work.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Sends to the control thread; returns whether it is still there.
+    /// Sends a message to the control thread; returns `false` if that thread has ended.
     pub fn send(&self, input: ControlInput) -> bool {
         self.control.send(input).is_ok()
     }
 
-    /// Asks the control thread for the state.
+    /// Requests the state from the control thread; `None` if no answer comes within five seconds.
     pub fn state(&self) -> Option<ReplicatedState> {
         let (sender, receiver) = flume::bounded(1);
         self.send(ControlInput::GetState(sender));
         receiver.recv_timeout(Duration::from_secs(5)).ok()
     }
 
-    /// Logs a decision of control and keeps it for `explain`.
+    /// Logs a decision of the control thread and keeps it for `explain`.
     pub fn log_decision(&self, decision: &Decision) {
         let Decision { action, model, place, reason } = decision;
         let event = if is_placement(*action) { "placement" } else { "control" };
