--- a/lib/src/peer_message.rs
+++ b/lib/src/peer_message.rs
@@ -1,4 +1,4 @@
-//! What daemons send each other, in the form it has on the wire.
+//! Messages between daemons, in their wire format: UDP digests, and queries and replies over TCP.
 
 use std::io;
 use std::io::Read;
@@ -20,51 +20,51 @@
 use crate::verdict::Verdict;
 use crate::wire;
 
-/// Largest datagram.
+/// Largest datagram, in bytes.
 pub const MAX_DATAGRAM: usize = 8 * 1024;
-/// Most lines of demand or hints in a datagram.
+/// Most entries of demand, and most hints, in one datagram.
 pub const MAX_LINES: usize = 100;
 
-/// A daemon's datagram to its peers.
+/// A daemon's periodic state message to its peers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Digest {
-    /// The sender.
+    /// Name of the sending daemon.
     pub daemon: SmolStr,
-    /// Offset up to which it read the log.
+    /// Offset up to which the sender has read the log.
     pub offset: Offset,
-    /// Hash of its state at an earlier offset, by which a divergence is noticed.
+    /// An earlier offset and the hash of the sender's state there, to detect a divergence.
     pub hash: (Offset, u64),
-    /// Requests that wait at it.
+    /// Requests that wait at the sender.
     pub demand: Vec<WaitingRequests>,
-    /// Replicas that the log does not show yet.
+    /// Replicas that are not recorded in the log yet.
     pub hints: Vec<Hint>,
 }
 
-/// A question over TCP.
+/// A query to another daemon over TCP.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerQuery {
     /// Log entries from this offset on.
     Entries(Offset),
     /// The whole state.
     State,
-    /// How a claimed request ended, waiting up to these milliseconds.
+    /// The outcome of a claimed request, and how long to wait for it, in milliseconds.
     Outcome(ClaimKey, u64),
 }
 
-/// The answer to a [`PeerQuery`].
+/// The reply to a [`PeerQuery`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerReply {
     /// Entries in the order of their offsets.
     Entries(Vec<(Offset, Entry)>),
     /// The whole state.
     State(Box<ReplicatedState>),
-    /// How a claimed request ended.
+    /// The outcome of a claimed request.
     Outcome(WireOutcome),
-    /// It is not known here.
+    /// The daemon does not have what was requested.
     Unknown,
 }
 
-/// A [`ClaimOutcome`] on the wire.
+/// Wire format of a [`ClaimOutcome`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct WireOutcome {
     verdict: Verdict,
@@ -72,22 +72,22 @@
 }
 
 impl From<ClaimOutcome> for WireOutcome {
-    fn from(end: ClaimOutcome) -> Self {
-        Self { verdict: end.verdict, answer: end.answer }
+    fn from(outcome: ClaimOutcome) -> Self {
+        Self { verdict: outcome.verdict, answer: outcome.answer }
     }
 }
 
 impl From<WireOutcome> for ClaimOutcome {
-    fn from(end: WireOutcome) -> Self {
-        Self { verdict: end.verdict, answer: end.answer }
+    fn from(outcome: WireOutcome) -> Self {
+        Self { verdict: outcome.verdict, answer: outcome.answer }
     }
 }
 
-/// Writes a message with its length before it; returns the bytes written.
+/// Writes a message after its length; returns the number of bytes written.
 ///
 /// # Errors
 ///
-/// The connection failed.
+/// Returns the error of a write to the connection.
 pub fn write_message<T: Serialize>(writer: &mut impl Write, message: &T) -> io::Result<usize> {
     let bytes = wire::encode(message);
     let length = bytes.len() as u32;
@@ -97,19 +97,22 @@
     Ok(bytes.len() + 4)
 }
 
-/// Reads a message of at most `most` bytes.
+/// Reads a message of at most `max_bytes` bytes, not counting its length prefix.
 ///
 /// # Errors
 ///
-/// The connection failed, or the bytes are too many or malformed.
-pub fn read_message<T: DeserializeOwned>(reader: &mut impl Read, most: usize) -> io::Result<T> {
+/// Returns an error if the connection fails or the message is too large or malformed.
+pub fn read_message<T: DeserializeOwned>(
+    reader: &mut impl Read,
+    max_bytes: usize,
+) -> io::Result<T> {
     let mut length = [0; 4];
     reader.read_exact(&mut length)?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > most {
+    if length > max_bytes {
         return Err(io::Error::new(io::ErrorKind::InvalidData, "message too large"));
     }
-    // Read piecewise, so that a false length does not reserve its memory.
+    // The buffer grows as bytes arrive, so that a false length does not allocate that much memory.
     let mut bytes = Vec::new();
     reader.take(length as u64).read_to_end(&mut bytes)?;
     wire::decode(&bytes).map_err(io::Error::other)
--- a/lib/src/peer_server.rs
+++ b/lib/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! The exchange with other daemons: datagrams both ways, and questions that they ask over TCP.
+//! Serves other daemons: receives their UDP digests and answers their TCP queries.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,16 +23,17 @@
 use crate::peer_message::write_message;
 use crate::wire;
 
-/// Largest question.
-const MAX_ASK: usize = 1024;
-/// Most questions that are answered at once.
-const MAX_ASKING: usize = 128;
+/// Largest query, in bytes.
+const MAX_QUERY_BYTES: usize = 1024;
+/// Most queries that are answered at once; further connections are closed.
+const MAX_CONCURRENT_QUERIES: usize = 128;
 /// Longest wait for the outcome of a claimed request.
-const MAX_WAIT: Duration = Duration::from_mins(2);
-/// Longest silence of a daemon in the middle of a question.
-const READ_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_OUTCOME_WAIT: Duration = Duration::from_mins(2);
+/// Longest wait for bytes of a query, for a write of its reply, and for log entries from the
+/// control thread.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sockets of the exchange.
+/// The UDP and TCP sockets that serve other daemons.
 #[derive(Debug)]
 pub struct PeerServer {
     udp: UdpSocket,
@@ -40,11 +41,11 @@
 }
 
 impl PeerServer {
-    /// Opens the sockets, both on the same address.
+    /// Binds both sockets to the same address.
     ///
     /// # Errors
     ///
-    /// The address cannot be used.
+    /// Returns an error if the address cannot be bound.
     pub fn bind(addr: SocketAddr) -> io::Result<Self> {
         let tcp = TcpListener::bind(addr)?;
         let udp = UdpSocket::bind(tcp.local_addr()?)?;
@@ -55,32 +56,37 @@
     ///
     /// # Errors
     ///
-    /// The socket is broken.
+    /// Returns an error if the address of the socket cannot be read.
     pub fn addr(&self) -> io::Result<SocketAddr> {
         self.tcp.local_addr()
     }
 
-    /// Starts the threads that listen; returns the socket to send datagrams from.
+    /// Starts the threads that serve the sockets; returns the socket to send digests from.
     ///
     /// # Errors
     ///
-    /// The system gives no thread or socket.
+    /// Returns an error if a thread cannot be started or the socket cannot be cloned.
     pub fn start(self, node: &Arc<Node>) -> io::Result<UdpSocket> {
         let sending = self.udp.try_clone()?;
         let receiving = Arc::clone(node);
         let udp = self.udp;
-        thread::Builder::new().name("peer-udp".into()).spawn(move || receive(&receiving, &udp))?;
+        thread::Builder::new()
+            .name("peer-udp".into())
+            .spawn(move || receive_digests(&receiving, &udp))?;
         let answering = Arc::clone(node);
         let tcp = self.tcp;
-        thread::Builder::new().name("peer-tcp".into()).spawn(move || accept(&answering, &tcp))?;
+        thread::Builder::new()
+            .name("peer-tcp".into())
+            .spawn(move || accept_queries(&answering, &tcp))?;
         Ok(sending)
     }
 }
 
-/// Reads a datagram that came from `addr`.
+/// Parses a datagram that was received from `addr`.
 ///
-/// A datagram from an address that is not in the host list, one that names another daemon, and a
-/// malformed one are dropped: any host of the network could send it.
+/// Returns `None` if the datagram is malformed or has too many entries, or if `addr` is not the
+/// address that the host list has for the daemon it names: any host of the network can send a
+/// datagram.
 pub fn parse_digest(node: &Node, bytes: &[u8], addr: SocketAddr) -> Option<Digest> {
     let digest: Digest = wire::decode(bytes).ok()?;
     let known = node.view.load().daemons.get(&digest.daemon) == Some(&addr);
@@ -88,11 +94,11 @@
     (known && small).then_some(digest)
 }
 
-fn receive(node: &Node, socket: &UdpSocket) {
+fn receive_digests(node: &Node, socket: &UdpSocket) {
     let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
         let Ok((length, addr)) = socket.recv_from(&mut buffer) else {
-            // A reset from an earlier datagram's target; the socket still works.
+            // The target of an earlier datagram answered with a reset; the socket still works.
             continue;
         };
         let Some(digest) = parse_digest(node, &buffer[..length], addr) else {
@@ -109,8 +115,8 @@
     }
 }
 
-fn accept(node: &Arc<Node>, listener: &TcpListener) {
-    let asking = Arc::new(AtomicUsize::new(0));
+fn accept_queries(node: &Arc<Node>, listener: &TcpListener) {
+    let active_queries = Arc::new(AtomicUsize::new(0));
     for stream in listener.incoming() {
         if node.control.is_disconnected() {
             return;
@@ -118,24 +124,24 @@
         let Ok(stream) = stream else {
             continue;
         };
-        if asking.load(Ordering::Relaxed) >= MAX_ASKING {
+        if active_queries.load(Ordering::Relaxed) >= MAX_CONCURRENT_QUERIES {
             continue;
         }
-        asking.fetch_add(1, Ordering::Relaxed);
-        let (node, count) = (Arc::clone(node), Arc::clone(&asking));
-        let answer = move || {
-            // A peer that breaks off gets no answer.
-            let _broken = answer(&node, stream);
+        active_queries.fetch_add(1, Ordering::Relaxed);
+        let (node, count) = (Arc::clone(node), Arc::clone(&active_queries));
+        let handle = move || {
+            // A peer whose connection fails gets no reply.
+            let _broken = handle_query(&node, stream);
             count.fetch_sub(1, Ordering::Relaxed);
         };
-        let spawned = thread::Builder::new().name("peer-ask".into()).spawn(answer);
+        let spawned = thread::Builder::new().name("peer-ask".into()).spawn(handle);
         if spawned.is_err() {
-            asking.fetch_sub(1, Ordering::Relaxed);
+            active_queries.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
 
-fn answer(node: &Node, mut stream: TcpStream) -> io::Result<()> {
+fn handle_query(node: &Node, mut stream: TcpStream) -> io::Result<()> {
     let known = {
         let view = node.view.load();
         let from = stream.peer_addr()?.ip();
@@ -144,31 +150,31 @@
     if !known {
         return Ok(());
     }
-    stream.set_read_timeout(Some(READ_TIMEOUT))?;
-    stream.set_write_timeout(Some(READ_TIMEOUT))?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
     stream.set_nodelay(true)?;
-    let ask: PeerQuery = read_message(&mut stream, MAX_ASK)?;
-    let tell = tell(node, &ask);
-    let sent = write_message(&mut stream, &tell)?;
+    let query: PeerQuery = read_message(&mut stream, MAX_QUERY_BYTES)?;
+    let reply = answer_query(node, &query);
+    let sent = write_message(&mut stream, &reply)?;
     node.metrics.record_control_bytes("peer_tcp", sent);
     Ok(())
 }
 
-fn tell(node: &Node, ask: &PeerQuery) -> PeerReply {
-    match ask {
+fn answer_query(node: &Node, query: &PeerQuery) -> PeerReply {
+    match query {
         PeerQuery::Entries(from) => {
             let (sender, receiver) = flume::bounded(1);
             node.send(ControlInput::GetEntries(*from, sender));
-            let entries = receiver.recv_timeout(READ_TIMEOUT).ok().flatten();
+            let entries = receiver.recv_timeout(IO_TIMEOUT).ok().flatten();
             entries.map_or(PeerReply::Unknown, PeerReply::Entries)
         }
         PeerQuery::State => {
             node.state().map_or(PeerReply::Unknown, |state| PeerReply::State(Box::new(state)))
         }
         PeerQuery::Outcome(key, wait) => {
-            let wait = Duration::from_millis(*wait).min(MAX_WAIT);
-            let end = node.outcomes.wait(*key, wait);
-            end.map_or(PeerReply::Unknown, |end| PeerReply::Outcome(end.into()))
+            let wait = Duration::from_millis(*wait).min(MAX_OUTCOME_WAIT);
+            let outcome = node.outcomes.wait(*key, wait);
+            outcome.map_or(PeerReply::Unknown, |outcome| PeerReply::Outcome(outcome.into()))
         }
     }
 }
