--- a/lib/src/pending_claims.rs
+++ b/lib/src/pending_claims.rs
@@ -1,7 +1,7 @@
-//! Claims of requests that may not be repeated, on the side of the daemon that wants to run one.
+//! Claims that this daemon has requested from the log, for requests that must not run twice.
 //!
-//! The balancer may bring a caller's repeat to another daemon. Which of them runs the request is
-//! decided by the log: the first claim in it wins, and everybody else learns who has it.
+//! The load balancer may send a caller's retry to another daemon. The log decides which daemon runs
+//! the request: the first claim in it wins, and every other daemon reads there who holds the claim.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,53 +17,53 @@
 use crate::replicated_state::ReplicatedState;
 use crate::verdict::Verdict;
 
-/// A claim that the log has not decided after this time is refused.
+/// Time after which a claim that the log has not decided is refused.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Debug)]
-struct Wanted {
+struct PendingClaim {
     since: Duration,
-    /// Whether nobody waits for it any more; if it is granted all the same, it is released.
+    /// Whether its request no longer waits; if the claim is granted later, it is released.
     cancelled: bool,
 }
 
-/// Claims that this daemon has asked the log for.
+/// Claims of one daemon that the log has not decided yet.
 #[derive(Debug)]
 pub struct PendingClaims {
     daemon: DaemonId,
     incarnation: Incarnation,
-    wanted: BTreeMap<ClaimKey, Wanted>,
+    pending: BTreeMap<ClaimKey, PendingClaim>,
 }
 
-/// What to do about a claim.
+/// What to do about a requested claim.
 #[derive(Debug, Eq, PartialEq)]
 pub enum ClaimStep {
-    /// Tell the request.
+    /// Answer the request.
     Answer(ClaimAnswer),
-    /// Append this claim and wait.
+    /// Append this claim to the log and wait for the decision.
     Append(ClaimKey),
-    /// Wait for the append that is under way.
+    /// Wait for the decision about an append in progress.
     Wait,
 }
 
-/// What follows from the log's decision about a claim.
+/// What to do after the log's decision about a claim.
 #[derive(Debug, PartialEq)]
 pub enum ClaimDecision {
-    /// Tell the request.
+    /// Answer the request.
     Answer(ClaimAnswer),
-    /// Nobody waits for the claim; release it.
+    /// Release the claim, since its request no longer waits.
     Release(Settlement),
-    /// Nothing.
+    /// Do nothing.
     Nothing,
 }
 
 impl PendingClaims {
-    /// Creates the pending claims of one start of a daemon.
+    /// Creates an empty set for one start of a daemon.
     pub fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
-        Self { daemon, incarnation, wanted: BTreeMap::new() }
+        Self { daemon, incarnation, pending: BTreeMap::new() }
     }
 
-    /// Takes a request's wish to run under `key`.
+    /// Requests the claim `key`; the answer is immediate if the log has decided it or is down.
     pub fn request(
         &mut self,
         now: Duration,
@@ -72,88 +72,91 @@
         log_up: bool,
     ) -> ClaimStep {
         if let Some(claim) = state.claim(key) {
-            return ClaimStep::Answer(standing(claim));
+            return ClaimStep::Answer(answer_for(claim));
         }
         if !log_up {
             return ClaimStep::Answer(ClaimAnswer::LogDown);
         }
-        match self.wanted.get_mut(&key) {
-            Some(wanted) if wanted.cancelled => {
-                *wanted = Wanted { since: now, cancelled: false };
+        match self.pending.get_mut(&key) {
+            Some(pending) if pending.cancelled => {
+                *pending = PendingClaim { since: now, cancelled: false };
                 ClaimStep::Wait
             }
             Some(_) => ClaimStep::Answer(ClaimAnswer::Taken(self.daemon.clone())),
             None => {
-                self.wanted.insert(key, Wanted { since: now, cancelled: false });
+                self.pending.insert(key, PendingClaim { since: now, cancelled: false });
                 ClaimStep::Append(key)
             }
         }
     }
 
-    /// Takes what the log decided about a claim of this daemon.
+    /// Applies the log's decision about a claim of this daemon.
     ///
-    /// A claim that was granted after its request had given up is released.
+    /// A claim that is granted after its request was cancelled is released.
     pub fn on_decided(
         &mut self,
         key: ClaimKey,
         outcome: Outcome,
         state: &ReplicatedState,
     ) -> ClaimDecision {
-        let Some(wanted) = self.wanted.remove(&key) else {
+        let Some(pending) = self.pending.remove(&key) else {
             return ClaimDecision::Nothing;
         };
         if outcome.is_err() {
-            let answer = state.claim(key).map_or(ClaimAnswer::LogDown, standing);
-            return if wanted.cancelled {
+            let answer = state.claim(key).map_or(ClaimAnswer::LogDown, answer_for);
+            return if pending.cancelled {
                 ClaimDecision::Nothing
             } else {
                 ClaimDecision::Answer(answer)
             };
         }
-        if wanted.cancelled {
-            ClaimDecision::Release(release(key))
+        if pending.cancelled {
+            ClaimDecision::Release(release_settlement(key))
         } else {
             ClaimDecision::Answer(ClaimAnswer::Granted)
         }
     }
 
-    /// Withdraws a request that sent nothing; returns the settlement where it was granted already.
+    /// Cancels the claim of a request that was not sent to any server.
+    ///
+    /// Returns the settlement that releases the claim if it was granted already.
     pub fn cancel(&mut self, key: ClaimKey, state: &ReplicatedState) -> Option<Settlement> {
-        if let Some(wanted) = self.wanted.get_mut(&key) {
-            wanted.cancelled = true;
+        if let Some(pending) = self.pending.get_mut(&key) {
+            pending.cancelled = true;
             return None;
         }
         let own = state.claim(key).is_some_and(|c| {
             c.daemon == self.daemon && c.incarnation == self.incarnation && c.end.is_none()
         });
-        own.then(|| release(key))
+        own.then(|| release_settlement(key))
     }
 
-    /// Returns the claims that the log left undecided for too long, and cancels them.
+    /// Cancels and returns the claims that the log has not decided within [`CLAIM_TIMEOUT`].
     ///
-    /// Their requests are refused as not run, which is true: a claim that takes effect later is
-    /// released and never leads to a dispatch.
+    /// Their requests are refused with the verdict "did not run". That is correct: a claim that is
+    /// granted later is released, and its request is never dispatched.
     pub fn cancel_overdue(&mut self, now: Duration) -> Vec<ClaimKey> {
         let mut keys = Vec::new();
-        for (key, wanted) in &mut self.wanted {
-            if !wanted.cancelled && now >= wanted.since + CLAIM_TIMEOUT {
-                wanted.cancelled = true;
+        for (key, pending) in &mut self.pending {
+            if !pending.cancelled && now >= pending.since + CLAIM_TIMEOUT {
+                pending.cancelled = true;
                 keys.push(*key);
             }
         }
         keys
     }
 
-    /// Looks all claims up again after a state was taken over whole.
+    /// Checks all pending claims against a state that replaced the earlier one as a whole.
     ///
-    /// Returns the answers, and the records that must be appended again.
+    /// Returns the answers to requests, and the records that must be appended: undecided claims
+    /// again, and releases of claims that were granted after their cancellation.
     pub fn resync(
         &mut self,
         state: &ReplicatedState,
     ) -> (Vec<(ClaimKey, ClaimAnswer)>, Vec<Record>) {
         let mut answers = Vec::new();
         let mut records = Vec::new();
-        let keys: Vec<ClaimKey> = self.wanted.keys().copied().collect();
+        let keys: Vec<ClaimKey> = self.pending.keys().copied().collect();
         for key in keys {
             let Some(claim) = state.claim(key) else {
                 records.push(Record::Claim(key));
@@ -171,11 +174,11 @@
     }
 }
 
-fn release(key: ClaimKey) -> Settlement {
+fn release_settlement(key: ClaimKey) -> Settlement {
     Settlement { key, verdict: Verdict::DidNotRun, answer: None }
 }
 
-fn standing(claim: &Claim) -> ClaimAnswer {
+fn answer_for(claim: &Claim) -> ClaimAnswer {
     match &claim.end {
         Some(end) => ClaimAnswer::Ended(claim.daemon.clone(), end.verdict, end.answer.clone()),
         None => ClaimAnswer::Taken(claim.daemon.clone()),
--- a/lib/src/pending_edits.rs
+++ b/lib/src/pending_edits.rs
@@ -1,4 +1,4 @@
-//! Operators' edits that wait for the log's decision.
+//! Operators' edits that were appended to the log and await its decision.
 
 use std::collections::VecDeque;
 
@@ -6,32 +6,33 @@
 use crate::replicated_state::ReplicatedState;
 use crate::table::Edit;
 
-/// Edits that this daemon has asked the log for.
+/// Edits of one daemon that the log has not decided yet.
 #[derive(Debug, Default)]
 pub struct PendingEdits {
-    waiting: VecDeque<Edit>,
+    pending: VecDeque<Edit>,
 }
 
 impl PendingEdits {
-    /// Takes an edit; returns whether it must be appended.
+    /// Adds an edit; returns whether it must be appended to the log.
     ///
-    /// An edit that the log has decided already is a repeat whose first answer was lost.
+    /// If the log has decided the edit already, the caller retries because it did not receive the
+    /// first answer.
     pub fn add(&mut self, edit: Edit, state: &ReplicatedState) -> bool {
         let is_new = state.edit(&edit.id).is_none();
-        self.waiting.push_back(edit);
+        self.pending.push_back(edit);
         is_new
     }
 
-    /// Returns the edits that the log has decided, and how.
+    /// Removes and returns the edits that the log has decided, with their answers.
     pub fn take_decided(&mut self, state: &ReplicatedState) -> Vec<(Edit, EditAnswer)> {
         let mut decided = Vec::new();
-        for edit in std::mem::take(&mut self.waiting) {
-            let Some(line) = state.edit(&edit.id) else {
-                self.waiting.push_back(edit);
+        for edit in std::mem::take(&mut self.pending) {
+            let Some(entry) = state.edit(&edit.id) else {
+                self.pending.push_back(edit);
                 continue;
             };
-            let answer = match &line.conflict {
-                None => EditAnswer::Accepted(line.position),
+            let answer = match &entry.conflict {
+                None => EditAnswer::Accepted(entry.position),
                 Some(row) => EditAnswer::Conflict(row.clone()),
             };
             decided.push((edit, answer));
