--- a/lib/src/protocol.rs
+++ b/lib/src/protocol.rs
@@ -1,4 +1,5 @@
-//! The border to the platform's manner of speaking: headers, entries and orders as typed values.
+//! The interface to the platform's protocol: parses and writes headers, store entries and orders
+//! as typed values.
 
 use std::fmt;
 use std::time::Duration;
@@ -25,73 +26,73 @@
 /// Id of a caller's attempt, as the caller sent it.
 pub type AttemptId = SmolStr;
 
-/// A record or message that cannot be read.
+/// A record or message that cannot be parsed.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("cannot be read: {0}")]
 pub struct FormatError(pub String);
 
-/// What a caller says beside method, path and body.
+/// What the headers of a caller's request contain.
 #[derive(Clone, Debug, Default)]
 pub struct CallerHeaders {
     /// Id of this attempt.
     pub attempt: Option<AttemptId>,
-    /// For how long the caller will wait.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// Last event of a broken stream that the caller has.
+    /// Last event that the caller received of an interrupted stream.
     pub last_event: Option<u64>,
-    /// The model.
+    /// Name of the model.
     pub model: Option<ModelName>,
     /// The adapter of the model.
     pub adapter: Option<SmolStr>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
 }
 
-/// What a send tells a backend server beside the caller's request.
+/// Headers that a send to a backend server adds to the caller's request.
 #[derive(Clone, Debug)]
 pub struct SendHeaders {
-    /// The one start of the server that is meant.
+    /// The server instance that the request is meant for.
     pub server: ServerId,
-    /// Time that the caller has left.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// Rank in the engine's queue, 0 first.
+    /// Rank in the engine's queue; 0 is served first.
     pub priority: Option<u8>,
-    /// Last event that the caller has of a stream that goes on.
+    /// Last event that the caller received of a stream to be resumed.
     pub resume_after: Option<u64>,
 }
 
-/// What an answer says of its server's limit.
+/// The rate limit in the headers of a server's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum ReportedLimit {
-    /// It names none.
+    /// There is none.
     #[default]
     None,
-    /// It names this one.
+    /// A valid limit.
     Limit(RateLimit),
-    /// It names one that cannot be read.
+    /// The text of a limit that cannot be parsed.
     Unreadable(SmolStr),
 }
 
-/// What a backend server's answer says beside status and body.
+/// What the headers of a backend server's response contain.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseHeaders {
-    /// Id of the attempt that it answers.
+    /// Id of the attempt that the response belongs to.
     pub attempt: Option<AttemptId>,
-    /// The server that answered, where it says so.
+    /// The server instance that sent the response, if it is named.
     pub instance: Option<ServerId>,
-    /// Whether it carries the server's signature.
+    /// Whether the response carries the server's signature header.
     pub signed: bool,
-    /// Whether the server says that the request did not run.
+    /// Whether the server reports that the request did not run.
     pub not_executed: bool,
-    /// The server's load.
+    /// The server's workload, if reported.
     pub load: Option<ReportedWorkload>,
-    /// The limit that the server names.
+    /// The server's rate limit.
     pub limit: ReportedLimit,
-    /// For how long the server keeps the connection open.
+    /// How long the server keeps an idle connection open.
     pub keep_alive: Option<Duration>,
 }
 
-/// What an order does.
+/// Kind of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderKind {
     /// Loads a model or an adapter.
@@ -101,7 +102,7 @@
 }
 
 impl OrderKind {
-    /// Returns its name in logs.
+    /// Returns the name of this kind in log lines.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Load => "load",
@@ -113,15 +114,15 @@
 /// An order to an engine.
 #[derive(Clone, Debug)]
 pub struct EngineOrder {
-    /// What it does.
+    /// Whether to load or to unload.
     pub kind: OrderKind,
     /// The model.
     pub model: ModelName,
-    /// The adapter, where it is about one.
+    /// The adapter, if the order concerns one.
     pub adapter: Option<SmolStr>,
-    /// Orders that the engine must have accepted before.
+    /// Number of orders that the engine must have accepted before this one.
     pub expected_sequence: u64,
-    /// Name of the lease's holder.
+    /// Name of the lease holder.
     pub holder: SmolStr,
     /// Fencing number of the lease.
     pub fence: Fence,
@@ -130,79 +131,81 @@
 /// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderReply {
-    /// It is being carried out.
+    /// The engine carries out the order.
     Accepted,
-    /// It already holds.
+    /// The engine is already in the ordered state.
     Done,
-    /// Another order is under way, or the number of accepted orders differs.
+    /// Another order is in progress, or the number of accepted orders differs.
     Conflict,
     /// The engine has seen a higher fencing number.
     Fenced,
     /// Another server has the address.
     Misdirected,
-    /// Anything else.
+    /// Any other answer.
     Refused,
 }
 
-/// An engine's own report; some hundred milliseconds old.
+/// An engine's own report; its content may be some hundred milliseconds old.
 #[derive(Clone, Debug)]
 pub struct EngineReport {
-    /// What it holds, adapters on their way included: `sequence` counts their orders.
+    /// Loaded models with their adapters. Adapters that are still loading are included, since
+    /// `sequence` counts their orders.
     pub models: Vec<LoadedModel>,
-    /// Copies of weights near its accelerator.
+    /// Local copies of weights, in its host's memory or on its disk.
     pub copies: WeightCopies,
-    /// Whether an order is being carried out.
+    /// Whether the engine is carrying out an order.
     pub busy: bool,
-    /// Orders that it has accepted.
+    /// Number of orders that the engine has accepted.
     pub sequence: u64,
-    /// When it started, where it says so.
+    /// When the engine started, if reported.
     pub born: Option<StartTime>,
 }
 
-/// Reads and writes what callers, backend servers and the platform say.
+/// Parses and writes the messages of callers, backend servers and the platform.
 pub trait Protocol: fmt::Debug {
-    /// Reads a version of the configuration.
+    /// Parses a version of the configuration.
     ///
     /// # Errors
     ///
-    /// The text is not a configuration.
+    /// Returns an error if the text is not a valid configuration.
     fn parse_configuration(&self, raw: &[u8]) -> Result<Configuration, FormatError>;
 
-    /// Reads a backend server's entry.
+    /// Parses the store entry of the backend server `id`.
     ///
     /// # Errors
     ///
-    /// The text is not an entry.
+    /// Returns an error if the text is not a valid entry.
     fn parse_server(&self, id: &str, raw: &[u8]) -> Result<Server, FormatError>;
 
-    /// Reads a caller's terms.
+    /// Parses the headers of a caller's request.
     fn parse_caller_headers(&self, headers: &HeaderMap) -> CallerHeaders;
 
-    /// Turns a caller's headers into those of a send: removes what only the system may set.
+    /// Turns a caller's headers into those of a send, and removes those that only the system may
+    /// set.
     fn set_send_headers(&self, headers: &mut HeaderMap, terms: &SendHeaders);
 
-    /// Reads the terms of a backend server's answer.
+    /// Parses the headers of a backend server's response.
     fn parse_response_headers(&self, head: &response::Parts) -> ResponseHeaders;
 
-    /// Marks an answer of our own with the attempt that it answers.
+    /// Adds the id of the caller's attempt to a response of this daemon.
     fn set_attempt_id(&self, headers: &mut HeaderMap, attempt: &AttemptId);
 
-    /// Returns the path that the platform asks for readiness at.
+    /// Returns the path of the readiness check of the platform.
     fn ready_path(&self) -> &'static str;
 
-    /// Makes the request of an order.
+    /// Builds the HTTP request of an order.
     fn order_request(&self, server: &Server, order: &EngineOrder) -> Request<Bytes>;
 
-    /// Reads the answer to an order.
+    /// Maps the status of an engine's response to the outcome of the order.
     fn order_reply(&self, status: StatusCode) -> OrderReply;
 
-    /// Makes the request for an engine's report.
+    /// Builds the HTTP request for an engine's report.
     fn report_request(&self, server: &Server) -> Request<Bytes>;
 
-    /// Reads an engine's report.
+    /// Parses an engine's report.
     ///
     /// # Errors
     ///
-    /// The text is not a report.
+    /// Returns an error if the text is not a valid report.
     fn parse_report(&self, raw: &[u8]) -> Result<EngineReport, FormatError>;
 }
