--- a/lib/src/record.rs
+++ b/lib/src/record.rs
@@ -1,4 +1,4 @@
-//! What daemons write to the platform's log.
+//! Entries and records that daemons append to the platform's log, in their stored format.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,17 +17,17 @@
 use crate::table::Edit;
 use crate::verdict::Verdict;
 
-/// One entry of the log: records that one daemon appended together.
+/// One entry of the log: records that one daemon appended in one call.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Entry {
     /// The daemon that wrote it.
     pub writer: DaemonId,
-    /// The writer's start count.
+    /// Counts the writer's starts.
     pub incarnation: Incarnation,
-    /// Grows with each new entry of this start. An append whose answer was lost is repeated with
-    /// the same number, and the fold ignores the second.
+    /// Increases with each new entry of this start. An append whose answer was not received is
+    /// retried with the same number, and the fold ignores the second copy.
     pub sequence: u64,
-    /// The records. Invariant: at most [`crate::ids::MAX_BATCH`].
+    /// Invariant: at most [`crate::ids::MAX_BATCH`].
     pub records: Vec<Record>,
 }
 
@@ -36,40 +36,41 @@
 pub enum Record {
     /// Changes table rows.
     Edit(Edit),
-    /// States what a backend server is; a new incarnation frees all slots of the old one.
+    /// Describes a backend server; a new incarnation frees all slots of the old one.
     Server(ServerFacts),
-    /// The host list no longer has this incarnation of a backend server: its slots are free.
+    /// Frees the slots of an incarnation of a backend server that the host list no longer has.
     Gone(ServerId, Incarnation),
     /// Bids for the lease of a data centre.
     Bid(Bid),
     /// Renews every lease of the writer.
     Renew,
-    /// Gives up the lease of a data centre.
+    /// Releases the lease of a data centre.
     Release(CentreId, Fence),
-    /// Reserves a replica of a model on a backend server, then orders it to load.
+    /// Reserves a slot for a replica of a model on a backend server, before the order to load it.
     Intent(Intent),
     /// Moves a slot to another phase.
     Phase(PhaseChange),
-    /// Frees a slot after a positive report that nothing of it is loaded.
+    /// Frees a slot after its backend server reported that nothing of it is loaded.
     Freed(Freed),
-    /// Claims the right to run a request that may not be repeated.
+    /// Claims the right to run a request that must not run twice.
     Claim(ClaimKey),
-    /// States the end of a claimed request.
+    /// Records the outcome of a claimed request.
     Settle(Settlement),
-    /// Advances the log's own clock, once a period, by whoever comes first.
+    /// Advances the log's clock. Once per period, the record of the daemon that appends first
+    /// counts.
     Tick(u64),
-    /// One part of a snapshot of the fold's state.
+    /// One part of a snapshot of the replicated state.
     Snapshot(SnapshotPart),
 }
 
-/// What a backend server is.
+/// Properties of a backend server.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServerFacts {
-    /// Its name.
+    /// Name of the server in the host list.
     pub id: ServerId,
-    /// Start count of its host.
+    /// Counts the starts of its host.
     pub incarnation: Incarnation,
-    /// Its data centre, whose lease covers it.
+    /// Its data centre. The lease of that data centre covers the server.
     pub centre: CentreId,
     /// Accelerator memory.
     pub memory_mib: Mebibytes,
@@ -82,12 +83,12 @@
 pub struct Bid {
     /// The data centre.
     pub centre: CentreId,
-    /// Position of the last renewal that the bidder has seen; 0 where there was no holder. The
-    /// bid is valid only if no renewal lies between.
+    /// Position of the last renewal that the bidder has read; 0 if there was no holder. The bid is
+    /// valid only if there is no renewal between that position and the bid.
     pub seen: Position,
 }
 
-/// A decision to keep a replica of a model on a backend server.
+/// A decision to load a replica of a model on a backend server.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Intent {
     /// The model.
@@ -98,7 +99,7 @@
     pub incarnation: Incarnation,
     /// Fencing number of the writer's lease.
     pub fence: Fence,
-    /// Where the load will read its checkpoint.
+    /// Where the load is planned to read its checkpoint.
     pub source: Source,
 }
 
@@ -110,36 +111,36 @@
     Memory,
     /// The backend server's disk.
     Disk,
-    /// The weight store, whose rate all loads share.
+    /// The weight store; all loads from it share its bandwidth.
     Remote,
 }
 
-/// What is known of a slot.
+/// Phase of a slot.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Phase {
-    /// Count and memory are taken, and nothing is loaded.
+    /// The replica is counted and its memory is taken, but nothing is loaded.
     Reserved,
-    /// An order to load was or will be sent; the checkpoint comes from this source.
+    /// An order to load was or will be sent; the checkpoint is read from this source.
     Loading(Source),
     /// The engine reported the model loaded.
     Loaded,
-    /// Routers send no new request; it will be unloaded.
+    /// Routers send it no new requests; it will be unloaded.
     Draining,
 }
 
 impl Phase {
-    /// Returns whether an order to load may be under way.
+    /// Returns whether an order to load may be in progress.
     pub fn is_loading(self) -> bool {
         matches!(self, Self::Loading(_))
     }
 
-    /// Returns whether the slot is on its way to another phase.
+    /// Returns whether the slot is being loaded or unloaded.
     pub fn is_transitional(self) -> bool {
         matches!(self, Self::Loading(_) | Self::Draining)
     }
 }
 
-/// A slot's change of phase.
+/// A change of the phase of a slot.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PhaseChange {
     /// The slot.
@@ -150,52 +151,52 @@
     pub phase: Phase,
 }
 
-/// Statement that a slot holds nothing any more.
+/// The release of a slot that holds nothing any more.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Freed {
     /// The slot.
     pub slot: SlotId,
     /// Fencing number of the writer's lease.
     pub fence: Fence,
-    /// Whether the host list said that the daemon that gave the last order is gone. Needed on a
-    /// backend server that ignores fencing numbers, where a late order of another daemon may
-    /// still arrive.
+    /// Whether the daemon that gave the last order is no longer in the host list. Required if the
+    /// backend server ignores fencing numbers, since a late order of another daemon may still
+    /// arrive there.
     pub orderer_gone: bool,
 }
 
-/// End of a claimed request.
+/// The outcome of a claimed request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Settlement {
     /// The claim.
     pub key: ClaimKey,
-    /// What is known. [`Verdict::DidNotRun`] releases the claim.
+    /// Whether the request ran; [`Verdict::DidNotRun`] releases the claim.
     pub verdict: Verdict,
-    /// The answer, where it is small enough to keep.
+    /// The response, if it is small enough to keep.
     pub answer: Option<StoredResponse>,
 }
 
-/// An answer of a plain service, kept for a repeat of the same request.
+/// A response of a plain service, kept to answer retries of the same request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredResponse {
     /// HTTP status code.
     pub status: u16,
     /// `Content-Type` of the body.
     pub content_type: String,
-    /// The body.
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
 /// One part of a snapshot.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SnapshotPart {
-    /// The snapshot holds the state before this offset.
+    /// The snapshot contains the state before the entry at this offset.
     pub at: Offset,
-    /// Number of this part, from 0.
+    /// Index of this part, from 0.
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts of the snapshot.
     pub parts: u32,
-    /// Hash of the whole state, by which parts of one snapshot are joined.
+    /// Hash of the whole state; parts with the same hash belong to one snapshot.
     pub hash: u64,
-    /// The bytes.
+    /// Slice of the encoded state.
     pub bytes: Vec<u8>,
 }
--- a/lib/src/replicated_state.rs
+++ b/lib/src/replicated_state.rs
@@ -1,4 +1,4 @@
-//! What the log says, as every daemon that has read it to the same place knows it.
+//! The state that each daemon computes from the log; it is equal on all daemons at the same offset.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -26,61 +26,61 @@
 use crate::table::Table;
 use crate::verdict::Verdict;
 
-/// A lease of a data centre's backend servers.
+/// The right to give orders to the backend servers of a data centre.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Lease {
-    /// The holder.
+    /// Daemon that holds the lease.
     pub daemon: DaemonId,
-    /// The holder's start count.
+    /// Counts the holder's starts.
     pub incarnation: Incarnation,
-    /// Position of the record that granted it. Invariant: grows with each holder.
+    /// Position of the record that granted the lease. Invariant: increases with each holder.
     pub fence: Fence,
-    /// Position of the last renewal, at first of the grant.
+    /// Position of the last renewal, initially of the grant.
     pub renewed: Position,
 }
 
 /// A claimed request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
-    /// Daemon that may run it. Invariant: never changes while the claim stands.
+    /// Daemon that may run the request. Invariant: never changes while the claim exists.
     pub daemon: DaemonId,
-    /// That daemon's start count.
+    /// Counts the starts of that daemon.
     pub incarnation: Incarnation,
-    /// Log time at which it was claimed, in ticks.
+    /// Log time of the claim, in ticks.
     pub tick: u64,
-    /// How it ended, once known.
+    /// Outcome of the request; `None` until it is settled.
     pub end: Option<ClaimEnd>,
 }
 
-/// How a claimed request ended.
+/// The outcome of a claimed request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimEnd {
-    /// What is known. Invariant: not [`Verdict::DidNotRun`], which releases the claim.
+    /// Whether the request ran. Invariant: not [`Verdict::DidNotRun`], which releases the claim.
     pub verdict: Verdict,
-    /// The answer, where it was small enough.
+    /// The response, if it was small enough to keep.
     pub answer: Option<StoredResponse>,
 }
 
-/// A line of the table's history.
+/// One edit in the history of the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HistoryEntry {
     /// The edit's id.
     pub id: SmolStr,
-    /// Who made it.
+    /// Operator who made the edit.
     pub author: SmolStr,
-    /// Where it stands in the log.
+    /// Position of the edit in the log.
     pub position: Position,
-    /// The rows it names.
+    /// Rows that the edit names.
     pub rows: Vec<ModelName>,
-    /// Row that conflicted; none where the edit was accepted.
+    /// Row that conflicted; `None` if the edit was accepted.
     pub conflict: Option<ModelName>,
 }
 
-/// Most lines of history kept. Invariant of deduplication: an edit is repeated by its writer long
-/// before this many others follow it.
+/// Most history entries that are kept. Deduplication relies on this: a writer retries an edit long
+/// before this many other edits follow it.
 pub const MAX_HISTORY: usize = 4096;
 
-/// State that the fold computes. Two daemons at the same offset have equal states.
+/// State that the fold computes. Invariant: two daemons at the same offset have equal states.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ReplicatedState {
     /// Offset of the next entry to read.
@@ -93,11 +93,11 @@
     pub servers: BTreeMap<ServerId, ServerFacts>,
     /// Leases by data centre.
     pub leases: BTreeMap<CentreId, Lease>,
-    /// Slots that are taken.
+    /// Slots in use.
     pub slots: Slots,
-    /// Requests that may not be repeated.
+    /// Claims of requests that must not run twice.
     pub claims: BTreeMap<ClaimKey, Claim>,
-    /// Claims in the order in which they expire.
+    /// Log time and key of each claim, in the order in which the claims expire.
     pub expiry: VecDeque<(u64, ClaimKey)>,
     /// Last entry of each writer.
     pub writers: BTreeMap<DaemonId, WriterState>,
@@ -108,28 +108,28 @@
 /// Last entry of one writer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WriterState {
-    /// The writer's start count.
+    /// Counts the writer's starts.
     pub incarnation: Incarnation,
     /// Sequence number of its last entry.
     pub sequence: u64,
-    /// Log time of it, in ticks.
+    /// Log time of its last entry, in ticks.
     pub tick: u64,
 }
 
-/// Least seconds between two ticks of the log's clock.
+/// Minimum time between two ticks of the log's clock, in seconds.
 pub const TICK_PERIOD_S: u64 = 60;
-/// Ticks for which a claim is kept: a repeat within this time is recognized.
+/// Ticks for which a claim is kept; a retry of its request is recognized within this time.
 pub const CLAIM_TTL_TICKS: u64 = 24 * 60;
-/// Ticks after which a silent writer is forgotten.
+/// Ticks after which a writer that appended nothing is removed from the state.
 pub const WRITER_TTL_TICKS: u64 = 3 * 24 * 60;
 
 impl ReplicatedState {
-    /// Returns the slots of `model`, with their identities.
+    /// Returns the slots of `model` with their ids.
     pub fn slots_of<'a>(&'a self, model: &'a str) -> impl Iterator<Item = (SlotId, &'a Slot)> + 'a {
         self.slots.of_model(model)
     }
 
-    /// Returns the memory of `server` that slots have taken.
+    /// Returns the memory of `server` that its slots use.
     pub fn memory_used(&self, server: &str) -> Mebibytes {
         self.slots.on_server(server).map(|(_, s)| s.memory_mib).sum()
     }
@@ -144,13 +144,13 @@
         xxh3_64(&crate::wire::encode(self))
     }
 
-    /// Returns where the claimed request stands.
+    /// Returns the claim `key`; `None` if it was never made, was released or has expired.
     pub fn claim(&self, key: ClaimKey) -> Option<&Claim> {
         self.claims.get(&key)
     }
 
-    /// Returns the history line of the edit `id`.
+    /// Returns the history entry of the edit `id`.
     pub fn edit(&self, id: &str) -> Option<&HistoryEntry> {
-        self.history.iter().rev().find(|line| line.id == id)
+        self.history.iter().rev().find(|entry| entry.id == id)
     }
 }
