--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a replica.
+//! The bounded queue of requests that wait for a replica.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,38 +11,38 @@
 use crate::ids::ModelName;
 
 new_key_type! {
-    /// Identity of a waiting request.
+    /// Identifies a waiting request in its [`Queue`].
     pub struct WaiterKey;
 }
 
 /// A request that waits.
 #[derive(Clone, Debug)]
 pub struct Waiter {
-    /// The model.
+    /// Model that the request needs.
     pub model: ModelName,
-    /// Higher is served first and refused last.
+    /// Requests of higher priority are served first and refused last.
     pub priority: u8,
-    /// When the caller needs its answer to begin.
+    /// When the response must begin, as time since the daemon's start.
     pub deadline: Duration,
 }
 
 /// Why a request is refused instead of waiting.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QueueRefusal {
-    /// The queue is full of requests that are no less important.
+    /// The queue is full, and no request in it has a lower priority.
     Full,
-    /// A more important request took its place.
+    /// A request of higher priority took its place.
     Displaced,
-    /// The expected time is past its deadline.
+    /// The expected wait ends after its deadline.
     TooLate,
-    /// Its deadline came.
+    /// Its deadline passed.
     Expired,
     /// The daemon is stopping.
     Stopping,
 }
 
 impl QueueRefusal {
-    /// Returns the word for log lines and error bodies.
+    /// Returns the reason code for log lines and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Full => "queue-full",
@@ -54,40 +54,41 @@
     }
 }
 
-/// What became of an attempt to wait.
+/// Result of [`Queue::enqueue`].
 #[derive(Debug)]
 pub enum EnqueueResult {
-    /// It waits; this other request was displaced.
+    /// The request waits; the second key is the request that it displaced, if any.
     Queued(WaiterKey, Option<WaiterKey>),
-    /// It does not.
+    /// The request is refused.
     Refused(QueueRefusal),
 }
 
-/// Waiting requests of one daemon, bounded for each model.
+/// Waiting requests of one daemon, with a maximum for each model.
 #[derive(Debug)]
 pub struct Queue {
-    bound: usize,
+    max_per_model: usize,
     waiters: SlotMap<WaiterKey, Waiter>,
     models: BTreeMap<ModelName, Vec<WaiterKey>>,
 }
 
 impl Queue {
-    /// Creates a queue of at most `bound` requests for each model.
-    pub fn new(bound: usize) -> Self {
-        Self { bound, waiters: SlotMap::with_key(), models: BTreeMap::new() }
+    /// Creates a queue of at most `max_per_model` requests for each model.
+    pub fn new(max_per_model: usize) -> Self {
+        Self { max_per_model, waiters: SlotMap::with_key(), models: BTreeMap::new() }
     }
 
-    /// Lets a request wait, unless `expected` is past its deadline or the queue is full.
+    /// Adds a request, unless the wait of `expected` would end after its deadline or the queue is
+    /// full.
     ///
-    /// A full queue displaces its least important request, the latest deadline first among equals,
-    /// if the new one is more important.
+    /// A full queue displaces its request of the lowest priority, and among equals the one with the
+    /// latest deadline, if the new request has a higher priority.
     pub fn enqueue(&mut self, now: Duration, waiter: Waiter, expected: Duration) -> EnqueueResult {
         if now + expected > waiter.deadline {
             return EnqueueResult::Refused(QueueRefusal::TooLate);
         }
         let keys = self.models.entry(waiter.model.clone()).or_default();
         let mut displaced = None;
-        if keys.len() >= self.bound {
+        if keys.len() >= self.max_per_model {
             let waiters = &self.waiters;
             let least = (0..keys.len())
                 .min_by_key(|i| (waiters[keys[*i]].priority, Reverse(waiters[keys[*i]].deadline)));
@@ -103,7 +104,7 @@
         EnqueueResult::Queued(key, displaced)
     }
 
-    /// Returns how many requests would get their turn before `waiter`.
+    /// Returns how many requests are served before `waiter`.
     pub fn ahead(&self, waiter: &Waiter) -> usize {
         let own = (Reverse(waiter.priority), waiter.deadline);
         let keys = self.models.get(&waiter.model).map_or(&[][..], Vec::as_slice);
@@ -125,7 +126,7 @@
         true
     }
 
-    /// Returns the next request for `model`: the most important, then the nearest deadline.
+    /// Returns the next request for `model`: highest priority first, then earliest deadline.
     pub fn first(&self, model: &str) -> Option<WaiterKey> {
         let keys = self.models.get(model)?;
         keys.iter()
@@ -133,14 +134,14 @@
             .min_by_key(|k| (Reverse(self.waiters[*k].priority), self.waiters[*k].deadline))
     }
 
-    /// Removes and returns the requests whose deadline has come.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn expire(&mut self, now: Duration) -> Vec<WaiterKey> {
-        let late: Vec<WaiterKey> =
+        let expired: Vec<WaiterKey> =
             self.waiters.iter().filter(|(_, w)| w.deadline <= now).map(|(k, _)| k).collect();
-        for key in &late {
+        for key in &expired {
             self.remove(*key);
         }
-        late
+        expired
     }
 
     /// Returns the models that requests wait for.
@@ -148,12 +149,12 @@
         self.models.keys().cloned().collect()
     }
 
-    /// Returns all waiting requests.
+    /// Returns the keys of all waiting requests.
     pub fn keys(&self) -> Vec<WaiterKey> {
         self.waiters.keys().collect()
     }
 
-    /// Returns what to tell the lease holders.
+    /// Returns the demand of each model, which is reported to the lease holders.
     pub fn demand(&self) -> Vec<WaitingRequests> {
         self.models
             .iter()
--- a/lib/src/request_limits.rs
+++ b/lib/src/request_limits.rs
@@ -4,17 +4,17 @@
 
 use crate::ids::CallerId;
 
-/// Why a request is not taken in.
+/// The limit that a refused request would exceed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestLimit {
-    /// The daemon has as many requests as it may.
+    /// The daemon has reached its limit.
     Daemon,
-    /// The caller has as many requests as one caller may.
+    /// The caller has reached the limit for one caller.
     Caller,
 }
 
 impl RequestLimit {
-    /// Returns the word for log lines and error bodies.
+    /// Returns the reason code for log lines and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Daemon => "daemon-limit",
@@ -23,32 +23,32 @@
     }
 }
 
-/// Requests in progress.
+/// Counts of requests in progress, with their limits.
 #[derive(Debug)]
 pub struct RequestLimits {
     total: u32,
-    most: u32,
-    share: u32,
+    max_total: u32,
+    max_per_caller: u32,
     callers: BTreeMap<CallerId, u32>,
 }
 
 impl RequestLimits {
-    /// Allows `most` requests at once, and `share` of one caller.
-    pub fn new(most: u32, share: u32) -> Self {
-        Self { total: 0, most, share, callers: BTreeMap::new() }
+    /// Allows `max_total` concurrent requests in total and `max_per_caller` for each caller.
+    pub fn new(max_total: u32, max_per_caller: u32) -> Self {
+        Self { total: 0, max_total, max_per_caller, callers: BTreeMap::new() }
     }
 
-    /// Takes a request in.
+    /// Counts a new request in progress.
     ///
     /// # Errors
     ///
-    /// Names the limit that is reached.
+    /// Returns the limit that is reached; the request is not counted then.
     pub fn acquire(&mut self, caller: &CallerId) -> Result<(), RequestLimit> {
-        if self.total >= self.most {
+        if self.total >= self.max_total {
             return Err(RequestLimit::Daemon);
         }
         let count = self.callers.entry(caller.clone()).or_default();
-        if *count >= self.share {
+        if *count >= self.max_per_caller {
             return Err(RequestLimit::Caller);
         }
         *count += 1;
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Notes the end of a request that [`RequestLimits::acquire`] took in.
+    /// Records the end of a request that [`RequestLimits::acquire`] counted.
     pub fn release(&mut self, caller: &CallerId) {
         self.total = self.total.saturating_sub(1);
         if let Some(count) = self.callers.get_mut(caller) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns the requests in progress.
+    /// Returns the number of requests in progress.
     pub fn total(&self) -> u32 {
         self.total
     }
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -1,11 +1,13 @@
-//! How many retries a daemon may add to the load of its backend servers.
+//! The retry budget, which limits the extra requests that a daemon's retries send to backend
+//! servers.
 
-/// Retries allowed for each first attempt, on average.
-const SHARE: f64 = 0.1;
-/// Retries that may be saved up.
-const BURST: f64 = 50.0;
+/// Average number of retries allowed for each first attempt.
+const RETRIES_PER_ATTEMPT: f64 = 0.1;
+/// Most unused retries that the budget accumulates.
+const MAX_SAVED_RETRIES: f64 = 50.0;
 
-/// A budget of retries: without it a failing fleet would get its load twice when it can bear least.
+/// A token bucket of retries. Without it, retries would double the requests to a failing fleet when
+/// it has the least capacity.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -13,17 +15,17 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { tokens: BURST }
+        Self { tokens: MAX_SAVED_RETRIES }
     }
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Records a first attempt, which adds to the budget.
     pub fn record_first(&mut self) {
-        self.tokens = (self.tokens + SHARE).min(BURST);
+        self.tokens = (self.tokens + RETRIES_PER_ATTEMPT).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes a retry from the budget; returns whether there was one.
+    /// Takes a retry from the budget; returns `false` if the budget is used up.
     pub fn take_retry(&mut self) -> bool {
         let allowed = self.tokens >= 1.0;
         if allowed {
