--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -1,4 +1,4 @@
-//! The choice of a replica for a request.
+//! Chooses a replica for a request, by workload, prompt prefix and recent failures.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,23 +16,26 @@
 use crate::routing_view::Replica;
 use crate::routing_view::RoutingView;
 
-/// What an engine said of other daemons' requests fades over this time.
-const LOAD_FRESH: Duration = Duration::from_millis(500);
-/// How far above the mean load the server of a prompt prefix may be, in requests.
+/// Time over which the reported workload of other daemons decays to zero.
+const WORKLOAD_DECAY: Duration = Duration::from_millis(500);
+/// How far the workload of the server preferred for a prompt prefix may exceed the mean, in
+/// requests.
 const AFFINITY_SLACK: u32 = 2;
-/// A replica that was not there is asked again after this time.
-const MISSING: Duration = Duration::from_secs(1);
-/// A backend server that said it leaves is left alone this long, until the host list shows it.
-const LEAVING: Duration = Duration::from_mins(2);
+/// Time for which a replica is not used after its engine reported that the model is not loaded.
+const MISSING_BACKOFF: Duration = Duration::from_secs(1);
+/// Time for which a backend server gets no requests after it reported that it is leaving; the host
+/// list shows it by then.
+const LEAVING_BACKOFF: Duration = Duration::from_mins(2);
 
-/// What a request asks of the router.
+/// What the router needs to know about a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
     /// The model or plain service.
     pub model: &'a str,
-    /// Hash of the prompt's beginning, by which an engine's prefix cache is reused.
+    /// Hash of the beginning of the prompt. Requests with the same hash go to the same engine, to
+    /// reuse its prefix cache.
     pub prefix: Option<u64>,
-    /// Backend servers that were tried already.
+    /// Backend servers that were tried already and are not chosen again.
     pub tried: &'a [ServerId],
 }
 
@@ -41,55 +44,59 @@
 pub struct Route {
     /// The backend server.
     pub server: ServerId,
-    /// Where it answers.
+    /// Address of the backend server.
     pub addr: SocketAddr,
-    /// Why it was chosen.
+    /// Why the replica was chosen, for log lines.
     pub reason: &'static str,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Load {
+struct Workload {
     /// Requests of this daemon in progress.
     own: u32,
-    /// Requests of other daemons in progress by the engine's last word, and when it came.
+    /// Requests of other daemons in progress by the engine's last report, and the time of the
+    /// report.
     others: Option<(Duration, u32)>,
 }
 
-/// Loads of replicas, and backend servers that failed.
+/// Workloads of replicas, and backend servers that cannot be used for now.
 #[derive(Debug)]
 pub struct Router {
     centre: CentreId,
     rng: ChaCha8Rng,
-    loads: BTreeMap<(ServerId, ModelName), Load>,
-    suspects: BTreeMap<ServerId, FailureBackoff>,
+    workloads: BTreeMap<(ServerId, ModelName), Workload>,
+    backoffs: BTreeMap<ServerId, FailureBackoff>,
     leaving: BTreeMap<ServerId, Duration>,
-    /// Replicas that turned out not to be there, and when.
+    /// Replicas whose engine reported that the model is not loaded, and when.
     missing: BTreeMap<(ServerId, ModelName), Duration>,
 }
 
-/// Returns how many of other daemons' requests are still counted after `age`.
+/// Returns how many of `count` reported requests of other daemons still count after `age`.
 ///
-/// They end unseen. Counted in full until the next word, they would keep a replica full that is
-/// empty, and the queue waiting; an engine that is full after all refuses at no cost.
-fn fade(age: Duration, count: u32) -> u32 {
-    let left = 1.0 - age.as_secs_f64() / LOAD_FRESH.as_secs_f64();
+/// This daemon does not see them end. If they counted in full until the next report, an idle
+/// replica could appear full and keep requests in the queue. A full engine refuses a request at no
+/// cost.
+fn decayed_count(age: Duration, count: u32) -> u32 {
+    let left = 1.0 - age.as_secs_f64() / WORKLOAD_DECAY.as_secs_f64();
     (f64::from(count) * left.max(0.0)) as u32
 }
 
 impl Router {
-    /// Creates a router of a daemon in `centre`.
+    /// Creates the router of a daemon in `centre`; `seed` makes its random choices reproducible.
     pub fn new(centre: CentreId, seed: u64) -> Self {
         Self {
             centre,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            loads: BTreeMap::new(),
-            suspects: BTreeMap::new(),
+            workloads: BTreeMap::new(),
+            backoffs: BTreeMap::new(),
             leaving: BTreeMap::new(),
             missing: BTreeMap::new(),
         }
     }
 
-    /// Chooses a replica with room, and counts the request there until [`Router::record_end`].
+    /// Chooses a replica with free capacity, preferably in the own data centre.
+    ///
+    /// Counts the request at the replica until [`Router::record_end`].
     pub fn choose(
         &mut self,
         now: Duration,
@@ -102,83 +109,86 @@
             .iter()
             .filter(|r| !route_request.tried.contains(&r.server))
             .filter(|r| self.is_usable(now, &r.server, route_request.model))
-            .filter(|r| self.load(now, &r.server, route_request.model) < limit)
+            .filter(|r| self.workload(now, &r.server, route_request.model) < limit)
             .collect();
         let local: Vec<&Replica> =
             usable.iter().copied().filter(|r| r.centre == self.centre).collect();
-        let near = if local.is_empty() { &usable } else { &local };
-        let (replica, reason) = self.pick(now, near, route_request)?;
+        let candidates = if local.is_empty() { &usable } else { &local };
+        let (replica, reason) = self.pick_replica(now, candidates, route_request)?;
         let key = (replica.server.clone(), ModelName::from(route_request.model));
-        self.loads.entry(key).or_default().own += 1;
+        self.workloads.entry(key).or_default().own += 1;
         Some(Route { server: replica.server.clone(), addr: replica.addr, reason })
     }
 
-    /// Returns how many more requests the replicas of `model` have room for.
+    /// Returns how many more requests the replicas of `model` can accept.
     pub fn free_capacity(&self, now: Duration, view: &RoutingView, model: &str) -> u32 {
         let limit = view.table.row(model).map_or(0, |row| row.limit);
         view.replicas_of(model)
             .iter()
             .filter(|r| self.is_usable(now, &r.server, model))
-            .map(|r| limit.saturating_sub(self.load(now, &r.server, model)))
+            .map(|r| limit.saturating_sub(self.workload(now, &r.server, model)))
             .sum()
     }
 
-    fn pick<'r>(
+    fn pick_replica<'r>(
         &mut self,
         now: Duration,
-        places: &[&'r Replica],
+        replicas: &[&'r Replica],
         route_request: RouteRequest<'_>,
     ) -> Option<(&'r Replica, &'static str)> {
-        match places {
+        match replicas {
             [] => return None,
             [only] => return Some((*only, "only replica with room")),
             _ => {}
         }
-        let load = |r: &Replica| self.load(now, &r.server, route_request.model);
+        let workload = |r: &Replica| self.workload(now, &r.server, route_request.model);
         if let Some(prefix) = route_request.prefix {
             let score = |r: &&&Replica| xxh3_64_with_seed(r.server.as_bytes(), prefix);
-            let home = places.iter().max_by_key(score)?;
-            let mean = places.iter().map(|r| load(r)).sum::<u32>() / places.len() as u32;
-            if load(home) <= mean + AFFINITY_SLACK {
-                return Some((*home, "prefix is cached there"));
+            let preferred = replicas.iter().max_by_key(score)?;
+            let mean = replicas.iter().map(|r| workload(r)).sum::<u32>() / replicas.len() as u32;
+            if workload(preferred) <= mean + AFFINITY_SLACK {
+                return Some((*preferred, "prefix is cached there"));
             }
         }
-        // Two random choices: the lesser load, without all daemons running to the same server.
-        let a = self.rng.random_range(0..places.len());
-        let b = (a + self.rng.random_range(1..places.len())) % places.len();
-        let load = |i: usize| self.load(now, &places[i].server, route_request.model);
-        let chosen = if load(a) <= load(b) { a } else { b };
-        Some((places[chosen], "less loaded of two"))
+        // The less loaded of two random replicas: if all daemons chose the least loaded replica,
+        // they would choose the same server.
+        let a = self.rng.random_range(0..replicas.len());
+        let b = (a + self.rng.random_range(1..replicas.len())) % replicas.len();
+        let workload = |i: usize| self.workload(now, &replicas[i].server, route_request.model);
+        let chosen = if workload(a) <= workload(b) { a } else { b };
+        Some((replicas[chosen], "less loaded of two"))
     }
 
     fn is_usable(&self, now: Duration, server: &str, model: &str) -> bool {
-        let suspected = self.suspects.get(server).is_some_and(|s| s.is_active(now));
-        let leaving = self.leaving.get(server).is_some_and(|at| now < *at + LEAVING);
+        let backing_off = self.backoffs.get(server).is_some_and(|s| s.is_active(now));
+        let leaving = self.leaving.get(server).is_some_and(|at| now < *at + LEAVING_BACKOFF);
         let key = (ServerId::from(server), ModelName::from(model));
-        let missing = self.missing.get(&key).is_some_and(|at| now < *at + MISSING);
-        !suspected && !leaving && !missing
+        let missing = self.missing.get(&key).is_some_and(|at| now < *at + MISSING_BACKOFF);
+        !backing_off && !leaving && !missing
     }
 
-    fn load(&self, now: Duration, server: &str, model: &str) -> u32 {
+    fn workload(&self, now: Duration, server: &str, model: &str) -> u32 {
         let key = (ServerId::from(server), ModelName::from(model));
-        let Some(load) = self.loads.get(&key) else {
+        let Some(workload) = self.workloads.get(&key) else {
             return 0;
         };
-        load.own + load.others.map_or(0, |(at, count)| fade(now.saturating_sub(at), count))
+        workload.own
+            + workload.others.map_or(0, |(at, count)| decayed_count(now.saturating_sub(at), count))
     }
 
-    /// Notes the end of a request that [`Router::choose`] counted.
+    /// Records the end of a request that [`Router::choose`] counted.
     pub fn record_end(&mut self, server: &ServerId, model: &ModelName) {
         let key = (server.clone(), model.clone());
-        if let Some(load) = self.loads.get_mut(&key) {
-            load.own = load.own.saturating_sub(1);
-            if load.own == 0 && load.others.is_none() {
-                self.loads.remove(&key);
+        if let Some(workload) = self.workloads.get_mut(&key) {
+            workload.own = workload.own.saturating_sub(1);
+            if workload.own == 0 && workload.others.is_none() {
+                self.workloads.remove(&key);
             }
         }
     }
 
-    /// Notes an answer and what it said of the replica's load.
+    /// Records a response, with the number of requests in progress that the engine reported, if
+    /// any.
     pub fn record_answer(
         &mut self,
         now: Duration,
@@ -186,41 +196,41 @@
         model: &ModelName,
         active: Option<u32>,
     ) {
-        self.suspects.remove(server);
-        if let (Some(active), Some(load)) =
-            (active, self.loads.get_mut(&(server.clone(), model.clone())))
+        self.backoffs.remove(server);
+        if let (Some(active), Some(workload)) =
+            (active, self.workloads.get_mut(&(server.clone(), model.clone())))
         {
-            load.others = Some((now, active.saturating_sub(load.own)));
+            workload.others = Some((now, active.saturating_sub(workload.own)));
         }
     }
 
-    /// Notes a failed connection.
+    /// Records a failed connection.
     pub fn record_failure(&mut self, now: Duration, server: &ServerId) {
-        self.suspects.entry(server.clone()).or_default().record_failure(now);
+        self.backoffs.entry(server.clone()).or_default().record_failure(now);
     }
 
-    /// Notes that a backend server refused work because it leaves.
+    /// Records that a backend server refused a request because it is leaving.
     ///
-    /// The host list lags behind; without this the server would get new work until it shows it.
+    /// The host list is updated later; until then, the server would get new requests without this.
     pub fn mark_leaving(&mut self, now: Duration, server: &ServerId) {
         self.leaving.insert(server.clone(), now);
     }
 
-    /// Notes that an engine refused work because it does not hold the model.
+    /// Records that an engine refused a request because the model is not loaded.
     ///
-    /// Requests wait for a load then; asking again would keep them from being counted as waiting,
-    /// and nobody would load the model.
+    /// Requests then wait for a load. Retrying the engine would keep them from being counted as
+    /// waiting, and the model would not be loaded.
     pub fn mark_missing(&mut self, now: Duration, server: &ServerId, model: &ModelName) {
         self.missing.insert((server.clone(), model.clone()), now);
     }
 
-    /// Forgets what is out of date.
+    /// Removes expired records.
     pub fn expire(&mut self, now: Duration) {
-        self.missing.retain(|_, at| now < *at + MISSING);
-        self.leaving.retain(|_, at| now < *at + LEAVING);
-        self.loads.retain(|_, load| {
-            load.others = load.others.filter(|(at, _)| now < *at + LOAD_FRESH);
-            load.own > 0 || load.others.is_some()
+        self.missing.retain(|_, at| now < *at + MISSING_BACKOFF);
+        self.leaving.retain(|_, at| now < *at + LEAVING_BACKOFF);
+        self.workloads.retain(|_, workload| {
+            workload.others = workload.others.filter(|(at, _)| now < *at + WORKLOAD_DECAY);
+            workload.own > 0 || workload.others.is_some()
         });
     }
 }
--- a/lib/src/routing_view.rs
+++ b/lib/src/routing_view.rs
@@ -1,4 +1,4 @@
-//! What routers see: an immutable picture, replaced whole when something changes.
+//! The immutable view of the fleet that routers use; it is replaced as a whole on each change.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,36 +12,37 @@
 use crate::record::Phase;
 use crate::table::Table;
 
-/// A place where a model or plain service can be called.
+/// A backend server that serves a model or plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Replica {
     /// The backend server.
     pub server: ServerId,
-    /// Where it answers.
+    /// Address for requests.
     pub addr: SocketAddr,
     /// Its data centre.
     pub centre: CentreId,
 }
 
-/// What one daemon's routers know at one moment.
+/// What the routers of one daemon know at one time.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingView {
-    /// The table in force.
+    /// The operators' table at the applied offset of the log.
     pub table: Table,
-    /// Places by model or plain service. Invariant: no leaving and no suspected backend server.
+    /// Replicas by model or plain service. Invariant: none is on a backend server that is leaving
+    /// or suspected to have failed.
     pub replicas: BTreeMap<ModelName, Vec<Replica>>,
-    /// Models that are being loaded somewhere.
+    /// Models that are being loaded; one entry for each load in progress.
     pub loading: Vec<ModelName>,
     /// Addresses of the daemons, by name.
     pub daemons: BTreeMap<ServerId, SocketAddr>,
-    /// Whether the log was read at all.
+    /// Whether the log has been read since the start of the daemon.
     pub ready: bool,
-    /// Whether the log answers.
+    /// Whether the log service answers.
     pub log_up: bool,
 }
 
 impl RoutingView {
-    /// Takes the picture of what `control` knows.
+    /// Creates the view of the current state of `control`.
     pub fn new(control: &Controller, now: Duration) -> Self {
         let mut view = Self {
             table: control.state().table.clone(),
@@ -81,13 +82,13 @@
             addr: member.host.addr,
             centre: member.host.centre.clone(),
         };
-        let places = self.replicas.entry(model.clone()).or_default();
-        if !places.contains(&replica) {
-            places.push(replica);
+        let replicas = self.replicas.entry(model.clone()).or_default();
+        if !replicas.contains(&replica) {
+            replicas.push(replica);
         }
     }
 
-    /// Returns the places of `model`.
+    /// Returns the replicas of `model`.
     pub fn replicas_of(&self, model: &str) -> &[Replica] {
         self.replicas.get(model).map_or(&[], Vec::as_slice)
     }
--- a/lib/src/services.rs
+++ b/lib/src/services.rs
@@ -1,4 +1,4 @@
-//! `/services/<row>/<path>`: calls of plain services.
+//! Handles requests to plain services, at `/services/<row>/<path>`.
 
 use smol_str::SmolStr;
 use tiny_http::Request;
@@ -10,14 +10,14 @@
 use crate::table::RowKind;
 use crate::unary;
 
-/// Beginning of the paths of plain services.
+/// Path prefix of plain services.
 pub const PREFIX: &str = "/services/";
 
-/// Reads a call of a plain service.
+/// Parses a request to a plain service.
 ///
 /// # Errors
 ///
-/// The path names no plain service of the table.
+/// Returns a refusal with status 404 if the path names no plain service of the table.
 pub fn parse_request(
     node: &Node,
     id: SmolStr,
@@ -25,8 +25,8 @@
     options: RequestOptions,
     body: Vec<u8>,
 ) -> Result<CallerRequest, RequestRefusal> {
-    let rest = request.url().strip_prefix(PREFIX).unwrap_or_default();
-    let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
+    let row_and_path = request.url().strip_prefix(PREFIX).unwrap_or_default();
+    let (name, path) = row_and_path.split_once('/').unwrap_or((row_and_path, ""));
     let view = node.view.load();
     let row = view.table.row(name).filter(|r| r.kind == RowKind::Service).cloned();
     let Some(row) = row else {
@@ -37,7 +37,7 @@
     Ok(CallerRequest { path: format!("/{path}"), ..caller_request })
 }
 
-/// Serves a call of a plain service.
+/// Serves a request to a plain service.
 pub fn serve(node: &Node, caller_request: &CallerRequest, request: Request) {
     unary::serve(node, caller_request, request);
 }
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon, from flags and environment variables, checked together at the start.
+//! Settings of a daemon, read from flags and environment variables and validated at its start.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 /// Prefix of the environment variables: `--append-gap` is `COMFREYMUX_APPEND_GAP`.
 pub const ENV_PREFIX: &str = "COMFREYMUX_";
 
-/// One setting that is wrong.
+/// An invalid or missing setting.
 #[derive(Clone, Debug, Diagnostic, Eq, Error, PartialEq)]
 #[error("--{flag} (or {ENV_PREFIX}{env}): {message}")]
 pub struct SettingFault {
@@ -23,37 +23,37 @@
     pub flag: &'static str,
     /// The environment variable without its prefix.
     pub env: String,
-    /// What is wrong and what is allowed.
+    /// What is wrong with the value and which values are allowed.
     pub message: String,
 }
 
-/// All settings that are wrong.
+/// All invalid or missing settings.
 #[derive(Debug, Diagnostic, Error)]
 #[error("{} setting(s) cannot be used", faults.len())]
 pub struct SettingsError {
-    /// The faults.
+    /// One fault for each setting; not empty.
     #[related]
     pub faults: Vec<SettingFault>,
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of this daemon.
+    /// Name of the daemon.
     pub id: DaemonId,
     /// Its data centre.
     pub centre: CentreId,
-    /// Where callers and operators connect.
+    /// Address that callers and operators connect to.
     pub listen_addr: SocketAddr,
-    /// Where other daemons connect, over UDP and TCP.
+    /// Address that other daemons connect to, over UDP and TCP.
     pub peer_addr: SocketAddr,
     /// Base URL of the log service.
     pub log_url: String,
     /// Base URL of the host list.
     pub hosts_url: String,
-    /// A backend server that is silent for this long in a response has stalled.
+    /// A response has stalled if the backend server sends no bytes for this time.
     pub idle_timeout: Duration,
-    /// Deadline of a request that names none.
+    /// Time until the deadline of a request that sets none.
     pub default_deadline: Duration,
     /// Most requests that wait for one model.
     pub max_queue: usize,
@@ -63,35 +63,35 @@
     pub caller_requests: u32,
     /// Largest request body, in bytes.
     pub max_body: usize,
-    /// Least time between two appends; records are grouped meanwhile.
+    /// Minimum time between two appends; records that arrive meanwhile are appended together.
     pub append_gap: Duration,
-    /// How keep-warm times are chosen.
+    /// How long replicas stay loaded without requests.
     pub keep_warm: KeepWarmPolicy,
-    /// Time between load reports of one backend server.
+    /// Time between polls of one backend server for its report.
     pub poll_interval: Duration,
-    /// Longest time that a stop waits for requests in progress.
+    /// Longest time that a graceful stop waits for requests in progress.
     pub drain_timeout: Duration,
     /// File that control events are written to, for `comfreymux replay`.
     pub trace_path: Option<PathBuf>,
 }
 
-/// Where settings come from: a flag's text by its name, then the environment.
+/// Source of the texts of settings: flags first, then environment variables.
 pub trait FlagSource {
-    /// Returns the text given for `flag`.
+    /// Returns the text given for `flag`, which is named without its dashes.
     fn text(&self, flag: &str) -> Option<String>;
 }
 
-/// Returns the environment variable that stands for `flag`, without its prefix.
+/// Returns the name of the environment variable for `flag`, without [`ENV_PREFIX`].
 pub fn env_name(flag: &str) -> String {
     flag.to_uppercase().replace('-', "_")
 }
 
-struct Reader<'a> {
+struct SettingsReader<'a> {
     source: &'a dyn FlagSource,
     faults: Vec<SettingFault>,
 }
 
-impl Reader<'_> {
+impl SettingsReader<'_> {
     fn fault(&mut self, flag: &'static str, message: String) {
         self.faults.push(SettingFault { flag, env: env_name(flag), message });
     }
@@ -157,7 +157,7 @@
     }
 }
 
-/// Parses a time such as `250ms`, `10s` or `5m`.
+/// Parses a duration such as `250ms`, `10s` or `5m`.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let digits = text.find(|c: char| !c.is_ascii_digit())?;
     let number: u64 = text[..digits].parse().ok()?;
@@ -176,17 +176,17 @@
     parse_duration(text).map(KeepWarmPolicy::Fixed)
 }
 
-const MS: Duration = Duration::from_millis(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
 const HOUR: Duration = Duration::from_hours(1);
 
 impl Settings {
-    /// Reads and checks all settings.
+    /// Reads and validates all settings.
     ///
     /// # Errors
     ///
-    /// Names every setting that is missing or not allowed.
+    /// Returns a fault for each setting that is missing or not allowed.
     pub fn from_source(source: &dyn FlagSource) -> Result<Self, SettingsError> {
-        let mut r = Reader { source, faults: Vec::new() };
+        let mut r = SettingsReader { source, faults: Vec::new() };
         let settings = Self::read_all(&mut r);
         match settings {
             Some(settings) if r.faults.is_empty() => Ok(settings),
@@ -194,7 +194,7 @@
         }
     }
 
-    fn read_all(r: &mut Reader<'_>) -> Option<Self> {
+    fn read_all(r: &mut SettingsReader<'_>) -> Option<Self> {
         // Everything is read before the first `?`, so that all faults are reported together.
         let id = r.name("id");
         let centre = r.name("centre");
@@ -202,17 +202,17 @@
         let peer = r.addr("peer", "127.0.0.1:8081");
         let log = r.url("log");
         let hosts = r.url("hosts");
-        let idle = r.duration("idle-timeout", "10s", 10 * MS, HOUR);
-        let deadline = r.duration("deadline", "60s", 10 * MS, HOUR);
+        let idle = r.duration("idle-timeout", "10s", 10 * MILLISECOND, HOUR);
+        let deadline = r.duration("deadline", "60s", 10 * MILLISECOND, HOUR);
         let queue = r.number("queue", "256", 100_000);
         let requests = r.number("requests", "4096", 100_000);
         let share = r.number("caller-requests", "1024", 100_000);
         let body = r.number("body-kib", "4096", 1 << 20);
-        let gap = r.duration("append-gap", "20ms", MS, 1000 * MS);
+        let gap = r.duration("append-gap", "20ms", MILLISECOND, 1000 * MILLISECOND);
         let policy =
             r.read("keep-warm", "learned", "`learned`, or a time such as 600s", parse_policy);
-        let poll = r.duration("poll", "1s", 10 * MS, HOUR);
-        let drain = r.duration("drain", "60s", MS, HOUR);
+        let poll = r.duration("poll", "1s", 10 * MILLISECOND, HOUR);
+        let drain = r.duration("drain", "60s", MILLISECOND, HOUR);
         let trace = r.source.text("trace").map(PathBuf::from);
         Some(Self {
             id: id?,
