--- a/lib/src/node.rs
+++ b/lib/src/node.rs
@@ -55,8 +55,8 @@
     GetState(flume::Sender<ReplicatedState>),
     /// Requests the log entries from this offset on; the answer is `None` if they are not kept.
     GetEntries(Offset, flume::Sender<Option<Vec<(Offset, Entry)>>>),
-    /// Reports the offset up to which a peer has read the log, and a hash of its state at an
-    /// earlier offset.
+    /// Reports the offset up to which a peer has read the log, and the hash of its state at
+    /// an earlier checkpoint offset.
     PeerOffset(SmolStr, Offset, (Offset, u64)),
     /// Stops the control thread.
     Shutdown,
--- a/lib/src/pending_edits.rs
+++ b/lib/src/pending_edits.rs
@@ -1,4 +1,4 @@
-//! Operators' edits that were appended to the log and await its decision.
+//! Operators' edits that await the log's decision.
 
 use std::collections::VecDeque;
 
--- a/lib/src/replicated_state.rs
+++ b/lib/src/replicated_state.rs
@@ -97,7 +97,7 @@
     pub slots: Slots,
     /// Claims of requests that must not run twice.
     pub claims: BTreeMap<ClaimKey, Claim>,
-    /// Log time and key of each claim, in the order in which the claims expire.
+    /// Tick at which each claim was made, and its key, in the order in which the claims expire.
     pub expiry: VecDeque<(u64, ClaimKey)>,
     /// Last entry of each writer.
     pub writers: BTreeMap<DaemonId, WriterState>,
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -211,7 +211,7 @@
 
     /// Records that a backend server refused a request because it is leaving.
     ///
-    /// The host list is updated later; until then, the server would get new requests without this.
+    /// Without this, the server would get new requests until the host list marks it as leaving.
     pub fn mark_leaving(&mut self, now: Duration, server: &ServerId) {
         self.leaving.insert(server.clone(), now);
     }
