--- a/lib/src/slot_reconciler.rs
+++ b/lib/src/slot_reconciler.rs
@@ -1,9 +1,9 @@
-//! The next step of each slot: load, ready, drain, unload, free.
+//! Decides the next step of each slot: load, ready, drain, unload, free.
 //!
-//! A slot's count and memory are given back only after the engine answered an order to unload
-//! under the current fencing number. On an engine that fences, that answer also shuts out every
-//! older order; on one that does not, the fold keeps the slot until the daemon that gave the last
-//! order is known to be gone or the engine reports that very load.
+//! A slot's replica count and memory are released only after the engine confirmed an unload order
+//! that carried the current fencing number. An engine that checks fencing numbers then rejects
+//! every older order. For one that does not, the replicated state keeps the slot until the daemon
+//! that sent the last order is known to have stopped, or the engine reports that exact load.
 
 use std::time::Duration;
 
@@ -22,45 +22,46 @@
 use crate::slots::Slot;
 use crate::table::Row;
 
-/// Time from the record that starts draining to the order to unload: routers learn of it meanwhile.
+/// Time between the record that starts a drain and the unload order, in which routers receive
+/// the record.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// Most that a load report lags behind the engine.
+/// Maximum delay of a server's report behind the engine's state.
 pub const REPORT_LAG: Duration = Duration::from_secs(3);
-/// How long a replica stays that has served nothing since its load.
-const UNUSED_KEEP: Duration = Duration::from_secs(5);
-/// Pause before an order is given again.
-const ORDER_PAUSE: Duration = Duration::from_secs(1);
+/// How long a replica that has served no request since its load stays loaded.
+const UNUSED_KEEP_TIME: Duration = Duration::from_secs(5);
+/// Delay before an order is sent again.
+const ORDER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// What to do with a slot.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SlotStep {
     /// Order the engine to load.
     Load,
-    /// Record another load, then order it: an engine that ignores fencing numbers gets one order a
-    /// record, so that what is under way is always known.
+    /// Record another load, then order it. An engine that ignores fencing numbers gets one order
+    /// per record, so that the log always shows which order may be in flight.
     Reload,
     /// The load finished.
     Ready,
     /// Send no new requests.
     Drain(String),
-    /// Send requests again.
+    /// Cancel the drain and send requests again.
     Retain,
     /// Order the engine to unload.
     Unload(String),
-    /// Nothing is loaded any more; keep count and memory.
+    /// The model is no longer loaded; keep the replica count and memory reserved.
     Reserve(String),
-    /// Give count and memory back.
+    /// Release the replica count and memory.
     Free(String),
 }
 
 /// Decides the steps of one data centre's slots.
 #[derive(Debug)]
 pub struct SlotReconciler<'a> {
-    /// Everything placement looks at.
+    /// Fleet state, demand and load rates that placement uses.
     pub planner: LoadPlanner<'a>,
     /// Keep-warm times.
     pub keep_warm: &'a KeepWarm,
-    /// This daemon and its start.
+    /// This daemon and its incarnation.
     pub daemon: (&'a DaemonId, Incarnation),
     /// Whether orders may go to engines that ignore fencing numbers.
     pub lease_valid: bool,
@@ -94,19 +95,19 @@
         }
         let own = slot.orderer.0 == *self.daemon.0 && slot.orderer.1 == self.daemon.1;
         match tracked.order {
-            Some(o) if o.action == OrderAction::Unload => emptied(o, "load given up")
+            Some(o) if o.action == OrderAction::Unload => step_after_unload(o, "load given up")
                 .filter(|s| !self.paused(o) || matches!(s, SlotStep::Free(_))),
             Some(o) => self.step_ordered(slot, o),
             None if own || self.is_fencing(slot) => Some(SlotStep::Load),
             None if self.is_orderer_gone(slot) => {
                 Some(SlotStep::Unload("its orderer is gone".into()))
             }
-            // Another daemon's order may still arrive at an engine that would not refuse it.
+            // Another daemon's order may still arrive, and this engine would not refuse it.
             None => None,
         }
     }
 
-    /// Returns what follows an order to load that has shown no effect.
+    /// Returns the next step after a load order whose load is not reported yet.
     fn step_ordered(&self, slot: &Slot, order: OrderState) -> Option<SlotStep> {
         let waited = self.planner.now.saturating_sub(order.sent_at);
         match order.answer {
@@ -115,40 +116,41 @@
                 let again = if self.is_fencing(slot) { SlotStep::Load } else { SlotStep::Reload };
                 Some(again)
             }
-            // A lost answer on an engine that ignores fencing numbers: a second order could
-            // arrive after the slot was emptied, so only a report resolves it.
-            Some(OrderAnswer::Unknown) if self.is_fencing(slot) && waited >= ORDER_PAUSE => {
+            // Without fencing, a second order could arrive after the slot was unloaded, so after a
+            // lost answer only a report resolves the outcome.
+            Some(OrderAnswer::Unknown) if self.is_fencing(slot) && waited >= ORDER_RETRY_DELAY => {
                 Some(SlotStep::Load)
             }
-            // The engine started anew since: a connection to its old start carries nothing more.
+            // The engine has restarted: a connection to its old process delivers nothing more.
             Some(OrderAnswer::Unknown) if self.is_restarted(slot, order) => {
                 Some(SlotStep::Unload("the engine restarted".into()))
             }
-            // A later order overtook it, or the lease went to another daemon, who will say so.
-            Some(OrderAnswer::Stale) if waited >= ORDER_PAUSE => Some(SlotStep::Load),
+            // A later order overtook it, or another daemon holds the lease now, which the log
+            // will show.
+            Some(OrderAnswer::Stale) if waited >= ORDER_RETRY_DELAY => Some(SlotStep::Load),
             _ => None,
         }
     }
 
     fn step_reserved(&self, id: SlotId, slot: &Slot, tracked: &TrackedSlot) -> Option<SlotStep> {
-        let giving = self.giving(id, slot, tracked);
+        let free_reason = self.free_reason(id, slot, tracked);
         match tracked.order {
             Some(o) if o.action == OrderAction::Unload => {
-                let reason = giving?;
-                match emptied(o, &reason) {
+                let reason = free_reason?;
+                match step_after_unload(o, &reason) {
                     Some(SlotStep::Unload(_)) if !self.paused(o) => Some(SlotStep::Unload(reason)),
                     Some(SlotStep::Free(_)) => Some(SlotStep::Free(reason)),
                     _ => None,
                 }
             }
-            // Woken without a record, which only engines that fence allow.
-            Some(o) if giving.is_none() => {
+            // Loaded without a record, which is allowed only on engines that check fencing numbers.
+            Some(o) if free_reason.is_none() => {
                 if self.is_reported(slot) {
                     return Some(SlotStep::Ready);
                 }
                 self.step_ordered(slot, o)
             }
-            _ => giving.map(SlotStep::Unload),
+            _ => free_reason.map(SlotStep::Unload),
         }
     }
 
@@ -156,7 +158,7 @@
         if self.is_absent(slot, tracked.last_used) {
             return Some(SlotStep::Reserve("the engine no longer reports it".into()));
         }
-        if let Some(reason) = self.giving(id, slot, tracked) {
+        if let Some(reason) = self.free_reason(id, slot, tracked) {
             return Some(SlotStep::Drain(reason));
         }
         if tracked.active > 0 || self.planner.demand.total(&slot.model).is_some() {
@@ -166,26 +168,26 @@
             return None;
         }
         let row = self.planner.state.table.row(&slot.model)?;
-        // A load that nobody used was for its checkpoint, or for callers who have gone.
-        let keep = if tracked.served == 0 { UNUSED_KEEP } else { self.keep(row, slot) };
+        // An unused load only fetched its checkpoint, or its callers have disconnected.
+        let keep = if tracked.served == 0 { UNUSED_KEEP_TIME } else { self.idle_limit(row, slot) };
         let idle = self.planner.now.saturating_sub(tracked.last_used);
         (idle >= keep)
             .then(|| SlotStep::Drain(format!("idle {}s, kept {}s", idle.as_secs(), keep.as_secs())))
     }
 
-    fn keep(&self, row: &Row, slot: &Slot) -> Duration {
-        // The next start reads what this unload leaves in the server's memory or on its disk.
+    fn idle_limit(&self, row: &Row, slot: &Slot) -> Duration {
+        // The next load reads the local copy that this unload leaves in memory or on disk.
         let cold = self.planner.rates.expected_time(row.load_mib, Source::Disk);
-        let member = self.planner.fleet.get(&slot.server);
-        let whole = member.map_or(1, |m| m.host.memory_mib.max(1));
-        let share = slot.memory_mib as f64 / whole as f64;
+        let host_state = self.planner.fleet.get(&slot.server);
+        let host_memory = host_state.map_or(1, |m| m.host.memory_mib.max(1));
+        let share = slot.memory_mib as f64 / host_memory as f64;
         self.keep_warm.keep_time(&row.name, cold, row.idle_price * share)
     }
 
     fn step_draining(&self, id: SlotId, slot: &Slot, tracked: &TrackedSlot) -> Option<SlotStep> {
-        let giving = self.giving(id, slot, tracked);
+        let free_reason = self.free_reason(id, slot, tracked);
         if let Some(o) = tracked.order.filter(|o| o.action == OrderAction::Unload) {
-            return match (o.answer, giving) {
+            return match (o.answer, free_reason) {
                 (Some(OrderAnswer::Done), Some(reason)) => Some(SlotStep::Free(reason)),
                 (Some(OrderAnswer::Done), None) => Some(SlotStep::Reserve("unloaded".into())),
                 (Some(OrderAnswer::Busy), None) => Some(SlotStep::Retain),
@@ -195,7 +197,7 @@
             };
         }
         let wanted = self.planner.demand.total(&slot.model).is_some();
-        if giving.is_none() && wanted {
+        if free_reason.is_none() && wanted {
             return Some(SlotStep::Retain);
         }
         let drained = tracked.drain_began.is_some_and(|at| self.planner.now >= at + DRAIN_GRACE);
@@ -203,13 +205,13 @@
         (drained && idle).then(|| SlotStep::Unload("drained".into()))
     }
 
-    /// Returns whether the last order is too young to be given again.
+    /// Returns whether it is too early to send the last order again.
     fn paused(&self, order: OrderState) -> bool {
-        self.planner.now < order.sent_at + ORDER_PAUSE
+        self.planner.now < order.sent_at + ORDER_RETRY_DELAY
     }
 
-    /// Returns why the slot must be given back, if it must.
-    fn giving(&self, id: SlotId, slot: &Slot, tracked: &TrackedSlot) -> Option<String> {
+    /// Returns why the slot must be freed, if it must.
+    fn free_reason(&self, id: SlotId, slot: &Slot, tracked: &TrackedSlot) -> Option<String> {
         let Some(row) = self.planner.state.table.row(&slot.model).filter(|r| r.is_loadable())
         else {
             return Some("not in the table".into());
@@ -226,23 +228,24 @@
         tracked.evicting.then(|| "another model needs the memory".into())
     }
 
-    /// Returns how many slots of the model come before this one when the table's count shrinks.
+    /// Returns how many slots of the model are kept before this one when the table lowers the
+    /// replica count.
     fn rank(&self, id: SlotId, slot: &Slot) -> usize {
         let key = |id: SlotId, s: &Slot| (rank_of(s.phase), id);
         let own = key(id, slot);
         self.planner.state.slots_of(&slot.model).filter(|(i, s)| key(*i, s) < own).count()
     }
 
-    fn reported(&self, slot: &Slot) -> Option<&ModelReport> {
+    fn reported_model(&self, slot: &Slot) -> Option<&ModelReport> {
         let (_, report) = self.planner.fleet.get(&slot.server)?.last_report.as_ref()?;
         report.model(&slot.model)
     }
 
     fn is_reported(&self, slot: &Slot) -> bool {
-        // A lagging report may show the load before this one. Taking it for this one's end would send
-        // requests to an engine that is still loading, and on one that ignores fencing numbers it
-        // would pass an order that is still under way for one that was carried out.
-        self.reported(slot).is_some_and(|m| m.loaded && m.ticket == slot.ticket)
+        // A late report may show the previous load. Without the ticket check, requests would go to
+        // an engine that is still loading, and on an engine that ignores fencing numbers an order
+        // that is still in flight would count as carried out.
+        self.reported_model(slot).is_some_and(|m| m.loaded && m.ticket == slot.ticket)
     }
 
     fn is_restarted(&self, slot: &Slot, order: OrderState) -> bool {
@@ -250,16 +253,17 @@
         server.is_some_and(|s| s.incarnation > order.incarnation)
     }
 
-    /// Returns whether a report that is surely younger than `since` does not name the model.
+    /// Returns whether a report that was certainly made after `since` does not list the model.
     fn is_absent(&self, slot: &Slot, since: Duration) -> bool {
-        let member = self.planner.fleet.get(&slot.server);
-        let report = member.and_then(|m| m.last_report.as_ref());
+        let host_state = self.planner.fleet.get(&slot.server);
+        let report = host_state.and_then(|m| m.last_report.as_ref());
         report.is_some_and(|(at, report)| {
             *at > since + REPORT_LAG && report.model(&slot.model).is_none()
         })
     }
 
-    /// Returns whether the daemon that gave the slot's last order cannot have one under way.
+    /// Returns whether the daemon that sent the slot's last order can have none in flight: it
+    /// restarted, or the host list no longer contains it.
     pub fn is_orderer_gone(&self, slot: &Slot) -> bool {
         let (daemon, incarnation) = &slot.orderer;
         let writer = self.planner.state.writers.get(daemon);
@@ -278,8 +282,8 @@
     }
 }
 
-/// Returns what follows an order to unload a slot that is given back.
-fn emptied(order: OrderState, reason: &str) -> Option<SlotStep> {
+/// Returns the next step after an unload order for a slot that is being freed.
+fn step_after_unload(order: OrderState, reason: &str) -> Option<SlotStep> {
     match order.answer {
         Some(OrderAnswer::Done) => Some(SlotStep::Free(reason.into())),
         Some(OrderAnswer::Unknown | OrderAnswer::Busy | OrderAnswer::Stale) => {
