--- a/lib/src/snapshot.rs
+++ b/lib/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshots of the fold's state, kept on the log because the log expires and hosts have no disks.
+//! Snapshots of the replicated state. They are stored in the log, since its old entries expire and
+//! hosts have no disks.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +8,16 @@
 use crate::replicated_state::ReplicatedState;
 use crate::wire;
 
-/// Bytes of one part.
-const PART: usize = 16 * 1024;
-/// Most bytes of a snapshot that is read back.
+/// Size of one part in bytes.
+const PART_SIZE: usize = 16 * 1024;
+/// Largest snapshot in bytes that is read back.
 const MAX_SNAPSHOT: usize = 256 * 1024 * 1024;
 
 /// Splits a state into the parts of a snapshot.
 pub fn split(state: &ReplicatedState) -> Vec<SnapshotPart> {
     let bytes = wire::encode(state);
     let hash = xxhash_rust::xxh3::xxh3_64(&bytes);
-    let chunks = bytes.chunks(PART);
+    let chunks = bytes.chunks(PART_SIZE);
     let parts = chunks.len() as u32;
     chunks
         .zip(0..)
@@ -36,17 +37,17 @@
     size: usize,
 }
 
-/// Joins parts that several daemons may have written at once.
+/// Assembles snapshots from their parts, which several daemons may have written at the same time.
 #[derive(Debug, Default)]
 pub struct SnapshotAssembler {
     pending: BTreeMap<(Offset, u64), Pending>,
 }
 
 impl SnapshotAssembler {
-    /// Takes a part; returns the state once all its parts are there and their hash agrees.
+    /// Adds a part; returns the state once all its parts are present and their hash matches.
     ///
-    /// Parts of different snapshots do not mix: they are joined by offset and hash. A duplicate is
-    /// harmless, and a damaged snapshot is dropped whole.
+    /// Parts are grouped by offset and hash, so those of different snapshots do not mix. A
+    /// duplicate is ignored. A damaged snapshot is dropped as a whole.
     pub fn add_part(&mut self, part: &SnapshotPart) -> Option<ReplicatedState> {
         let key = (part.at, part.hash);
         let pending =
--- a/lib/src/sse.rs
+++ b/lib/src/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of a streamed completion.
+//! Reads and writes the server-sent events of a streamed completion.
 
 use std::io;
 use std::io::BufRead;
@@ -9,9 +9,9 @@
 use crate::backend_client::Failure;
 use crate::backend_client::FailureKind;
 
-/// Data of the event that ends a whole stream.
+/// Data of the event that marks a complete stream.
 const DONE: &str = "[DONE]";
-/// Longest event line.
+/// Maximum length of an event line in bytes.
 const MAX_LINE: u64 = 1024 * 1024;
 
 /// One event of a stream.
@@ -19,11 +19,11 @@
 pub enum StreamEvent {
     /// A chunk with output, as JSON text.
     Chunk(String),
-    /// The end marker: the stream is whole.
+    /// The end marker: the stream is complete.
     Done,
 }
 
-/// Reads events; a stream is whole only when its end marker arrived.
+/// Reads events. A stream is complete only if its end marker arrived.
 pub struct StreamReader {
     reader: BufReader<Box<dyn Read + Send>>,
 }
@@ -35,7 +35,7 @@
 }
 
 impl StreamReader {
-    /// Reads from a body.
+    /// Creates a reader of a response body.
     pub fn new(body: Box<dyn Read + Send>) -> Self {
         Self { reader: BufReader::new(body) }
     }
@@ -44,7 +44,8 @@
     ///
     /// # Errors
     ///
-    /// The stream was silent too long, ended before its end marker, or carried an error object.
+    /// No bytes were received within the read timeout, the stream ended before its end marker, or
+    /// it carried an error object.
     pub fn next_event(&mut self) -> Result<StreamEvent, Failure> {
         loop {
             let mut line = String::new();
@@ -68,8 +69,8 @@
     if data == DONE {
         return Ok(StreamEvent::Done);
     }
-    // Engines may end an accepted stream with an error object and nothing else. Read as a chunk,
-    // it would look like an empty answer.
+    // Engines may end an accepted stream with only an error object. Treated as a chunk, it would
+    // look like an empty response.
     if data.contains("\"error\"") && is_error(data) {
         return Err(Failure::may_have_run(FailureKind::ServerError, data));
     }
@@ -85,7 +86,7 @@
         || finish == Some("error")
 }
 
-/// Writes a chunked `text/event-stream` response, one flush an event.
+/// Writes a chunked `text/event-stream` response and flushes after each event.
 pub struct StreamWriter {
     writer: Box<dyn Write + Send>,
 }
@@ -97,11 +98,11 @@
 }
 
 impl StreamWriter {
-    /// Writes the head of the response; `headers` are whole lines.
+    /// Writes the head of the response. `headers` are complete header lines without line ends.
     ///
     /// # Errors
     ///
-    /// The caller is gone or stopped reading.
+    /// The caller disconnected or stopped reading.
     pub fn start(mut writer: Box<dyn Write + Send>, headers: &[String]) -> io::Result<Self> {
         let mut head = String::from(
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
@@ -121,20 +122,20 @@
     ///
     /// # Errors
     ///
-    /// The caller is gone or stopped reading.
+    /// The caller disconnected or stopped reading.
     pub fn write_event(&mut self, data: &str) -> io::Result<()> {
-        // "data: " before and an empty line after.
+        // Six bytes of "data: " and two line feeds.
         let length = data.len() + 8;
         let chunk = format!("{length:x}\r\ndata: {data}\n\n\r\n");
         self.writer.write_all(chunk.as_bytes())?;
         self.writer.flush()
     }
 
-    /// Writes the end marker of a whole stream and ends the response.
+    /// Writes the end marker of a complete stream and ends the response.
     ///
     /// # Errors
     ///
-    /// The caller is gone or stopped reading.
+    /// The caller disconnected or stopped reading.
     pub fn finish(mut self) -> io::Result<()> {
         self.write_event(DONE)?;
         self.close()
@@ -144,7 +145,7 @@
     ///
     /// # Errors
     ///
-    /// The caller is gone or stopped reading.
+    /// The caller disconnected or stopped reading.
     pub fn close(mut self) -> io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()
--- a/lib/src/store.rs
+++ b/lib/src/store.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's store: feeds of keyed records, read and written by offset.
+//! The interface to the platform's store: feeds of keyed records, read and written by offset.
 
 use std::fmt;
 use std::pin::Pin;
@@ -10,26 +10,26 @@
 
 use crate::ids::Offset;
 
-/// A future that stays on the thread of the event loop.
+/// A future that is not `Send` and runs on the event loop's thread.
 pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// What the store keeps for us.
+/// The feeds of the store that daemons use.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Feed {
     /// The operators' configuration.
     Configuration,
-    /// The backend servers' entries.
+    /// Entries of the backend servers.
     Servers,
     /// Addresses of the daemons.
     Daemons,
-    /// Who may order models to be loaded.
+    /// Leases: which daemon may order engines to load models.
     Leases,
-    /// Requests that go to no server, since several crashed under each.
+    /// Requests that are held back because several servers crashed while running them.
     Quarantine,
 }
 
 impl Feed {
-    /// Returns its name in log lines.
+    /// Returns the feed's name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -50,20 +50,20 @@
 /// One record of a feed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FeedRecord {
-    /// Its key.
+    /// The record's key.
     pub key: SmolStr,
-    /// Its value; none where the key was removed.
+    /// The value; `None` if the key was removed.
     pub value: Option<Bytes>,
 }
 
-/// A record that cannot be read, as another writer may leave it.
+/// A record that cannot be parsed, such as one from another writer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UnreadableRecord {
-    /// Its key, where that much can be read.
+    /// The key, if it can be read.
     pub key: Option<SmolStr>,
-    /// What there is of it, for the log.
+    /// The record's content, for the log.
     pub shown: String,
-    /// Why it cannot be read.
+    /// Why it cannot be parsed.
     pub reason: String,
 }
 
@@ -72,31 +72,31 @@
 pub struct Batch {
     /// The records, oldest first.
     pub records: Vec<FeedRecord>,
-    /// Those that cannot be read. They have offsets as the others have.
+    /// Records that cannot be parsed; each takes up an offset like any other.
     pub unreadable: Vec<UnreadableRecord>,
-    /// Where to read on.
+    /// The offset from which to continue reading.
     pub end: Offset,
 }
 
-/// Why a call to the store gave no result.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum StoreError {
-    /// The store did nothing: it refused, or could not be reached.
+    /// The store refused the call or was unreachable; nothing was changed.
     #[error("the store did nothing: {0}")]
     Refused(String),
-    /// The call may have been carried out, or may be yet.
+    /// The call may have been carried out, or may still be.
     #[error("the call may have been carried out: {0}")]
     UnknownOutcome(String),
-    /// The records asked for have been deleted.
+    /// The requested records have been deleted.
     #[error("the records have been deleted")]
     Expired,
-    /// The feed does not end at the offset that was named.
+    /// The feed does not end at the given offset.
     #[error("the feed ends elsewhere")]
     EndMismatch,
 }
 
 impl StoreError {
-    /// Returns its name in metrics.
+    /// Returns the error's name in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::EndMismatch => "moved",
@@ -107,12 +107,12 @@
     }
 }
 
-/// The platform's store. What it acknowledged is never lost, and its answers are linearizable.
+/// The platform's store. Acknowledged records are never lost, and its responses are linearizable.
 pub trait Store: fmt::Debug {
     /// Returns the newest record of each key.
     fn list_latest(&self, feed: Feed) -> LocalFuture<'_, Result<Batch, StoreError>>;
 
-    /// Returns the records from an offset on, waiting up to `wait` for the first.
+    /// Returns the records from offset `from` on, waiting up to `wait` for the first.
     fn read(
         &self,
         feed: Feed,
@@ -120,7 +120,8 @@
         wait: Duration,
     ) -> LocalFuture<'_, Result<Batch, StoreError>>;
 
-    /// Appends a record, only if the feed ends at `at` where that is given; returns its offset.
+    /// Appends a record and returns its offset. If `at` is given, appends only if the feed ends
+    /// there.
     fn append(
         &self,
         feed: Feed,
