--- a/lib/src/table.rs
+++ b/lib/src/table.rs
@@ -1,4 +1,4 @@
-//! The operators' table and its edits.
+//! The operators' table of models and services, and its edits.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::ids::ModelName;
 use crate::ids::Position;
 
-/// What a row names.
+/// What a row describes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RowKind {
@@ -18,7 +18,7 @@
     Model,
     /// An adapter that is loaded beside its base model.
     Adapter,
-    /// A version of a model, loaded as a model of its own.
+    /// A version of a model, loaded as a separate model.
     Version,
     /// A plain service: always running, never loaded.
     Service,
@@ -29,23 +29,24 @@
 pub struct Row {
     /// Name that requests use. Invariant: not empty, unique in a table.
     pub name: ModelName,
-    /// What the row names.
+    /// What the row describes.
     pub kind: RowKind,
     /// Base model of an adapter or version; empty for others.
     pub base: ModelName,
-    /// Share of the weight store and of the queue under pressure. Invariant: at least 1.
+    /// Relative share of the weight store and of the queue when they are contended. Invariant: at
+    /// least 1.
     pub weight: u32,
-    /// Most requests in progress on one replica. Invariant: at least 1.
+    /// Maximum number of requests in progress on one replica. Invariant: at least 1.
     pub limit: u32,
-    /// Most replicas that may be loaded at once, over all data centres.
+    /// Maximum number of replicas loaded at the same time, over all data centres.
     pub replicas: u32,
     /// Accelerator memory of one replica.
     pub memory_mib: Mebibytes,
     /// Size of the checkpoint that a load reads.
     pub load_mib: Mebibytes,
-    /// Higher is refused later under overload.
+    /// Priority; under overload, requests with a lower value are refused first.
     pub priority: u8,
-    /// Seconds of a caller's cold-start wait that one idle accelerator hour is worth.
+    /// Price of an idle accelerator hour, in seconds of a caller's cold-start wait.
     /// Invariant: finite, not negative.
     pub idle_price: f64,
     /// Whether a request may run twice without harm.
@@ -59,7 +60,7 @@
     }
 }
 
-/// A row and the place of the edit that set it.
+/// A row and the position of the edit that set it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct VersionedRow {
     /// The row.
@@ -73,31 +74,31 @@
 pub struct RowChange {
     /// The row that changes.
     pub name: ModelName,
-    /// Version that the author saw; 0 where the row did not exist.
+    /// Version that the author saw; 0 if the row did not exist.
     pub base: Position,
-    /// The new row; none removes it.
+    /// The new row; `None` removes it.
     pub row: Option<Row>,
 }
 
-/// A set of row changes that is accepted whole or not at all.
+/// A set of row changes that is applied atomically.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Edit {
-    /// Chosen by the author; a repeat with the same id is the same edit.
+    /// Chosen by the author. Submitting an edit again with the same id does not apply it twice.
     pub id: SmolStr,
     /// Who made it, for the history.
     pub author: SmolStr,
-    /// The changes, at most one a row.
+    /// The changes, at most one per row.
     pub changes: Vec<RowChange>,
 }
 
-/// The table in force at one place of the log.
+/// The table as of one position in the log.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Table {
     rows: BTreeMap<ModelName, VersionedRow>,
 }
 
 impl Table {
-    /// Creates a table of rows with their versions.
+    /// Creates a table from rows with their versions.
     pub fn from_rows(rows: impl IntoIterator<Item = VersionedRow>) -> Self {
         Self { rows: rows.into_iter().map(|v| (v.row.name.clone(), v)).collect() }
     }
@@ -117,10 +118,11 @@
         self.rows.values()
     }
 
-    /// Returns the first row whose version differs from the one that the edit's author saw.
+    /// Returns the first row of the edit whose version differs from the one that its author saw.
     ///
-    /// Racing edits of one row are decided here: the first in the log wins, and every later one
-    /// that was based on the same version conflicts, the same for every reader.
+    /// This decides between concurrent edits of a row: the first in the log wins, and every later
+    /// one based on the same version conflicts. Every daemon that reads the log gets the same
+    /// result.
     pub fn find_conflict<'a>(&self, edit: &'a Edit) -> Option<&'a ModelName> {
         edit.changes
             .iter()
@@ -146,7 +148,7 @@
         Self { rows }
     }
 
-    /// Returns the edit that turns this table into `rows`.
+    /// Returns the changes that turn this table into `rows`.
     pub fn diff(&self, rows: &[Row]) -> Vec<RowChange> {
         let mut changes = Vec::new();
         for row in rows {
--- a/lib/src/table_file.rs
+++ b/lib/src/table_file.rs
@@ -1,4 +1,4 @@
-//! Reading and writing the table as a CSV file that a spreadsheet opens.
+//! Reads and writes the table as a CSV file that can be edited in a spreadsheet.
 
 use std::collections::BTreeSet;
 
@@ -24,7 +24,7 @@
     "repeat",
 ];
 
-/// One fault of a table file.
+/// One error in a table file.
 #[derive(Clone, Debug, Diagnostic, Eq, Error, PartialEq)]
 #[error("line {line}, column {column}: {message}")]
 pub struct TableFault {
@@ -36,11 +36,11 @@
     pub message: String,
 }
 
-/// All faults of a table file; nothing of a faulty file is applied.
+/// All errors of a table file. A file with errors is rejected as a whole.
 #[derive(Clone, Debug, Diagnostic, Error)]
 #[error("the table has {} fault(s), and nothing of it was applied", faults.len())]
 pub struct ReadTableError {
-    /// The faults, in the order of the lines.
+    /// The errors, in the order of the lines.
     #[related]
     pub faults: Vec<TableFault>,
 }
@@ -148,7 +148,7 @@
 ///
 /// # Errors
 ///
-/// Returns every fault of the file with its line and column; no row is returned then.
+/// Returns all errors of the file with their lines and columns.
 pub fn read_csv(text: &str) -> Result<Vec<Row>, ReadTableError> {
     let mut reader = csv::ReaderBuilder::new().flexible(true).from_reader(text.as_bytes());
     let mut faults = Vec::new();
--- a/lib/src/timer.rs
+++ b/lib/src/timer.rs
@@ -1,4 +1,4 @@
-//! A timer service that parts of the daemon subscribe to.
+//! A timer thread that calls subscribed callbacks periodically, and the daemon's monotonic clock.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// The finest period.
-const STEP: Duration = Duration::from_millis(10);
+/// Interval between checks; shorter periods are not kept.
+const TICK: Duration = Duration::from_millis(10);
 
 /// Monotonic time since a daemon's start.
 #[derive(Clone, Copy, Debug)]
@@ -18,7 +18,7 @@
 }
 
 impl Clock {
-    /// Starts at zero now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self { start: Instant::now() }
     }
@@ -37,7 +37,7 @@
     callback: Callback,
 }
 
-/// Calls its subscribers once a period.
+/// Calls each subscriber once per its period.
 #[derive(Clone)]
 pub struct Timer {
     clock: Clock,
@@ -51,33 +51,36 @@
 }
 
 impl Timer {
-    /// Starts the timer's thread, which ends when the last subscriber has left.
+    /// Starts the timer's thread, which ends when the last subscription has ended.
     ///
     /// # Panics
     ///
-    /// Panics if the system gives no thread.
+    /// Panics if the thread cannot be started.
     pub fn start(clock: Clock) -> Self {
         let timer = Self { clock, subscriptions: Arc::default() };
         let subscriptions = Arc::clone(&timer.subscriptions);
         let run = move || {
-            let mut had_any = false;
+            let mut had_subscribers = false;
             loop {
                 let now = clock.now();
                 let mut list = subscriptions.lock().unwrap_or_else(PoisonError::into_inner);
-                had_any |= !list.is_empty();
+                had_subscribers |= !list.is_empty();
                 list.retain_mut(|s| s.call(now));
-                if had_any && list.is_empty() {
+                if had_subscribers && list.is_empty() {
                     return;
                 }
                 drop(list);
-                thread::sleep(STEP);
+                thread::sleep(TICK);
             }
         };
-        thread::Builder::new().name("timer".into()).spawn(run).expect("a thread at start");
+        thread::Builder::new()
+            .name("timer".into())
+            .spawn(run)
+            .expect("cannot start the timer thread");
         timer
     }
 
-    /// Calls `callback` once every `period` until it returns false. It must not block.
+    /// Calls `callback` once every `period` until it returns false. The callback must not block.
     pub fn subscribe(
         &self,
         period: Duration,
@@ -94,7 +97,7 @@
         if now < self.next {
             return true;
         }
-        // Missed periods are not made up for.
+        // Missed periods are skipped.
         self.next = now + self.period;
         (self.callback)(now)
     }
--- a/lib/src/trace.rs
+++ b/lib/src/trace.rs
@@ -1,4 +1,5 @@
-//! Recorded traces: control events of one daemon, and the outcomes that a replay must show.
+//! Records the control events of one daemon in a trace file, and replays such a file to check the
+//! outcomes that it expects.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -29,32 +30,32 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TraceLine {
-    /// The daemon that the events are of; the first line.
+    /// The daemon that recorded the events; always the first line.
     Daemon {
         /// Its name.
         id: String,
-        /// Its start count.
+        /// Its incarnation.
         incarnation: u64,
         /// Its data centre.
         centre: String,
     },
     /// An event.
     Event(TimedEvent),
-    /// What must be true of the effects up to here.
+    /// A check of the effects up to this line.
     Expect(Expect),
 }
 
-/// A stated outcome: how often something was done since the trace began.
+/// An expected outcome: how often something was done since the start of the trace.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Expect {
     /// What is counted.
     pub what: Counted,
-    /// The model that it concerns; empty counts all.
+    /// The model; an empty name counts all models.
     #[serde(default)]
     pub model: ModelName,
-    /// The least count.
+    /// Minimum count.
     pub least: u64,
-    /// The greatest count.
+    /// Maximum count.
     pub most: u64,
 }
 
@@ -70,9 +71,9 @@
     ClaimGranted,
     /// Claims refused because the log did not answer.
     ClaimRefused,
-    /// Claims that another daemon has, or that ended.
+    /// Claims that another daemon holds, or that have ended.
     ClaimTaken,
-    /// Entries given to the log, repeats included.
+    /// Entries appended to the log, including retries.
     Append,
     /// Edits accepted.
     EditAccepted,
@@ -82,7 +83,7 @@
     Lead,
     /// Leases lost.
     Yield,
-    /// Slots given back.
+    /// Slots freed.
     Free,
     /// Slots that began to drain.
     Drain,
@@ -99,10 +100,10 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be written.
+    /// The file cannot be created or written.
     pub fn create(path: &Path, settings: &ControlSettings) -> io::Result<Self> {
         let mut writer = Self { out: BufWriter::new(File::create(path)?) };
-        writer.line(&TraceLine::Daemon {
+        writer.write_line(&TraceLine::Daemon {
             id: settings.id.to_string(),
             incarnation: settings.incarnation,
             centre: settings.centre.to_string(),
@@ -110,26 +111,27 @@
         Ok(writer)
     }
 
-    /// Writes an event. A full disk ends the trace, not the daemon.
+    /// Writes an event. Write errors, such as a full disk, are ignored so that the daemon
+    /// continues.
     pub fn write_event(&mut self, at: Duration, event: &Event) {
         let line = TraceLine::Event(TimedEvent { at, event: event.clone() });
-        let _full = self.line(&line);
+        let _ignored = self.write_line(&line);
     }
 
-    fn line(&mut self, line: &TraceLine) -> io::Result<()> {
+    fn write_line(&mut self, line: &TraceLine) -> io::Result<()> {
         serde_json::to_writer(&mut self.out, line)?;
         self.out.write_all(b"\n")?;
         self.out.flush()
     }
 }
 
-/// Why a trace could not be replayed or did not show its outcomes.
+/// Why a trace could not be replayed, or which expected outcome was not met.
 #[derive(Debug, Error)]
 pub enum ReplayError {
     /// The file cannot be read.
     #[error("the trace cannot be read")]
     Read(#[from] io::Error),
-    /// A line is not a trace line.
+    /// A line cannot be parsed, or the daemon line is not the first and only one.
     #[error("line {line}: {message}")]
     Malformed {
         /// Line of the file, from 1.
@@ -137,30 +139,30 @@
         /// What is wrong.
         message: String,
     },
-    /// A stated outcome did not come.
+    /// An expected outcome was not met.
     #[error("line {line}: expected {least} to {most} of {what:?} {model}, found {found}")]
     Unmet {
         /// Line of the file, from 1.
         line: usize,
         /// What was counted.
         what: Counted,
-        /// For which model.
+        /// The model; empty for all models.
         model: ModelName,
-        /// The least count allowed.
+        /// Minimum allowed count.
         least: u64,
-        /// The greatest count allowed.
+        /// Maximum allowed count.
         most: u64,
-        /// The count.
+        /// The actual count.
         found: u64,
     },
 }
 
-/// What a replay showed.
+/// Result of a replay.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Replayed {
-    /// Events that were replayed.
+    /// Number of replayed events.
     pub events: u64,
-    /// Outcomes that were stated and met.
+    /// Number of expected outcomes that were met.
     pub met: u64,
     /// Counts over all models.
     pub counts: BTreeMap<Counted, u64>,
@@ -168,26 +170,26 @@
 
 #[derive(Default)]
 struct Counts {
-    by: BTreeMap<(Counted, ModelName), u64>,
+    by_model: BTreeMap<(Counted, ModelName), u64>,
 }
 
 impl Counts {
     fn add(&mut self, what: Counted, model: &str) {
-        *self.by.entry((what, model.into())).or_default() += 1;
+        *self.by_model.entry((what, model.into())).or_default() += 1;
     }
 
     fn get(&self, what: Counted, model: &str) -> u64 {
         let wanted = |m: &str| model.is_empty() || m == model;
-        self.by.iter().filter(|((w, m), _)| *w == what && wanted(m)).map(|(_, n)| n).sum()
+        self.by_model.iter().filter(|((w, m), _)| *w == what && wanted(m)).map(|(_, n)| n).sum()
     }
 
-    fn note(&mut self, effect: &Effect) {
+    fn record_effect(&mut self, effect: &Effect) {
         match effect {
             Effect::Order(order, _) if order.action == OrderAction::Load => {
                 self.add(Counted::LoadOrder, &order.model);
             }
             Effect::Order(order, _) => self.add(Counted::UnloadOrder, &order.model),
-            Effect::Claimed(_, answer) => self.add(claim_counted(answer), ""),
+            Effect::Claimed(_, answer) => self.add(counted_claim(answer), ""),
             Effect::Append(_) => self.add(Counted::Append, ""),
             Effect::Edited(_, crate::event::EditAnswer::Accepted(_)) => {
                 self.add(Counted::EditAccepted, "");
@@ -208,7 +210,7 @@
     }
 }
 
-fn claim_counted(answer: &ClaimAnswer) -> Counted {
+fn counted_claim(answer: &ClaimAnswer) -> Counted {
     match answer {
         ClaimAnswer::Granted => Counted::ClaimGranted,
         ClaimAnswer::LogDown => Counted::ClaimRefused,
@@ -220,7 +222,7 @@
 ///
 /// # Errors
 ///
-/// The trace cannot be read, or an outcome that it states did not come.
+/// The trace cannot be read or parsed, or an expected outcome is not met.
 pub fn replay(path: &Path) -> Result<Replayed, ReplayError> {
     let reader = BufReader::new(File::open(path)?);
     let mut control: Option<Controller> = None;
@@ -236,12 +238,12 @@
         let parsed = serde_json::from_str(&text).map_err(|e| malformed(e.to_string()))?;
         match (parsed, &mut control) {
             (TraceLine::Daemon { id, incarnation, centre }, None) => {
-                control = Some(Controller::new(settings_of(&id, incarnation, &centre)));
+                control = Some(Controller::new(replay_settings(&id, incarnation, &centre)));
             }
             (TraceLine::Event(TimedEvent { at, event }), Some(control)) => {
                 replayed.events += 1;
                 for effect in control.handle(at, event) {
-                    counts.note(&effect);
+                    counts.record_effect(&effect);
                 }
             }
             (TraceLine::Expect(expect), Some(_)) => {
@@ -251,13 +253,13 @@
             _ => return Err(malformed("the first line, and no other, names the daemon".into())),
         }
     }
-    for ((what, _), count) in counts.by {
+    for ((what, _), count) in counts.by_model {
         *replayed.counts.entry(what).or_default() += count;
     }
     Ok(replayed)
 }
 
-fn settings_of(id: &str, incarnation: u64, centre: &str) -> ControlSettings {
+fn replay_settings(id: &str, incarnation: u64, centre: &str) -> ControlSettings {
     ControlSettings {
         id: id.into(),
         incarnation,
