--- a/lib/src/unary.rs
+++ b/lib/src/unary.rs
@@ -1,4 +1,5 @@
-//! Requests with one whole answer, and those that may not be repeated.
+//! Serves requests that are answered with one complete response, including those with an
+//! idempotency key, which must not run twice.
 
 use std::time::Duration;
 
@@ -26,28 +27,29 @@
 use crate::reply::VERDICT_HEADER;
 use crate::verdict::Verdict;
 
-/// Largest answer that is kept in the log for repeats.
-const KEPT_BODY: usize = 1024;
-/// Time beyond the state machine's own bound after which a claim is given up here.
-const CLAIM_WAIT: Duration = Duration::from_secs(3);
-/// When to come back while the log does not answer.
+/// Largest response body in bytes that the log keeps for repeated requests.
+const MAX_KEPT_BODY: usize = 1024;
+/// How long to wait for the decision on a claim before it is cancelled here. Longer than the
+/// control state machine's own timeout, which normally ends the wait.
+const CLAIM_REPLY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Retry delay for callers while the log does not answer.
 const LOG_RETRY: Duration = Duration::from_secs(5);
-/// When to come back while another daemon runs the request.
+/// Retry delay for callers while another daemon runs the request.
 const TAKEN_RETRY: Duration = Duration::from_secs(2);
-/// Header of an answer that was given before.
+/// Header of a response that repeats that of an earlier request.
 const REPLAYED_HEADER: &str = "Idempotent-Replayed";
 
-/// An answer, and whether an earlier request got it first.
-struct Given {
+/// A response, and whether it is that of an earlier request with the same key.
+struct KeyedResponse {
     answer: StoredResponse,
     replayed: bool,
 }
 
-/// Serves a request with one whole answer.
+/// Serves a request that is answered with one complete response.
 pub fn serve(node: &Node, caller_request: &CallerRequest, request: Request) {
     let result = match caller_request.claim_key() {
         Some(key) => claim_and_run(node, caller_request, key),
-        None => run(node, caller_request).map(|answer| Given { answer, replayed: false }),
+        None => run(node, caller_request).map(|answer| KeyedResponse { answer, replayed: false }),
     };
     match result {
         Ok(given) => {
@@ -65,7 +67,7 @@
     }
 }
 
-/// Sends a backend server's answer to the caller.
+/// Sends a backend server's response to the caller.
 pub fn send_response(
     request: Request,
     caller_request: &CallerRequest,
@@ -93,26 +95,26 @@
     node: &Node,
     caller_request: &CallerRequest,
     key: ClaimKey,
-) -> Result<Given, DispatchError> {
-    match ask_claim(node, key) {
+) -> Result<KeyedResponse, DispatchError> {
+    match request_claim(node, key) {
         ClaimAnswer::Granted => run_claimed(node, caller_request, key),
         ClaimAnswer::Ended(daemon, verdict, None) => {
-            fetch(node, caller_request, key, &daemon).unwrap_or_else(|| Err(lost(verdict)))
+            fetch_result(node, caller_request, key, &daemon)
+                .unwrap_or_else(|| Err(response_lost(verdict)))
         }
         ClaimAnswer::Ended(_, verdict, Some(answer)) => {
             replay(ClaimOutcome { verdict, answer: Some(answer) })
         }
-        ClaimAnswer::Taken(daemon) => {
-            fetch(node, caller_request, key, &daemon).unwrap_or_else(|| Err(in_progress(&daemon)))
-        }
+        ClaimAnswer::Taken(daemon) => fetch_result(node, caller_request, key, &daemon)
+            .unwrap_or_else(|| Err(in_progress(&daemon))),
         ClaimAnswer::LogDown => Err(claim_unknown()),
     }
 }
 
-fn ask_claim(node: &Node, key: ClaimKey) -> ClaimAnswer {
+fn request_claim(node: &Node, key: ClaimKey) -> ClaimAnswer {
     let (sender, receiver) = flume::bounded(1);
     node.send(ControlInput::Claim(key, sender));
-    receiver.recv_timeout(CLAIM_WAIT).unwrap_or_else(|_silent| {
+    receiver.recv_timeout(CLAIM_REPLY_TIMEOUT).unwrap_or_else(|_timeout| {
         node.send(ControlInput::Event(Event::Unclaim(key)));
         ClaimAnswer::LogDown
     })
@@ -122,9 +124,9 @@
     node: &Node,
     caller_request: &CallerRequest,
     key: ClaimKey,
-) -> Result<Given, DispatchError> {
+) -> Result<KeyedResponse, DispatchError> {
     let result = run(node, caller_request);
-    let end = match &result {
+    let outcome = match &result {
         Ok(answer) => ClaimOutcome { verdict: Verdict::Ran, answer: Some(answer.clone()) },
         Err(DispatchError::Refused(refused)) => {
             ClaimOutcome { verdict: refused.verdict, answer: None }
@@ -133,39 +135,40 @@
             ClaimOutcome { verdict: Verdict::MayHaveRun, answer: None }
         }
     };
-    let kept = end.answer.clone().filter(|a| a.body.len() <= KEPT_BODY);
-    let settlement = Settlement { key, verdict: end.verdict, answer: kept };
+    let kept = outcome.answer.clone().filter(|a| a.body.len() <= MAX_KEPT_BODY);
+    let settlement = Settlement { key, verdict: outcome.verdict, answer: kept };
     node.send(ControlInput::Event(Event::Settle(settlement)));
-    node.outcomes.finish(node.now(), key, &end);
-    result.map(|answer| Given { answer, replayed: false })
+    node.outcomes.finish(node.now(), key, &outcome);
+    result.map(|answer| KeyedResponse { answer, replayed: false })
 }
 
-/// Asks the daemon that runs a request for its outcome; none where it cannot tell.
-fn fetch(
+/// Requests the outcome from the daemon that runs the request. Returns `None` if that daemon is
+/// unknown, or does not know the outcome before the deadline.
+fn fetch_result(
     node: &Node,
     caller_request: &CallerRequest,
     key: ClaimKey,
     daemon: &DaemonId,
-) -> Option<Result<Given, DispatchError>> {
+) -> Option<Result<KeyedResponse, DispatchError>> {
     let wait = caller_request.deadline.saturating_sub(node.now());
-    let end = if *daemon == node.settings.id {
+    let outcome = if *daemon == node.settings.id {
         node.outcomes.wait(key, wait)
     } else {
         let addr = *node.view.load().daemons.get(daemon)?;
         peer_client::fetch_outcome(node, addr, key, wait)
     };
-    end.map(replay)
+    outcome.map(replay)
 }
 
-fn replay(end: ClaimOutcome) -> Result<Given, DispatchError> {
-    match end.answer {
-        Some(answer) => Ok(Given { answer, replayed: true }),
-        None => Err(lost(end.verdict)),
+fn replay(outcome: ClaimOutcome) -> Result<KeyedResponse, DispatchError> {
+    match outcome.answer {
+        Some(answer) => Ok(KeyedResponse { answer, replayed: true }),
+        None => Err(response_lost(outcome.verdict)),
     }
 }
 
-/// The refusal of a repeat whose first request ended without an answer that was kept.
-fn lost(verdict: Verdict) -> DispatchError {
+/// Returns the refusal of a repeated request if the first one ended and its response is not kept.
+fn response_lost(verdict: Verdict) -> DispatchError {
     let (message, retry) = match verdict {
         Verdict::DidNotRun => ("the first request did not run; send it again", Some(TAKEN_RETRY)),
         Verdict::MayHaveRun => ("the first request may have run; its answer was lost", None),
@@ -182,6 +185,7 @@
     })
 }
 
+/// Returns the refusal of a request that `daemon` runs, or ran with an unknown outcome.
 fn in_progress(daemon: &DaemonId) -> DispatchError {
     DispatchError::Refused(RequestRefusal {
         status: 409,
@@ -192,10 +196,10 @@
     })
 }
 
-/// The refusal of a request whose claim the log did not decide.
+/// Returns the refusal of a request whose claim the log did not decide.
 ///
-/// Nothing was sent for it. An earlier request with the same key may have run through another daemon,
-/// though, so "did not run" might be untrue; sending it again with its key is safe.
+/// Nothing was sent for this request, but an earlier one with the same key may have run through
+/// another daemon, so "did not run" could be wrong. Sending it again with the same key is safe.
 fn claim_unknown() -> DispatchError {
     DispatchError::Refused(RequestRefusal {
         status: 503,
--- a/lib/src/verdict.rs
+++ b/lib/src/verdict.rs
@@ -1,26 +1,27 @@
-//! What is known about whether a request ran.
+//! The verdict on a request: whether it ran on a backend server.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Says whether a request may have run on a backend server.
+/// Whether a request may have run on a backend server.
 ///
-/// Only [`Verdict::DidNotRun`] allows another attempt of a request that may not be repeated, and
-/// only it may be told to a caller as "did not run".
+/// A request that must not run twice may be retried only after [`Verdict::DidNotRun`]. Only this
+/// verdict may be reported to a caller as "did not run".
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Verdict {
     /// No byte of the request reached a backend server, or the server refused it before running.
     DidNotRun,
-    /// A byte may have been written and no complete answer came back.
+    /// A byte may have been written, and no complete response was received.
     MayHaveRun,
-    /// The backend server gave its complete answer.
+    /// The backend server sent its complete response.
     Ran,
 }
 
 impl Verdict {
-    /// Joins the verdicts of two attempts of one request: the more doubtful one stands.
+    /// Combines the verdicts of two attempts of one request: `Ran` takes precedence over
+    /// `MayHaveRun`, and that over `DidNotRun`.
     #[must_use]
     pub fn combine(self, other: Self) -> Self {
         match (self, other) {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Returns the wire word that callers see in the `X-Request-Verdict` header.
+    /// Returns the value that callers receive in the `X-Request-Verdict` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::DidNotRun => "did-not-run",
--- a/lib/src/wait_estimator.rs
+++ b/lib/src/wait_estimator.rs
@@ -1,74 +1,83 @@
-//! How fast waiting requests of each model get their turn at this daemon.
+//! Estimates how long a queued request waits, from the rate at which this daemon dequeues requests
+//! of each model.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::ids::ModelName;
 
-/// Factor by which older turns fade with each new one.
-const FADE: f64 = 0.97;
-/// Factor on the expected wait: a request that is let in and expires after all wastes its caller's time.
-const MARGIN: f64 = 1.1;
-/// Turns further apart than this say nothing of a queue's pace.
-const MAX_GAP: Duration = Duration::from_secs(10);
-/// Turns further apart than this are not of one overload.
-const LULL: Duration = Duration::from_secs(1);
-/// A pace counts for this long after the last turn.
-const FRESH: Duration = Duration::from_secs(20);
+/// Factor by which the weight of older dequeues decays with each new one.
+const DECAY: f64 = 0.97;
+/// Factor on the expected wait: a request that is queued and then expires wastes its caller's time.
+const WAIT_MARGIN: f64 = 1.1;
+/// Dequeues further apart than this do not count towards the rate and reset it.
+const MAX_INTERVAL: Duration = Duration::from_secs(10);
+/// Dequeues further apart than this belong to different overloads.
+const OVERLOAD_GAP: Duration = Duration::from_secs(1);
+/// How long an estimate is used after the last dequeue.
+const ESTIMATE_TTL: Duration = Duration::from_secs(20);
 
+/// Dequeue statistics of one model and priority.
 #[derive(Clone, Copy, Debug)]
-struct Turns {
+struct DequeueStats {
+    /// Time of the last dequeue.
     last: Duration,
-    /// Since when turns followed each other without a lull.
+    /// Start of the current overload: since then, no two dequeues were more than [`OVERLOAD_GAP`]
+    /// apart.
     since: Duration,
-    /// Seconds between turns, older ones faded. Turns come in bursts, so the mean is taken over all
-    /// of them and not of the gaps one by one.
+    /// Decayed sum of the seconds between dequeues. Dequeues come in bursts, so the mean interval
+    /// is this sum divided by `count`, not an average updated gap by gap.
     time: f64,
-    /// Turns, older ones faded.
+    /// Decayed number of dequeues.
     count: f64,
 }
 
-/// Time between the turns of waiting requests, by model and priority.
+/// Mean interval between dequeues, by model and priority.
 ///
-/// Other daemons share the replicas, so only what was seen here tells how long a queue here lasts.
-/// A request gets a turn that a less important one would have had, but not the other way round: for
-/// each priority the turns of that and all lesser ones count. More important requests that are yet to
-/// come and overtake are in the pace that way.
+/// Other daemons share the replicas, so only the dequeues at this daemon show how fast its queue
+/// drains. A request can take a place that would have gone to a lower priority, but not one of a
+/// higher priority. The dequeues of a priority and all lower ones therefore count for it, which
+/// also accounts for requests of higher priority that arrive later and overtake.
 #[derive(Debug, Default)]
 pub struct WaitEstimator {
-    models: BTreeMap<ModelName, BTreeMap<u8, Turns>>,
+    models: BTreeMap<ModelName, BTreeMap<u8, DequeueStats>>,
 }
 
-impl Turns {
-    fn turned(&mut self, now: Duration) {
+impl DequeueStats {
+    fn record(&mut self, now: Duration) {
         let gap = now.saturating_sub(self.last);
         self.last = now;
-        if gap > LULL {
+        if gap > OVERLOAD_GAP {
             self.since = now;
         }
-        if gap > MAX_GAP {
+        if gap > MAX_INTERVAL {
             (self.time, self.count) = (0.0, 0.0);
             return;
         }
-        self.time = self.time * FADE + gap.as_secs_f64();
-        self.count = self.count * FADE + 1.0;
+        self.time = self.time * DECAY + gap.as_secs_f64();
+        self.count = self.count * DECAY + 1.0;
     }
 }
 
 impl WaitEstimator {
-    /// Notes that a request that had waited gets its turn.
+    /// Records that a request leaves the queue for a replica.
     pub fn record_dequeue(&mut self, now: Duration, model: &ModelName, priority: u8) {
         let classes = self.models.entry(model.clone()).or_default();
-        classes.entry(priority).or_insert(Turns { last: now, since: now, time: 0.0, count: 0.0 });
-        for (_, turns) in classes.range_mut(priority..) {
-            turns.turned(now);
+        classes.entry(priority).or_insert(DequeueStats {
+            last: now,
+            since: now,
+            time: 0.0,
+            count: 0.0,
+        });
+        for (_, stats) in classes.range_mut(priority..) {
+            stats.record(now);
         }
     }
 
-    /// Returns when a refused request should come back, given the wait that it would have had.
+    /// Returns after what time a refused request should be retried, given its expected `wait`.
     ///
-    /// When the queue of now is through, an overload may still go on. One that has lasted for some
-    /// time is best expected to last for as long again.
+    /// An overload may continue after the current queue has drained. The best estimate is that it
+    /// lasts as long again as it has lasted so far.
     pub fn retry_after(
         &self,
         now: Duration,
@@ -76,13 +85,14 @@
         priority: u8,
         wait: Duration,
     ) -> Duration {
-        let turns = self.models.get(model).and_then(|classes| classes.get(&priority));
-        let lasted = turns.filter(|t| now < t.last + LULL).map(|t| now.saturating_sub(t.since));
+        let stats = self.models.get(model).and_then(|classes| classes.get(&priority));
+        let lasted =
+            stats.filter(|t| now < t.last + OVERLOAD_GAP).map(|t| now.saturating_sub(t.since));
         wait + lasted.unwrap_or_default()
     }
 
-    /// Returns how long a request waits that has `ahead` others before it; zero where nothing is
-    /// known.
+    /// Returns the expected wait of a request with `ahead` others before it; zero if there is no
+    /// recent estimate.
     pub fn expected_wait(
         &self,
         now: Duration,
@@ -90,9 +100,9 @@
         priority: u8,
         ahead: usize,
     ) -> Duration {
-        let turns = self.models.get(model).and_then(|classes| classes.get(&priority));
-        let turns = turns.filter(|t| now < t.last + FRESH && t.count > 0.0);
-        let interval = turns.map_or(0.0, |t| t.time / t.count);
-        Duration::from_secs_f64(interval * ahead as f64 * MARGIN)
+        let stats = self.models.get(model).and_then(|classes| classes.get(&priority));
+        let stats = stats.filter(|t| now < t.last + ESTIMATE_TTL && t.count > 0.0);
+        let interval = stats.map_or(0.0, |t| t.time / t.count);
+        Duration::from_secs_f64(interval * ahead as f64 * WAIT_MARGIN)
     }
 }
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Blocking of request threads until a replica has room for them.
+//! Blocks request threads until a replica has free capacity for them.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -23,7 +23,7 @@
     stopping: bool,
 }
 
-/// The waiting queue with a channel for each request in it.
+/// The request queue, with a channel to wake the thread of each queued request.
 #[derive(Debug)]
 pub struct WaitQueue {
     inner: Mutex<Inner>,
@@ -33,16 +33,16 @@
     fn wake(&mut self, key: WaiterKey, wake: Wake) {
         self.queue.remove(key);
         if let Some(sender) = self.senders.remove(&key) {
-            // A waiter that gave up has dropped its side.
-            let _gone = sender.send(wake);
+            // Fails if the waiter timed out and dropped its receiver.
+            let _ignored = sender.send(wake);
         }
     }
 }
 
 impl WaitQueue {
-    /// Creates a room for `bound` requests of each model.
-    pub fn new(bound: usize) -> Self {
-        let queue = Queue::new(bound);
+    /// Creates a queue for at most `capacity` requests of each model.
+    pub fn new(capacity: usize) -> Self {
+        let queue = Queue::new(capacity);
         Self { inner: Mutex::new(Inner { queue, senders: BTreeMap::new(), stopping: false }) }
     }
 
@@ -50,18 +50,19 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until a replica may have room; `expected` is the least time that this can take.
+    /// Blocks until a replica may have free capacity or the waiter's deadline passes. `expected` is
+    /// the estimated minimum wait.
     ///
     /// # Errors
     ///
-    /// Says why the request must be refused instead.
+    /// Returns why the request must be refused.
     pub fn wait(
         &self,
         now: Duration,
         waiter: Waiter,
         expected: Duration,
     ) -> Result<(), QueueRefusal> {
-        let bound = waiter.deadline.saturating_sub(now);
+        let timeout = waiter.deadline.saturating_sub(now);
         let (sender, receiver) = flume::bounded(1);
         let key = {
             let mut inner = self.inner();
@@ -79,7 +80,7 @@
                 }
             }
         };
-        let woken = receiver.recv_timeout(bound);
+        let woken = receiver.recv_timeout(timeout);
         if let Ok(wake) = woken {
             return wake;
         }
@@ -88,18 +89,19 @@
         if inner.queue.remove(key) {
             return Err(QueueRefusal::Expired);
         }
-        // It got its turn at the very moment of its deadline.
+        // It was woken just as its deadline passed.
         receiver.try_recv().unwrap_or(Err(QueueRefusal::Expired))
     }
 
-    /// Wakes requests for which `room` gives places, and refuses those whose deadline has come.
-    pub fn wake_ready(&self, now: Duration, mut room: impl FnMut(&ModelName) -> u32) {
+    /// Wakes as many requests of each model as `free_capacity` returns, and refuses those whose
+    /// deadline has passed.
+    pub fn wake_ready(&self, now: Duration, mut free_capacity: impl FnMut(&ModelName) -> u32) {
         let mut inner = self.inner();
         for key in inner.queue.expire(now) {
             inner.wake(key, Err(QueueRefusal::Expired));
         }
         for model in inner.queue.models() {
-            for _ in 0..room(&model) {
+            for _ in 0..free_capacity(&model) {
                 let Some(key) = inner.queue.first(&model) else {
                     break;
                 };
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Refuses everybody who waits, and everybody who comes.
+    /// Refuses all queued and all later requests.
     pub fn close(&self) {
         let mut inner = self.inner();
         inner.stopping = true;
@@ -117,27 +119,27 @@
         }
     }
 
-    /// Returns how many requests would get their turn before `waiter`.
+    /// Returns how many queued requests come before `waiter`.
     pub fn count_ahead(&self, waiter: &Waiter) -> usize {
         self.inner().queue.ahead(waiter)
     }
 
-    /// Returns whether requests wait for `model`; a newcomer must not overtake them.
+    /// Returns whether requests wait for `model`; a new request must not overtake them.
     pub fn has_waiters(&self, model: &str) -> bool {
         self.inner().queue.first(model).is_some()
     }
 
-    /// Returns what to tell the lease holders.
+    /// Returns the queued requests as they are reported to the lease holders.
     pub fn demand(&self) -> Vec<WaitingRequests> {
         self.inner().queue.demand()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.inner().senders.len()
     }
 
-    /// Returns whether nobody waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/lib/src/wire.rs
+++ b/lib/src/wire.rs
@@ -1,27 +1,27 @@
-//! Encoding of what daemons exchange and keep: `postcard` behind a version byte.
+//! Encodes messages between daemons and stored records: a version byte, then `postcard`.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// First byte of everything that is encoded here; another one is refused.
+/// First byte of every encoded value; any other value is refused.
 pub const WIRE_VERSION: u8 = 1;
-/// Most bytes of one message between daemons.
+/// Maximum size in bytes of one message between daemons.
 pub const MAX_MESSAGE: usize = 64 * 1024 * 1024;
 
-/// Why bytes could not be read.
+/// Why bytes could not be decoded.
 #[derive(Debug, Error)]
 pub enum DecodeError {
     /// The message is empty or larger than allowed.
     #[error("a message of {0} bytes")]
     Size(usize),
-    /// The version byte is another one.
+    /// The version byte is not [`WIRE_VERSION`].
     #[error("wire version {0}, {WIRE_VERSION} is read here")]
     Version(u8),
-    /// The bytes are not such a message.
+    /// The bytes are not a valid encoding of the type.
     #[error("malformed message")]
     Malformed(#[from] postcard::Error),
-    /// A whole message was followed by more bytes.
+    /// A complete message was followed by more bytes.
     #[error("{0} bytes after the message")]
     Trailing(usize),
 }
@@ -30,16 +30,16 @@
 ///
 /// # Panics
 ///
-/// Panics if the type cannot be serialized, which the wire types of this crate always can.
+/// Panics if the type cannot be serialized, which does not happen for the wire types of this crate.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_extend(value, vec![WIRE_VERSION]).expect("wire types serialize into memory")
+    postcard::to_extend(value, vec![WIRE_VERSION]).expect("cannot serialize a wire type")
 }
 
-/// Decodes what [`encode`] wrote.
+/// Decodes the output of [`encode`].
 ///
 /// # Errors
 ///
-/// Refuses another version, malformed bytes and trailing bytes.
+/// The size is not allowed, the version differs, or the bytes are malformed or followed by others.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     if bytes.is_empty() || bytes.len() > MAX_MESSAGE {
         return Err(DecodeError::Size(bytes.len()));
--- a/lib/src/workers.rs
+++ b/lib/src/workers.rs
@@ -1,4 +1,5 @@
-//! Filters between the control thread and the platform: appends, reports, orders, hosts.
+//! Worker threads between the control thread and the platform. They append to the log, poll server
+//! reports, send orders and watch the host list.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,57 +23,57 @@
 use crate::record::Entry;
 use crate::wire;
 
-/// Threads that ask for reports: a silent backend server holds one for its timeout.
-const POLLERS: usize = 12;
-/// Threads that give orders.
-const ORDERERS: usize = 4;
-/// Time between looks at the host list.
-const HOSTS_PERIOD: Duration = Duration::from_millis(500);
+/// Number of threads that fetch reports: an unresponsive backend server blocks one for its timeout.
+const POLL_THREADS: usize = 12;
+/// Number of threads that send orders.
+const ORDER_THREADS: usize = 4;
+/// Time between polls of the host list.
+const HOST_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The platform and the engines, as traits.
+/// Clients of the platform's services and of the engines.
 #[derive(Clone, Debug)]
 pub struct PlatformClients {
     /// The log service.
     pub log: Arc<dyn LogService>,
     /// The host list.
     pub hosts: Arc<dyn HostList>,
-    /// The engines' control side.
+    /// The engines' control interface.
     pub engine: Arc<dyn EngineControl>,
 }
 
-/// Starts the filters; they end when the control thread drops its channels.
+/// Starts the worker threads. They end when the control thread drops its channels.
 ///
 /// # Errors
 ///
-/// The system gives no thread.
+/// A thread cannot be started.
 pub fn start(
     node: &Arc<Node>,
     clients: &PlatformClients,
     socket: UdpSocket,
 ) -> io::Result<ControlOutputs> {
     let (appends, entries) = flume::unbounded();
-    let (polls, asked) = flume::unbounded();
-    let (orders, tasks) = flume::unbounded();
+    let (polls, poll_requests) = flume::unbounded();
+    let (orders, order_tasks) = flume::unbounded();
     let log = Arc::clone(&clients.log);
     spawn("append", node, move |node| append(node, log.as_ref(), &entries))?;
-    for _ in 0..POLLERS {
-        let (engine, asked) = (Arc::clone(&clients.engine), asked.clone());
-        spawn("poll", node, move |node| poll(node, engine.as_ref(), &asked))?;
+    for _ in 0..POLL_THREADS {
+        let (engine, poll_requests) = (Arc::clone(&clients.engine), poll_requests.clone());
+        spawn("poll", node, move |node| poll(node, engine.as_ref(), &poll_requests))?;
     }
-    for _ in 0..ORDERERS {
-        let (engine, tasks) = (Arc::clone(&clients.engine), tasks.clone());
-        spawn("order", node, move |node| order(node, engine.as_ref(), &tasks))?;
+    for _ in 0..ORDER_THREADS {
+        let (engine, order_tasks) = (Arc::clone(&clients.engine), order_tasks.clone());
+        spawn("order", node, move |node| order(node, engine.as_ref(), &order_tasks))?;
     }
     let hosts = Arc::clone(&clients.hosts);
     spawn("hosts", node, move |node| watch_hosts(node, hosts.as_ref()))?;
     Ok(ControlOutputs { appends, polls, orders, socket })
 }
 
-/// Starts a named thread with a small stack.
+/// Starts a named thread with a stack of 512 KiB.
 ///
 /// # Errors
 ///
-/// The system gives no thread.
+/// A thread cannot be started.
 pub fn spawn(
     name: &str,
     node: &Arc<Node>,
@@ -95,8 +96,12 @@
     }
 }
 
-fn poll(node: &Node, engine: &dyn EngineControl, asked: &flume::Receiver<(SmolStr, SocketAddr)>) {
-    for (server, addr) in asked {
+fn poll(
+    node: &Node,
+    engine: &dyn EngineControl,
+    poll_requests: &flume::Receiver<(SmolStr, SocketAddr)>,
+) {
+    for (server, addr) in poll_requests {
         let report = engine.fetch_report(addr).ok();
         if !node.send(ControlInput::Event(Event::Report(server, report))) {
             return;
@@ -104,10 +109,10 @@
     }
 }
 
-fn order(node: &Node, engine: &dyn EngineControl, tasks: &flume::Receiver<OrderTask>) {
-    for (addr, order, until) in tasks {
-        // The process may have been paused since the decision; the lease is looked at again just
-        // before the write.
+fn order(node: &Node, engine: &dyn EngineControl, order_tasks: &flume::Receiver<OrderTask>) {
+    for (addr, order, until) in order_tasks {
+        // The process may have been paused since the decision, so the lease is checked again just
+        // before the order is sent.
         let late = until.is_some_and(|until| node.now() >= until);
         let answer = if late { OrderAnswer::Unsent } else { engine.send_order(addr, &order) };
         if !node.send(ControlInput::Event(Event::Ordered(order, answer))) {
@@ -117,9 +122,9 @@
 }
 
 fn watch_hosts(node: &Node, list: &dyn HostList) {
-    let mut book = HostListCache::default();
+    let mut cache = HostListCache::default();
     loop {
-        let hosts = list.changes(book.version()).ok().and_then(|change| book.apply(change));
+        let hosts = list.changes(cache.version()).ok().and_then(|change| cache.apply(change));
         if let Some(hosts) = hosts
             && !node.send(ControlInput::Event(Event::Hosts(hosts)))
         {
@@ -128,6 +133,6 @@
         if node.control.is_disconnected() {
             return;
         }
-        thread::sleep(HOSTS_PERIOD);
+        thread::sleep(HOST_POLL_INTERVAL);
     }
 }
