--- a/lib/src/slots.rs
+++ b/lib/src/slots.rs
@@ -29,7 +29,7 @@
     pub memory_mib: Mebibytes,
     /// Phase of the replica. Invariant: count and memory stay reserved in every phase.
     pub phase: Phase,
-    /// Daemon and its incarnation that may have an order for this slot in flight.
+    /// The daemon, with its incarnation, that may have an order for this slot in flight.
     pub orderer: (DaemonId, Incarnation),
     /// Fencing number of the last decision about it.
     pub fence: Fence,
--- a/lib/src/timer.rs
+++ b/lib/src/timer.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Interval between checks; shorter periods are not kept.
+/// Interval at which subscriptions are checked; shorter periods are in effect this long.
 const TICK: Duration = Duration::from_millis(10);
 
 /// Monotonic time since a daemon's start.
