--- a/lib/tests/test_settings.rs
+++ b/lib/tests/test_settings.rs
@@ -1,4 +1,4 @@
-//! Settings: defaults, and all faults told together.
+//! Settings: defaults, reporting all faults together, lease margins and keep-warm times.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use comfreymux_lib::lease::LEASE_TTL;
 use comfreymux_lib::lease::LeaseAuthority;
 use comfreymux_lib::settings::Settings;
-use comfreymux_testutils::rig::Texts;
+use comfreymux_testutils::rig::FlagValues;
 
-fn texts(pairs: &[(&str, &str)]) -> Texts {
-    Texts(pairs.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())).collect())
+fn texts(pairs: &[(&str, &str)]) -> FlagValues {
+    FlagValues(pairs.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())).collect())
 }
 
 #[test]
@@ -31,7 +31,7 @@
 
 #[test]
 fn all_faults() {
-    // An operator's first start has seven faults; one look tells all of them.
+    // The settings have seven faults; one error lists all of them.
     let wrong = [
         ("id", "two words"),
         ("listen", "localhost"),
@@ -47,8 +47,8 @@
 
 #[test]
 fn lease_margins() {
-    // The holder's clock may run slow and the bidder's fast, each by half the bound; the holder
-    // must still stop before the bidder may bid.
+    // The holder's clock may run slow and the bidder's fast, each by half the bound; the holder's
+    // lease must still expire before the bidder may bid.
     let drift = f64::from(DRIFT_PERCENT) / 100.0;
     assert!(LEASE_TTL.mul_f64(1.0 + drift) < BID_AFTER.mul_f64(1.0 - drift));
     let mut authority = LeaseAuthority::default();
@@ -60,8 +60,8 @@
 
 #[test]
 fn keep_learned() {
-    // A model that returns every two minutes is kept for that long where idle time is cheap, and
-    // unloaded soon where it is dear or where it returns once a day.
+    // A model that is requested every two minutes is kept loaded for that long if idle time is
+    // cheap. It is unloaded soon if idle time is expensive or the model is requested once a day.
     let cold = Duration::from_secs(20);
     let mut warm = KeepWarm::new(KeepWarmPolicy::Learned);
     for _ in 0..50 {
--- a/lib/testutils/src/engine_settings.rs
+++ b/lib/testutils/src/engine_settings.rs
@@ -1,4 +1,4 @@
-//! What an engine stand-in is, how it fails and what it saw.
+//! Settings, injected faults and audit counters of the model engine stand-in.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an engine is and how fast.
+/// Capacity and speed of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Start count.
+    /// Number of this start of the engine's process; orders for another start are refused as stale.
     pub incarnation: Incarnation,
-    /// Accelerator memory.
+    /// Accelerator memory in MiB, as listed for the host; the stand-in does not enforce it.
     pub memory_mib: Mebibytes,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an old fencing number or for another incarnation are refused.
     pub fencing: bool,
-    /// MiB/s of a load from memory.
+    /// Speed of a load from host memory, in MiB/s.
     pub memory_rate: f64,
-    /// MiB/s of a load from disk.
+    /// Speed of a load from disk, in MiB/s.
     pub disk_rate: f64,
-    /// The weight store; without one remote loads take the disk's rate.
+    /// Address of the weight store; if `None`, remote loads run at `disk_rate`.
     pub store: Option<SocketAddr>,
-    /// Time to the first token.
+    /// Delay before the first token.
     pub first: Duration,
-    /// Time between tokens.
+    /// Delay between tokens.
     pub gap: Duration,
-    /// Tokens of an answer that asks for no number.
+    /// Tokens of an answer if the request has no `max_tokens`.
     pub tokens: u64,
-    /// Requests that run at once.
+    /// Requests that each loaded model runs concurrently; further ones are refused.
     pub slots: u32,
 }
 
@@ -51,41 +51,41 @@
     }
 }
 
-/// Faults of an engine; set by `POST /fault`.
+/// Faults of an engine; set by `POST /fault`. A count of n affects the next n cases.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// New work is refused and reports say that the host leaves.
+    /// Refuses new requests and reports that the host is leaving.
     pub leaving: bool,
-    /// Next streams that go silent after `after` tokens.
+    /// Next streams that stop sending after `after` tokens, with the connection left open.
     pub stall: u32,
-    /// Next streams that are cut after `after` tokens.
+    /// Next streams whose connection closes after `after` tokens.
     pub cut: u32,
     /// Next streams that end with an error object after `after` tokens.
     pub error: u32,
-    /// Next answers that belong to another attempt.
+    /// Next answers that carry another attempt's id.
     pub crossed: u32,
-    /// Next connections that are never answered.
+    /// Next requests that get no answer, with the connection left open.
     pub silent: u32,
-    /// Tokens before a stream's fault.
+    /// Tokens sent before a stream's fault.
     pub after: u64,
-    /// Lag of load reports.
+    /// Age of the reports that the engine returns, in milliseconds.
     pub lag_ms: u64,
-    /// Next orders that take effect and whose answer is lost.
+    /// Next orders that are carried out without an answer.
     pub lose: u32,
 }
 
-/// What an engine saw.
+/// Counters that tests and the demo check; returned by `GET /audit`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct EngineAudit {
-    /// Most memory that was in use at once.
+    /// Peak memory of all models loaded or loading, in MiB.
     pub peak_mib: Mebibytes,
-    /// Loads begun.
+    /// Loads started.
     pub loads: u64,
-    /// Orders refused for an old fencing number.
+    /// Orders refused for an old fencing number or another incarnation.
     pub stale: u64,
     /// Models that are loaded or loading.
     pub models: Vec<ModelName>,
-    /// Requests that began to run.
+    /// Requests that started to run.
     pub served: u64,
 }
--- a/lib/testutils/src/engine_standin.rs
+++ b/lib/testutils/src/engine_standin.rs
@@ -1,4 +1,6 @@
-//! Stand-in of a model engine: loads, unloads, streams; its memory can really be overcommitted.
+//! Stand-in for a model engine that loads and unloads models and streams completions.
+//!
+//! It doesn't enforce its memory size, so that a test can detect an overcommit.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -38,12 +40,12 @@
 use crate::http_server::Handler;
 use crate::http_server::HttpRequest;
 use crate::http_server::header_lines;
+use crate::http_server::hold_open;
 use crate::http_server::respond;
 use crate::http_server::respond_json;
-use crate::http_server::stay_silent;
 
 #[derive(Clone, Debug)]
-struct Place {
+struct HeldModel {
     loaded: bool,
     ticket: Position,
     memory_mib: Mebibytes,
@@ -54,14 +56,14 @@
 #[derive(Debug, Default)]
 struct Inner {
     fence: Fence,
-    places: BTreeMap<ModelName, Place>,
+    held_models: BTreeMap<ModelName, HeldModel>,
     cached: BTreeMap<ModelName, Source>,
     faults: EngineFaults,
     audit: EngineAudit,
     reports: Vec<(Instant, ServerReport)>,
 }
 
-/// A model engine.
+/// A model engine; clones share their state.
 #[derive(Clone, Debug)]
 pub struct EngineStandin {
     settings: Arc<EngineSettings>,
@@ -70,7 +72,7 @@
 
 /// A fault in the middle of a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Break {
+enum StreamFault {
     Stall,
     Cut,
     Error,
@@ -86,105 +88,105 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the faults.
+    /// Replaces all faults, including counts that are not used up.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.inner().faults = faults;
     }
 
-    /// Puts a checkpoint where loads of `model` read it.
+    /// Adds a copy of `model` at `source`, which later loads read.
     pub fn cache(&self, model: &str, source: Source) {
         self.inner().cached.insert(model.into(), source);
     }
 
-    /// Loses a model, as an engine does whose worker crashed.
+    /// Drops a model without an order, as after a crash of the engine's worker.
     pub fn forget(&self, model: &str) {
-        self.inner().places.remove(model);
+        self.inner().held_models.remove(model);
     }
 
-    /// Returns what the engine saw.
+    /// Returns the counters and the models that are loaded or loading.
     pub fn audit(&self) -> EngineAudit {
         let inner = self.inner();
-        EngineAudit { models: inner.places.keys().cloned().collect(), ..inner.audit.clone() }
+        EngineAudit { models: inner.held_models.keys().cloned().collect(), ..inner.audit.clone() }
     }
 
-    /// Carries an order out.
+    /// Carries out an order, or refuses it if it is stale or its model is in use.
     pub fn order(&self, order: &Order) -> OrderAnswer {
         let mut inner = self.inner();
-        let old = order.fence < inner.fence || order.incarnation != self.settings.incarnation;
-        if self.settings.fencing && old {
+        let is_stale = order.fence < inner.fence || order.incarnation != self.settings.incarnation;
+        if self.settings.fencing && is_stale {
             inner.audit.stale += 1;
             return OrderAnswer::Stale;
         }
         inner.fence = inner.fence.max(order.fence);
         match order.action {
             OrderAction::Load => {
-                if let Some(place) = inner.places.get_mut(&order.model) {
-                    place.ticket = place.ticket.max(order.ticket);
+                if let Some(held) = inner.held_models.get_mut(&order.model) {
+                    held.ticket = held.ticket.max(order.ticket);
                 } else {
-                    self.begin(&mut inner, order);
+                    self.start_load(&mut inner, order);
                 }
                 OrderAnswer::Done
             }
-            OrderAction::Unload => match inner.places.get(&order.model) {
-                Some(place) if place.active > 0 => OrderAnswer::Busy,
+            OrderAction::Unload => match inner.held_models.get(&order.model) {
+                Some(held) if held.active > 0 => OrderAnswer::Busy,
                 _ => {
-                    inner.places.remove(&order.model);
+                    inner.held_models.remove(&order.model);
                     OrderAnswer::Done
                 }
             },
         }
     }
 
-    fn begin(&self, inner: &mut Inner, order: &Order) {
-        let place = Place {
+    fn start_load(&self, inner: &mut Inner, order: &Order) {
+        let held = HeldModel {
             loaded: false,
             ticket: order.ticket,
             memory_mib: order.memory_mib,
             active: 0,
             served: 0,
         };
-        inner.places.insert(order.model.clone(), place);
+        inner.held_models.insert(order.model.clone(), held);
         inner.audit.loads += 1;
-        let used = inner.places.values().map(|p| p.memory_mib).sum();
+        let used = inner.held_models.values().map(|p| p.memory_mib).sum();
         inner.audit.peak_mib = inner.audit.peak_mib.max(used);
         let source = inner.cached.get(&order.model).copied().unwrap_or(Source::Remote);
         let (engine, order) = (self.clone(), order.clone());
         thread::spawn(move || {
-            engine.read(source, order.load_mib);
-            engine.ready(&order);
+            engine.read_weights(source, order.load_mib);
+            engine.finish_load(&order);
         });
     }
 
-    fn read(&self, source: Source, size: Mebibytes) {
+    fn read_weights(&self, source: Source, size_mib: Mebibytes) {
         let rate = match (source, self.settings.store) {
             (Source::Memory, _) => self.settings.memory_rate,
             (Source::Remote, Some(store)) => {
-                // A store that fails still ends the load: this stand-in knows no failed loads.
-                let _failed = minreq::get(format!("http://{store}/fetch?mib={size}")).send();
+                // The stand-in has no failed loads: a load also completes if the store fails.
+                let _failed = minreq::get(format!("http://{store}/fetch?mib={size_mib}")).send();
                 return;
             }
             (Source::Disk | Source::Remote, _) => self.settings.disk_rate,
         };
-        thread::sleep(Duration::from_secs_f64(size as f64 / rate));
+        thread::sleep(Duration::from_secs_f64(size_mib as f64 / rate));
     }
 
-    fn ready(&self, order: &Order) {
+    fn finish_load(&self, order: &Order) {
         let mut inner = self.inner();
-        let place = inner.places.get_mut(&order.model).filter(|p| p.ticket >= order.ticket);
-        if let Some(place) = place {
-            place.loaded = true;
+        let held = inner.held_models.get_mut(&order.model).filter(|p| p.ticket >= order.ticket);
+        if let Some(held) = held {
+            held.loaded = true;
             inner.cached.insert(order.model.clone(), Source::Memory);
         }
     }
 
-    /// Returns the load report, as old as its lag.
+    /// Returns the newest report that is at least `lag_ms` old, or an empty one if there is none.
     pub fn report(&self) -> ServerReport {
         let mut inner = self.inner();
         let fresh = ServerReport {
             incarnation: self.settings.incarnation,
             fence: inner.fence,
             leaving: inner.faults.leaving,
-            models: inner.places.iter().map(|(model, p)| p.report(model)).collect(),
+            models: inner.held_models.iter().map(|(model, p)| p.report(model)).collect(),
             cached: inner
                 .cached
                 .iter()
@@ -193,9 +195,9 @@
         };
         let lag = Duration::from_millis(inner.faults.lag_ms);
         inner.reports.push((Instant::now(), fresh.clone()));
-        let keep = inner.reports.iter().rposition(|(at, _)| at.elapsed() >= lag);
-        if let Some(keep) = keep {
-            inner.reports.drain(..keep);
+        let newest_due = inner.reports.iter().rposition(|(at, _)| at.elapsed() >= lag);
+        if let Some(newest_due) = newest_due {
+            inner.reports.drain(..newest_due);
             return inner.reports[0].1.clone();
         }
         ServerReport { incarnation: self.settings.incarnation, ..ServerReport::default() }
@@ -208,7 +210,7 @@
             let mut inner = self.inner();
             if take(&mut inner.faults.silent) {
                 drop(inner);
-                return stay_silent(out);
+                return hold_open(out);
             }
             let crossed = take(&mut inner.faults.crossed);
             if crossed {
@@ -217,34 +219,35 @@
                 request.header(ATTEMPT_HEADER).to_owned()
             }
         };
-        let active = match self.enter(&model) {
+        let active = match self.begin_request(&model) {
             Ok(active) => active,
-            Err(word) => return respond(out, 503, &[(REFUSED_HEADER, word.into())], b""),
+            Err(reason) => return respond(out, 503, &[(REFUSED_HEADER, reason.into())], b""),
         };
         let headers = [(ATTEMPT_HEADER, attempt), (ACTIVE_HEADER, active.to_string())];
         let result = if body["stream"] == true {
-            self.stream(request, &body, &headers, out)
+            self.send_stream(request, &body, &headers, out)
         } else {
-            self.whole(&body, &headers, out)
+            self.send_completion(&body, &headers, out)
         };
-        if let Some(place) = self.inner().places.get_mut(model.as_str()) {
-            place.active = place.active.saturating_sub(1);
+        if let Some(held) = self.inner().held_models.get_mut(model.as_str()) {
+            held.active = held.active.saturating_sub(1);
         }
         result
     }
 
-    fn enter(&self, model: &str) -> Result<u32, &'static str> {
+    fn begin_request(&self, model: &str) -> Result<u32, &'static str> {
         let mut inner = self.inner();
         if inner.faults.leaving {
             return Err(REFUSED_LEAVING);
         }
-        let place = inner.places.get_mut(model).filter(|p| p.loaded).ok_or(REFUSED_NOT_LOADED)?;
-        if place.active >= self.settings.slots {
+        let held =
+            inner.held_models.get_mut(model).filter(|p| p.loaded).ok_or(REFUSED_NOT_LOADED)?;
+        if held.active >= self.settings.slots {
             return Err("busy");
         }
-        place.active += 1;
-        place.served += 1;
-        let active = place.active;
+        held.active += 1;
+        held.served += 1;
+        let active = held.active;
         inner.audit.served += 1;
         Ok(active)
     }
@@ -253,7 +256,7 @@
         body["max_tokens"].as_u64().unwrap_or(self.settings.tokens)
     }
 
-    fn whole(
+    fn send_completion(
         &self,
         body: &serde_json::Value,
         headers: &[(&str, String)],
@@ -261,8 +264,8 @@
     ) -> io::Result<()> {
         let tokens = self.tokens(body);
         thread::sleep(self.settings.first + self.settings.gap * tokens as u32);
-        let words: Vec<String> = (0..tokens).map(|i| format!("t{i}")).collect();
-        let text = words.join(" ");
+        let token_texts: Vec<String> = (0..tokens).map(|i| format!("t{i}")).collect();
+        let text = token_texts.join(" ");
         let answer = json!({
             "id": "chatcmpl-1", "object": "chat.completion", "created": 0, "model": body["model"],
             "choices": [{"index": 0, "finish_reason": "stop",
@@ -274,14 +277,14 @@
         respond(out, 200, &headers, answer.to_string().as_bytes())
     }
 
-    fn stream(
+    fn send_stream(
         &self,
         request: &HttpRequest,
         body: &serde_json::Value,
         headers: &[(&str, String)],
         out: &mut TcpStream,
     ) -> io::Result<()> {
-        let (fault, after) = self.take_break();
+        let (fault, after) = self.take_stream_fault();
         let tokens = self.tokens(body);
         let resume = request.header(RESUME_HEADER).parse::<u64>().unwrap_or(0);
         let mut head = String::from(
@@ -305,9 +308,9 @@
             thread::sleep(self.settings.gap);
         }
         match fault {
-            Some(Break::Stall) => return stay_silent(out),
-            Some(Break::Cut) => return Ok(()),
-            Some(Break::Error) => {
+            Some(StreamFault::Stall) => return hold_open(out),
+            Some(StreamFault::Cut) => return Ok(()),
+            Some(StreamFault::Error) => {
                 write_event(out, r#"{"error":{"code":429,"message":"engine overloaded"}}"#)?;
             }
             None => write_event(out, "[DONE]")?,
@@ -315,14 +318,14 @@
         out.write_all(b"0\r\n\r\n")
     }
 
-    fn take_break(&self) -> (Option<Break>, u64) {
+    fn take_stream_fault(&self) -> (Option<StreamFault>, u64) {
         let faults = &mut self.inner().faults;
         let fault = if take(&mut faults.stall) {
-            Some(Break::Stall)
+            Some(StreamFault::Stall)
         } else if take(&mut faults.cut) {
-            Some(Break::Cut)
+            Some(StreamFault::Cut)
         } else if take(&mut faults.error) {
-            Some(Break::Error)
+            Some(StreamFault::Error)
         } else {
             None
         };
@@ -330,7 +333,7 @@
     }
 }
 
-impl Place {
+impl HeldModel {
     fn report(&self, model: &ModelName) -> ModelReport {
         ModelReport {
             model: model.clone(),
--- a/lib/testutils/src/faults.rs
+++ b/lib/testutils/src/faults.rs
@@ -1,8 +1,8 @@
-//! Counted faults of the stand-ins and fakes.
+//! Countdown of injected faults, for the stand-ins and fakes.
 
-/// Takes one of a count of faults; returns whether there was one.
+/// Decrements a count of remaining faults; returns whether one remained.
 pub fn take(count: &mut u32) -> bool {
-    let any = *count > 0;
+    let remained = *count > 0;
     *count = count.saturating_sub(1);
-    any
+    remained
 }
--- a/lib/testutils/src/hosts_standin.rs
+++ b/lib/testutils/src/hosts_standin.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's host list.
+//! Stand-in for the platform's host list, whose changes can show with a delay.
 
 use std::collections::VecDeque;
 use std::io;
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct HostFaults {
-    /// Nothing is answered.
+    /// Answers each read with status 503.
     pub down: bool,
-    /// Time until a change shows.
+    /// Delay until a change shows in the list, in milliseconds.
     pub lag_ms: u64,
 }
 
@@ -40,21 +40,21 @@
 struct Inner {
     version: u64,
     hosts: Vec<Host>,
-    coming: VecDeque<(Instant, Change)>,
+    pending: VecDeque<(Instant, Change)>,
     faults: HostFaults,
 }
 
-/// The list of hosts, which lags.
+/// The list of hosts; a change shows after the delay of [`HostFaults`].
 #[derive(Debug, Default)]
 pub struct HostsStandin {
     inner: Mutex<Inner>,
 }
 
 impl Inner {
-    fn settle(&mut self) {
+    fn apply_due(&mut self) {
         let lag = Duration::from_millis(self.faults.lag_ms);
-        while self.coming.front().is_some_and(|(at, _)| at.elapsed() >= lag) {
-            let Some((_, change)) = self.coming.pop_front() else {
+        while self.pending.front().is_some_and(|(at, _)| at.elapsed() >= lag) {
+            let Some((_, change)) = self.pending.pop_front() else {
                 return;
             };
             self.version += 1;
@@ -74,19 +74,19 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: HostFaults) {
         self.inner().faults = faults;
     }
 
-    /// Adds or changes a host.
+    /// Adds a host or replaces the one with its id, after the delay.
     pub fn put(&self, host: Host) {
-        self.inner().coming.push_back((Instant::now(), Change::Put(host)));
+        self.inner().pending.push_back((Instant::now(), Change::Put(host)));
     }
 
-    /// Removes a host.
+    /// Removes a host by id, after the delay.
     pub fn remove(&self, id: &str) {
-        self.inner().coming.push_back((Instant::now(), Change::Remove(id.into())));
+        self.inner().pending.push_back((Instant::now(), Change::Remove(id.into())));
     }
 }
 
@@ -110,9 +110,9 @@
                 if inner.faults.down {
                     return respond(out, 503, &[], b"down");
                 }
-                inner.settle();
+                inner.apply_due();
                 let since = request.number("since");
-                // This small list sends everything whenever something changed.
+                // The list is small, so any change sends the whole list instead of a difference.
                 let whole = since != inner.version || since == 0;
                 let hosts = if whole { inner.hosts.clone() } else { Vec::new() };
                 let version = inner.version;
--- a/lib/testutils/src/http_server.rs
+++ b/lib/testutils/src/http_server.rs
@@ -1,4 +1,6 @@
-//! A small HTTP server for stand-ins: every byte of an answer, and its absence, is in their hands.
+//! A small HTTP server for stand-ins.
+//!
+//! Handlers write the raw answer to the connection, so that they can also cut or omit it.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,49 +17,49 @@
 use std::thread;
 use std::time::Duration;
 
-/// A request.
+/// A request, read with its whole body.
 #[derive(Clone, Debug, Default)]
 pub struct HttpRequest {
-    /// Method.
+    /// Method, such as `GET`.
     pub method: String,
     /// Path without its query.
     pub path: String,
-    /// Query parameters.
+    /// Query parameters by name, without percent-decoding.
     pub query: BTreeMap<String, String>,
     /// Headers by lower-case name.
     pub headers: BTreeMap<String, String>,
-    /// Body.
+    /// Body; empty without a `Content-Length`.
     pub body: Vec<u8>,
 }
 
 impl HttpRequest {
-    /// Returns a header.
+    /// Returns a header by its lower-case name, or an empty text if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Returns a query parameter as a number, 0 where there is none.
+    /// Returns a query parameter as a number, or 0 if it is missing or not a number.
     pub fn number(&self, name: &str) -> u64 {
         self.query.get(name).and_then(|t| t.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Something that answers requests.
+/// Answers the requests of an [`HttpServer`], each on its own thread.
 pub trait Handler: Send + Sync + 'static {
     /// Answers a request on its connection, which is closed afterwards.
     ///
     /// # Errors
     ///
-    /// The connection broke; nothing more is done about it.
+    /// Returns an error if the connection fails; the server ignores it.
     fn handle(&self, request: &HttpRequest, out: &mut TcpStream) -> io::Result<()>;
 }
 
 /// A running server; it stops when dropped.
 #[derive(Debug)]
 pub struct HttpServer {
-    /// Where it answers.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
-    ended: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl HttpServer {
@@ -65,12 +67,12 @@
     ///
     /// # Errors
     ///
-    /// The address cannot be used.
+    /// Returns an error if the address cannot be bound or the thread cannot be started.
     pub fn start(addr: SocketAddr, handler: Arc<dyn Handler>) -> io::Result<Self> {
         let listener = TcpListener::bind(addr)?;
         let addr = listener.local_addr()?;
-        let ended = Arc::new(AtomicBool::new(false));
-        let stop = Arc::clone(&ended);
+        let stopped = Arc::new(AtomicBool::new(false));
+        let stop = Arc::clone(&stopped);
         thread::Builder::new().name("standin".into()).spawn(move || {
             for stream in listener.incoming() {
                 if stop.load(Ordering::Relaxed) {
@@ -81,20 +83,20 @@
                 };
                 let handler = Arc::clone(&handler);
                 let serve = move || {
-                    // A client that breaks off is its own affair.
+                    // An error ends this connection only.
                     let _broken = serve(stream, handler.as_ref());
                 };
-                // Without a thread the connection closes unanswered.
+                // If no thread can be started, the connection closes without an answer.
                 let _refused = thread::Builder::new().stack_size(256 * 1024).spawn(serve);
             }
         })?;
-        Ok(Self { addr, ended })
+        Ok(Self { addr, stopped })
     }
 
-    /// Stops taking connections in and frees the address.
+    /// Stops accepting connections and frees the address; requests in progress continue.
     pub fn stop(&self) {
-        if !self.ended.swap(true, Ordering::Relaxed) {
-            // Wakes the accept loop, which then sees the flag.
+        if !self.stopped.swap(true, Ordering::Relaxed) {
+            // Unblocks the accept loop, which then checks the flag.
             let _woken = TcpStream::connect_timeout(&self.addr, Duration::from_secs(1));
         }
     }
@@ -117,9 +119,9 @@
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
     reader.read_line(&mut line)?;
-    let mut words = line.split_whitespace();
-    let method = words.next().unwrap_or_default().to_owned();
-    let url = words.next().unwrap_or_default().to_owned();
+    let mut fields = line.split_whitespace();
+    let method = fields.next().unwrap_or_default().to_owned();
+    let url = fields.next().unwrap_or_default().to_owned();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
     let pair = |p: &str| p.split_once('=').map(|(k, v)| (k.to_owned(), v.to_owned()));
     let mut request = HttpRequest {
@@ -142,11 +144,11 @@
     Ok(request)
 }
 
-/// Writes a whole answer.
+/// Writes an answer with its headers and body.
 ///
 /// # Errors
 ///
-/// The connection broke.
+/// Returns an error if the connection fails.
 pub fn respond(
     out: &mut TcpStream,
     status: u16,
@@ -160,28 +162,28 @@
     out.flush()
 }
 
-/// Returns header lines, the last of which closes the connection, and the empty line after them.
+/// Returns the header lines, `Connection: close` and the empty line that ends the head.
 pub fn header_lines(headers: &[(&str, String)]) -> String {
     let lines: Vec<String> =
         headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
     lines.concat() + "Connection: close\r\n\r\n"
 }
 
-/// Writes a value as JSON.
+/// Writes an answer with status 200 and `value` as its JSON body.
 ///
 /// # Errors
 ///
-/// The connection broke.
+/// Returns an error if the connection fails or the value cannot be serialized.
 pub fn respond_json(out: &mut TcpStream, value: &impl serde::Serialize) -> io::Result<()> {
     respond(out, 200, &[("Content-Type", "application/json".into())], &serde_json::to_vec(value)?)
 }
 
-/// Leaves the client without an answer until it gives up.
+/// Keeps the connection open without an answer until the client closes it.
 ///
 /// # Errors
 ///
-/// Never fails; the type fits [`Handler`].
-pub fn stay_silent(out: &mut TcpStream) -> io::Result<()> {
+/// Never fails; the return type matches [`Handler::handle`].
+pub fn hold_open(out: &mut TcpStream) -> io::Result<()> {
     let mut rest = [0; 64];
     while out.read(&mut rest).is_ok_and(|n| n > 0) {}
     Ok(())
--- a/lib/testutils/src/lib.rs
+++ b/lib/testutils/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform and the backend servers, for tests, the demo and trials by hand.
+//! Stand-ins for the platform and the backend servers, for tests, the demo and manual experiments.
 
 pub mod engine_settings;
 pub mod engine_standin;
--- a/lib/testutils/src/log_standin.rs
+++ b/lib/testutils/src/log_standin.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's log service.
+//! Stand-in for the platform's log service, with injected faults.
 
 use std::collections::VecDeque;
 use std::io;
@@ -22,20 +22,20 @@
 use crate::http_server::respond;
 use crate::http_server::respond_json;
 
-/// Most entries of one page.
-const PAGE: usize = 500;
+/// Maximum number of entries in one page.
+const MAX_PAGE_ENTRIES: usize = 500;
 
 /// Faults of the log; set by `POST /fault`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct LogFaults {
-    /// Nothing is answered.
+    /// Answers each call with status 503.
     pub down: bool,
-    /// Next appends that take effect and whose answer is lost.
+    /// Next appends that are carried out without an answer.
     pub lose: u32,
-    /// Delay of each append.
+    /// Delay of each append, in milliseconds.
     pub slow_ms: u64,
-    /// Entries that are kept; 0 keeps all.
+    /// Number of newest entries to keep; 0 keeps all.
     pub keep: usize,
 }
 
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 pub struct LogStandin {
     inner: Mutex<Inner>,
-    grown: Condvar,
+    appended: Condvar,
 }
 
 impl LogStandin {
@@ -59,13 +59,13 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the faults.
+    /// Replaces all faults and wakes waiting readers.
     pub fn set_faults(&self, faults: LogFaults) {
         self.inner().faults = faults;
-        self.grown.notify_all();
+        self.appended.notify_all();
     }
 
-    /// Returns how many appends took effect.
+    /// Returns the number of appends carried out, including those without an answer.
     pub fn appends(&self) -> u64 {
         self.inner().appends
     }
@@ -80,7 +80,7 @@
             inner.entries.pop_front();
             inner.first += 1;
         }
-        self.grown.notify_all();
+        self.appended.notify_all();
         offset
     }
 
@@ -88,12 +88,12 @@
         let end = |inner: &Inner| inner.first + inner.entries.len() as Offset;
         let inner = self.inner();
         let (inner, _) = self
-            .grown
+            .appended
             .wait_timeout_while(inner, wait, |i| end(i) <= from && !i.faults.down)
             .unwrap_or_else(PoisonError::into_inner);
         let skip = from.saturating_sub(inner.first) as usize;
         let offsets = inner.first + skip as Offset..;
-        let entries = inner.entries.iter().skip(skip).take(PAGE).cloned();
+        let entries = inner.entries.iter().skip(skip).take(MAX_PAGE_ENTRIES).cloned();
         LogPage { oldest: inner.first, entries: offsets.zip(entries).collect() }
     }
 }
--- a/lib/testutils/src/placing_site.rs
+++ b/lib/testutils/src/placing_site.rs
@@ -1,4 +1,4 @@
-//! Engines, their models and demand, for tests of plans.
+//! A service with engines, models and demand, for tests of the planner.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -27,25 +27,26 @@
 use comfreymux_lib::placement::planner::PlanInput;
 use smol_str::SmolStr;
 
-/// The moment of the plan.
+/// Current time of each plan.
 pub const NOW: Moment = Duration::from_secs(100);
-/// The engines' service.
+/// Name of the service that all engines run.
 pub const SERVICE: &str = "draft";
 
-/// A service of engines with room for two models of 70 GB and one of 40 GB, or three of 60.
+/// Input of a plan for one service, whose engines have memory for two models of 70 GB and one of
+/// 40 GB, or for three of 60 GB.
 #[derive(Debug)]
 pub struct Site {
-    /// The configuration.
+    /// Configuration with the one service.
     pub config: Configuration,
-    /// What the engines hold.
+    /// Models that the engines hold and load.
     pub engine_table: EngineTable,
-    /// What callers ask for.
+    /// Queued requests and arrival counts that daemons reported.
     pub demand: Demand,
-    /// Requests in progress.
+    /// Requests in progress at the engines.
     pub loads: Workloads,
-    /// Loads from the weight store that may begin.
+    /// Number of fetches from the weight store that may start now.
     pub room: usize,
-    /// What is known of the weight store.
+    /// Numbers of concurrent fetches at full speed: proven so far, and the limit.
     pub share: StoreShare,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl Site {
-    /// Starts without engines, with models by name, size and number of adapters.
+    /// Creates a site without engines; `models` have a name, a size in MB and a number of adapters.
     pub fn new(models: &[(&str, u64, usize)]) -> Self {
         let models = models.iter().map(|(n, size, a)| ((*n).into(), spec(*size, *a))).collect();
         let engine =
@@ -83,17 +84,19 @@
         }
     }
 
-    /// Adds an engine; the length of its id gives its data centre.
+    /// Adds an engine that holds the models `held` and has local copies of these and of `disk`.
+    ///
+    /// Engines whose ids have the same length are in the same data centre.
     ///
     /// # Panics
     ///
-    /// Never: the address is well formed.
+    /// Never panics: the address is valid.
     pub fn engine(&mut self, id: &str, held: &[&str], disk: &[&str]) -> &mut Engine {
         let held_model = |name: &&str| LoadedModel { name: (*name).into(), adapters: Vec::new() };
         let server = Server {
             id: id.into(),
             service: SERVICE.into(),
-            addr: "127.0.0.1:9000".parse().expect("an address"),
+            addr: "127.0.0.1:9000".parse().expect("valid address"),
             centre: format!("c{}", id.len()).into(),
             slots: 64,
             leaving: false,
@@ -122,9 +125,9 @@
         self.engine_table.engines.entry(id.into()).or_insert(engine)
     }
 
-    /// Makes one request wait for a model or adapter.
+    /// Adds one queued request for a model or adapter.
     pub fn want(&mut self, model: &str, adapter: Option<&str>) {
-        let want = QueuedDemand {
+        let queued_demand = QueuedDemand {
             service: SERVICE.into(),
             model: model.into(),
             adapter: adapter.map(Into::into),
@@ -133,26 +136,26 @@
             due_ms: 4_000,
             avoid: Vec::new(),
         };
-        let note = DemandReport { queued: vec![want], arrivals: Vec::new() };
-        self.demand.update(&format!("d-{model}").into(), note, NOW);
+        let report = DemandReport { queued: vec![queued_demand], arrivals: Vec::new() };
+        self.demand.update(&format!("d-{model}").into(), report, NOW);
     }
 
-    /// Makes a model asked for `rate` times a second.
+    /// Sets the arrival rate of a model's requests, per second.
     pub fn busy(&mut self, model: &str, rate: u32) {
         self.asked(model, rate * 6);
     }
 
-    /// Makes a model asked for some times in the last seconds.
+    /// Adds `times` recent arrivals of requests for a model.
     pub fn asked(&mut self, model: &str, times: u32) {
         for count in [0, times] {
             let count =
                 ArrivalCount { service: SERVICE.into(), model: model.into(), adapter: None, count };
-            let note = DemandReport { queued: Vec::new(), arrivals: vec![count] };
-            self.demand.update(&format!("busy-{model}").into(), note, NOW);
+            let report = DemandReport { queued: Vec::new(), arrivals: vec![count] };
+            self.demand.update(&format!("busy-{model}").into(), report, NOW);
         }
     }
 
-    /// Returns the next steps.
+    /// Returns the planner's next actions.
     pub fn plan(&self) -> Vec<Action> {
         let work = self.loads.fleet_table(NOW);
         let input = PlanInput {
@@ -170,7 +173,8 @@
     }
 }
 
-/// Returns engine, victims and source of a model's load in a plan.
+/// Returns the engine, the evicted models and the weight source of a model's load in a plan, or
+/// `None` if the plan does not load it.
 pub fn load_of<'a>(plan: &'a [Action], model: &str) -> Option<(&'a str, Vec<&'a str>, Source)> {
     plan.iter().find_map(|action| match action {
         Action::LoadModel { server, model: m, victims, source, .. } if m == model => {
--- a/lib/testutils/src/rig.rs
+++ b/lib/testutils/src/rig.rs
@@ -1,4 +1,4 @@
-//! Daemons and stand-ins in one process, over real sockets on the loopback address.
+//! Daemons and stand-ins in one process, connected by real sockets on the loopback address.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -18,7 +18,7 @@
 use comfreymux_lib::host_list::HttpHostList;
 use comfreymux_lib::log_service::HttpLog;
 use comfreymux_lib::logging;
-use comfreymux_lib::settings::FlagSource as TextSource;
+use comfreymux_lib::settings::FlagSource;
 use comfreymux_lib::settings::Settings;
 use comfreymux_lib::table::Edit;
 use comfreymux_lib::table::Row;
@@ -35,26 +35,26 @@
 use crate::service_standin::ServiceStandin;
 use crate::store_standin::StoreStandin;
 
-/// Any free port of the loopback address.
+/// Loopback address with port 0, which binds any free port.
 pub const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Longest wait for something that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum wait for a condition or an answer before a test fails.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A platform of stand-ins, with daemons before it.
+/// A platform made of stand-ins, and the daemons that use it.
 #[derive(Debug)]
 pub struct Rig {
-    /// The log.
+    /// Stand-in for the log service.
     pub log: Arc<LogStandin>,
-    /// The host list.
+    /// Stand-in for the host list.
     pub hosts: Arc<HostsStandin>,
-    /// The weight store.
+    /// Stand-in for the weight store.
     pub store: Arc<StoreStandin>,
-    /// Engines by name.
+    /// Engines by host id.
     pub engines: BTreeMap<SmolStr, EngineStandin>,
-    /// Plain services by name.
+    /// Plain services by host id.
     pub services: BTreeMap<SmolStr, Arc<ServiceStandin>>,
-    /// Daemons by name.
+    /// Daemons by host id.
     pub daemons: BTreeMap<SmolStr, Daemon>,
     logger: Logger,
     servers: Vec<HttpServer>,
@@ -64,11 +64,11 @@
     starts: u64,
 }
 
-/// Settings texts, of which the rest keep their defaults.
+/// Settings by flag, as texts; a flag that is missing keeps its default.
 #[derive(Clone, Debug, Default)]
-pub struct Texts(pub BTreeMap<String, String>);
+pub struct FlagValues(pub BTreeMap<String, String>);
 
-impl TextSource for Texts {
+impl FlagSource for FlagValues {
     fn text(&self, flag: &str) -> Option<String> {
         self.0.get(flag).cloned()
     }
@@ -81,15 +81,16 @@
 }
 
 impl Rig {
-    /// Starts the platform, without hosts.
+    /// Starts the log, the host list and the weight store, without hosts.
     ///
     /// # Panics
     ///
-    /// Panics if no loopback socket can be had, here and below: a rig is for tests and the demo.
+    /// Panics if no loopback socket can be opened. The methods below panic as well, since a rig is
+    /// only for tests and the demo.
     pub fn new(logger: Logger) -> Self {
         let (log, hosts) = (Arc::new(LogStandin::default()), Arc::new(HostsStandin::default()));
         let store = Arc::new(StoreStandin::default());
-        let start = |handler| HttpServer::start(ANY, handler).expect("a loopback socket");
+        let start = |handler| HttpServer::start(ANY, handler).expect("bind loopback socket");
         let servers = vec![
             start(Arc::clone(&log) as _),
             start(Arc::clone(&hosts) as _),
@@ -111,17 +112,18 @@
         }
     }
 
-    /// Adds an engine; its remote loads go through the weight store.
+    /// Adds an engine; its remote loads fetch from the rig's weight store.
     ///
     /// # Panics
     ///
-    /// Panics without a loopback socket.
+    /// Panics if no loopback socket can be opened.
     pub fn add_engine(&mut self, id: &str, centre: &str, settings: &EngineSettings) {
         let settings = EngineSettings { store: Some(self.store_addr), ..settings.clone() };
         let (memory_mib, fencing) = (settings.memory_mib, settings.fencing);
         let incarnation = settings.incarnation;
         let engine = EngineStandin::new(settings);
-        let server = HttpServer::start(ANY, Arc::new(engine.clone())).expect("a loopback socket");
+        let server =
+            HttpServer::start(ANY, Arc::new(engine.clone())).expect("bind loopback socket");
         let host = Host {
             incarnation,
             memory_mib,
@@ -134,15 +136,15 @@
         self.engines.insert(id.into(), engine);
     }
 
-    /// Adds a plain service that answers for a table row.
+    /// Adds a plain service that serves the table row `row`.
     ///
     /// # Panics
     ///
-    /// Panics without a loopback socket.
+    /// Panics if no loopback socket can be opened.
     pub fn add_service(&mut self, id: &str, centre: &str, row: &str) {
         let service = Arc::new(ServiceStandin::default());
         let handler = Arc::clone(&service);
-        let server = HttpServer::start(ANY, handler).expect("a loopback socket");
+        let server = HttpServer::start(ANY, handler).expect("bind loopback socket");
         let host = Host {
             services: vec![row.into()],
             id: id.into(),
@@ -153,14 +155,14 @@
         self.services.insert(id.into(), service);
     }
 
-    /// Starts a daemon; `texts` are settings beside those that the rig gives.
+    /// Starts a daemon; `texts` are added to the settings of the rig and override them.
     ///
     /// # Panics
     ///
-    /// Panics without sockets or with wrong settings.
+    /// Panics if a socket cannot be opened, a setting is invalid or the daemon does not start.
     pub fn add_daemon(&mut self, id: &str, centre: &str, texts: &[(&str, &str)]) {
-        let sockets = Sockets::open(ANY, ANY).expect("loopback sockets");
-        let mut all = Texts::default();
+        let sockets = Sockets::open(ANY, ANY).expect("open loopback sockets");
+        let mut all = FlagValues::default();
         let (log, hosts) = (self.log_addr, self.hosts_addr);
         let given = [
             ("id", id.to_owned()),
@@ -172,7 +174,7 @@
         ];
         all.0.extend(given.map(|(k, v)| (k.to_owned(), v)));
         all.0.extend(texts.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())));
-        let settings = Settings::from_source(&all).expect("good settings");
+        let settings = Settings::from_source(&all).expect("valid settings");
         self.starts += 1;
         let host = Host {
             incarnation: self.starts,
@@ -189,7 +191,7 @@
         let logger = self.logger.clone();
         let daemon =
             Daemon::start(settings, self.starts, sockets, &clients, backend_client, logger);
-        self.daemons.insert(id.into(), daemon.expect("a daemon"));
+        self.daemons.insert(id.into(), daemon.expect("start daemon"));
     }
 
     /// Returns a client of the log.
@@ -197,12 +199,12 @@
         HttpLog::new(format!("http://{}", self.log_addr))
     }
 
-    /// Returns the URL of a path at a daemon.
+    /// Returns the URL of a path at a daemon's HTTP address.
     pub fn url(&self, daemon: &str, path: &str) -> String {
         format!("http://{}{path}", self.daemons[daemon].addr)
     }
 
-    /// Applies rows through a daemon, as one edit.
+    /// Replaces the whole table by `rows`, with one edit of this id sent to a daemon.
     ///
     /// # Panics
     ///
@@ -211,17 +213,17 @@
         let node = self.daemons[daemon].node();
         let changes = node.view.load().table.diff(rows);
         let edit = Edit { id: id.into(), author: "rig".into(), changes };
-        let body = serde_json::to_vec(&edit).expect("edits serialize");
+        let body = serde_json::to_vec(&edit).expect("serialize edit");
         let sent = minreq::post(self.url(daemon, "/admin/edits")).with_body(body).send();
         let status = sent.map(|r| (r.status_code, r.as_str().unwrap_or_default().to_owned()));
         assert!(matches!(status, Ok((200, _))), "edit {id}: {status:?}");
     }
 
-    /// Waits until a daemon's picture satisfies `done`.
+    /// Waits until a daemon's routing view satisfies `done`; `what` names the condition.
     ///
     /// # Panics
     ///
-    /// Panics after [`PATIENCE`].
+    /// Panics if `done` is still false after [`WAIT_TIMEOUT`].
     pub fn await_view(
         &self,
         daemon: &str,
@@ -233,20 +235,20 @@
     }
 }
 
-/// Waits until `done` is true.
+/// Waits until `done` is true; `what` names the condition.
 ///
 /// # Panics
 ///
-/// Panics after [`PATIENCE`].
+/// Panics if `done` is still false after [`WAIT_TIMEOUT`].
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !done() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Returns a host without a name, memory or services.
+/// Returns a host with an empty id and without memory or services.
 pub fn host(role: HostRole, centre: &str, addr: SocketAddr) -> Host {
     Host {
         id: "".into(),
@@ -261,11 +263,11 @@
     }
 }
 
-/// Sends a completion request; returns the status and the body.
+/// Sends a completion request for `tokens` tokens; returns the status and the body.
 ///
 /// # Errors
 ///
-/// The daemon did not answer.
+/// Returns an error if the call fails, times out after [`WAIT_TIMEOUT`] or the body is not UTF-8.
 pub fn complete(
     url: &str,
     model: &str,
@@ -276,14 +278,16 @@
         "model": model, "stream": stream, "max_tokens": tokens,
         "messages": [{"role": "user", "content": "hem the barong"}],
     });
-    let response =
-        minreq::post(url).with_body(body.to_string()).with_timeout(PATIENCE.as_secs()).send()?;
+    let response = minreq::post(url)
+        .with_body(body.to_string())
+        .with_timeout(WAIT_TIMEOUT.as_secs())
+        .send()?;
     Ok((response.status_code, response.as_str()?.to_owned()))
 }
 
-/// Returns the words of a stream, and whether it ended with its end marker.
+/// Returns the tokens of an event stream, and whether it contains the `[DONE]` event.
 pub fn words(body: &str) -> (Vec<String>, bool) {
-    let mut words = Vec::new();
+    let mut tokens = Vec::new();
     let mut done = false;
     for data in body.lines().filter_map(|l| l.strip_prefix("data: ")) {
         if data == "[DONE]" {
@@ -291,9 +295,9 @@
             continue;
         }
         let value: Value = serde_json::from_str(data).unwrap_or_default();
-        if let Some(word) = value.pointer("/choices/0/delta/content").and_then(Value::as_str) {
-            words.push(word.trim().to_owned());
+        if let Some(token) = value.pointer("/choices/0/delta/content").and_then(Value::as_str) {
+            tokens.push(token.trim().to_owned());
         }
     }
-    (words, done)
+    (tokens, done)
 }
--- a/lib/testutils/src/rows.rs
+++ b/lib/testutils/src/rows.rs
@@ -3,7 +3,7 @@
 use comfreymux_lib::table::Row;
 use comfreymux_lib::table::RowKind;
 
-/// A model of 10 GB with one replica.
+/// Returns a model of 10,000 MiB with one replica, whose requests may be repeated.
 pub fn model(name: &str) -> Row {
     Row {
         name: name.into(),
@@ -20,7 +20,7 @@
     }
 }
 
-/// A plain service whose calls may not be repeated.
+/// Returns a plain service whose calls may not be repeated.
 pub fn service(name: &str) -> Row {
     Row {
         kind: RowKind::Service,
--- a/lib/testutils/src/service_standin.rs
+++ b/lib/testutils/src/service_standin.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service that counts how often each call ran.
+//! Stand-in for a plain service that counts how often each call ran.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,36 +20,36 @@
 use crate::faults::take;
 use crate::http_server::Handler;
 use crate::http_server::HttpRequest;
+use crate::http_server::hold_open;
 use crate::http_server::respond;
 use crate::http_server::respond_json;
-use crate::http_server::stay_silent;
 
-/// Faults of the service; set by `POST /fault`.
+/// Faults of the service; set by `POST /standin/fault`. A count of n affects the next n calls.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// New work is refused because the host leaves.
+    /// Refuses all calls because the host is leaving.
     pub leaving: bool,
-    /// Time that a call takes.
+    /// Duration of a call, in milliseconds.
     pub slow_ms: u64,
-    /// Next calls that run and whose answer is lost.
+    /// Next calls that run and whose connection closes without an answer.
     pub lose: u32,
-    /// Next calls that run and whose answer never comes.
+    /// Next calls that run and get no answer, with the connection left open.
     pub silent: u32,
-    /// Next calls whose answer belongs to another attempt.
+    /// Next calls whose answer carries another attempt's id.
     pub crossed: u32,
-    /// Next calls that are refused before running.
+    /// Next calls that are refused as busy before they run.
     pub refuse: u32,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     faults: ServiceFaults,
-    /// How often a call with each body ran.
+    /// Number of runs by request body.
     runs: BTreeMap<String, u32>,
 }
 
-/// A plain service.
+/// A plain service, which answers each path with the body and its number of runs.
 #[derive(Debug, Default)]
 pub struct ServiceStandin {
     inner: Mutex<Inner>,
@@ -60,12 +60,12 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.inner().faults = faults;
     }
 
-    /// Returns how often each call ran, by its body.
+    /// Returns the number of runs by request body.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.inner().runs.clone()
     }
@@ -74,9 +74,9 @@
         let attempt = request.header(ATTEMPT_HEADER).to_owned();
         let mut inner = self.inner();
         if inner.faults.leaving || take(&mut inner.faults.refuse) {
-            let word = if inner.faults.leaving { REFUSED_LEAVING } else { "busy" };
+            let reason = if inner.faults.leaving { REFUSED_LEAVING } else { "busy" };
             drop(inner);
-            return respond(out, 503, &[(REFUSED_HEADER, word.into())], b"");
+            return respond(out, 503, &[(REFUSED_HEADER, reason.into())], b"");
         }
         let body = String::from_utf8_lossy(&request.body).into_owned();
         let count = inner.runs.entry(body.clone()).or_default();
@@ -91,7 +91,7 @@
             return Ok(());
         }
         if silent {
-            return stay_silent(out);
+            return hold_open(out);
         }
         let attempt = if crossed { "another-attempt".to_owned() } else { attempt };
         let headers = [
--- a/lib/testutils/src/store_standin.rs
+++ b/lib/testutils/src/store_standin.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the weight store: so many loads a second begin, so many run at full speed.
+//! Stand-in for the weight store, which limits the fetches that start per second and slows down
+//! all fetches if more than [`FULL_SPEED_FETCHES`] run concurrently.
 
 use std::io;
 use std::net::TcpStream;
@@ -17,18 +18,18 @@
 use crate::http_server::respond;
 use crate::http_server::respond_json;
 
-/// Loads that run at full speed at once.
-const FULL_SPEED: u32 = 4;
-/// Time of one step of a load.
-const STEP: Duration = Duration::from_millis(20);
+/// Maximum number of concurrent fetches at full speed; further ones share its total rate.
+const FULL_SPEED_FETCHES: u32 = 4;
+/// Interval at which a fetch updates its progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Speed of the store; set by `POST /fault`.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct StoreSpeed {
-    /// MiB/s of one load at full speed.
+    /// Rate of one fetch at full speed, in MiB/s.
     pub rate: f64,
-    /// Loads that may begin in a second.
+    /// Maximum number of fetches that start per second; later ones wait.
     pub starts: f64,
 }
 
@@ -44,19 +45,19 @@
     active: u32,
     peak: u32,
     loads: u64,
-    next: Option<Instant>,
+    next_start: Option<Instant>,
 }
 
-/// What the store saw.
+/// Counters that tests and the demo check; returned by `GET /audit`.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct StoreAudit {
-    /// Loads begun.
+    /// Fetches started.
     pub loads: u64,
-    /// Most loads at once.
+    /// Peak number of concurrent fetches.
     pub peak: u32,
 }
 
-/// The weight store.
+/// The weight store; a fetch returns once the requested size is read.
 #[derive(Debug, Default)]
 pub struct StoreStandin {
     inner: Mutex<Inner>,
@@ -67,37 +68,38 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the speed.
+    /// Sets the speed, also for fetches in progress.
     pub fn set_speed(&self, speed: StoreSpeed) {
         self.inner().speed = speed;
     }
 
-    /// Returns what the store saw.
+    /// Returns the counters.
     pub fn audit(&self) -> StoreAudit {
         let inner = self.inner();
         StoreAudit { loads: inner.loads, peak: inner.peak }
     }
 
-    fn fetch(&self, size: f64) {
-        let begin = {
+    fn fetch(&self, size_mib: f64) {
+        let starts_at = {
             let mut inner = self.inner();
-            let begin = inner.next.unwrap_or_else(Instant::now).max(Instant::now());
-            inner.next = Some(begin + Duration::from_secs_f64(1.0 / inner.speed.starts));
-            begin
+            let starts_at = inner.next_start.unwrap_or_else(Instant::now).max(Instant::now());
+            inner.next_start = Some(starts_at + Duration::from_secs_f64(1.0 / inner.speed.starts));
+            starts_at
         };
-        thread::sleep(begin.saturating_duration_since(Instant::now()));
+        thread::sleep(starts_at.saturating_duration_since(Instant::now()));
         {
             let mut inner = self.inner();
             inner.active += 1;
             inner.loads += 1;
             inner.peak = inner.peak.max(inner.active);
         };
-        let mut left = size;
-        while left > 0.0 {
-            thread::sleep(STEP);
+        let mut remaining_mib = size_mib;
+        while remaining_mib > 0.0 {
+            thread::sleep(PROGRESS_INTERVAL);
             let inner = self.inner();
-            let share = f64::from(FULL_SPEED) / f64::from(inner.active.max(FULL_SPEED));
-            left -= inner.speed.rate * share * STEP.as_secs_f64();
+            let share =
+                f64::from(FULL_SPEED_FETCHES) / f64::from(inner.active.max(FULL_SPEED_FETCHES));
+            remaining_mib -= inner.speed.rate * share * PROGRESS_INTERVAL.as_secs_f64();
         }
         self.inner().active -= 1;
     }
