--- a/lib/tests/test_chaos.rs
+++ b/lib/tests/test_chaos.rs
@@ -1,4 +1,4 @@
-//! Random troubles, one after another, on engines with and without fencing, in virtual time.
+//! Random sequences of requests and failures on engines with and without fencing, in virtual time.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
 use comfreymux_tools::world::World;
 use proptest::prelude::*;
 
-/// One thing that happens.
+/// A request, an edit or a failure; the numbers select daemons, models, engines and durations.
 #[derive(Clone, Debug)]
-enum Trouble {
+enum ChaosEvent {
     Want(u8, u8),
     Claim(u8, u8),
     ClaimAll(u8),
@@ -40,29 +40,29 @@
     Lag(u8),
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn chaos_event() -> impl Strategy<Value = ChaosEvent> {
     let n = || any::<u8>();
     prop_oneof![
-        6 => (n(), n()).prop_map(|(d, m)| Trouble::Want(d, m)),
-        3 => (n(), n()).prop_map(|(d, k)| Trouble::Claim(d, k)),
-        2 => n().prop_map(Trouble::ClaimAll),
-        1 => (n(), n()).prop_map(|(d, k)| Trouble::Unclaim(d, k)),
-        1 => n().prop_map(Trouble::Slow),
-        2 => (n(), n()).prop_map(|(d, t)| Trouble::Pause(d, t)),
-        1 => n().prop_map(Trouble::Kill),
-        2 => n().prop_map(Trouble::Start),
-        1 => any::<bool>().prop_map(Trouble::LogDown),
-        1 => (n(), any::<bool>()).prop_map(|(d, c)| Trouble::Cut(d, c)),
-        1 => n().prop_map(Trouble::LoseAppends),
-        1 => n().prop_map(Trouble::AppendTwice),
-        1 => n().prop_map(Trouble::LoseOrders),
-        2 => n().prop_map(Trouble::LateOrder),
-        2 => n().prop_map(Trouble::HeldOrder),
-        1 => n().prop_map(Trouble::ReplaceEngine),
-        1 => n().prop_map(Trouble::Leave),
-        2 => (n(), n()).prop_map(|(m, c)| Trouble::Edit(m, c)),
-        1 => (n(), n()).prop_map(|(d, r)| Trouble::Drift(d, r)),
-        1 => n().prop_map(Trouble::Lag),
+        6 => (n(), n()).prop_map(|(d, m)| ChaosEvent::Want(d, m)),
+        3 => (n(), n()).prop_map(|(d, k)| ChaosEvent::Claim(d, k)),
+        2 => n().prop_map(ChaosEvent::ClaimAll),
+        1 => (n(), n()).prop_map(|(d, k)| ChaosEvent::Unclaim(d, k)),
+        1 => n().prop_map(ChaosEvent::Slow),
+        2 => (n(), n()).prop_map(|(d, t)| ChaosEvent::Pause(d, t)),
+        1 => n().prop_map(ChaosEvent::Kill),
+        2 => n().prop_map(ChaosEvent::Start),
+        1 => any::<bool>().prop_map(ChaosEvent::LogDown),
+        1 => (n(), any::<bool>()).prop_map(|(d, c)| ChaosEvent::Cut(d, c)),
+        1 => n().prop_map(ChaosEvent::LoseAppends),
+        1 => n().prop_map(ChaosEvent::AppendTwice),
+        1 => n().prop_map(ChaosEvent::LoseOrders),
+        2 => n().prop_map(ChaosEvent::LateOrder),
+        2 => n().prop_map(ChaosEvent::HeldOrder),
+        1 => n().prop_map(ChaosEvent::ReplaceEngine),
+        1 => n().prop_map(ChaosEvent::Leave),
+        2 => (n(), n()).prop_map(|(m, c)| ChaosEvent::Edit(m, c)),
+        1 => (n(), n()).prop_map(|(d, r)| ChaosEvent::Drift(d, r)),
+        1 => n().prop_map(ChaosEvent::Lag),
     ]
 }
 
@@ -74,10 +74,10 @@
     names[n as usize % names.len()]
 }
 
-fn cause(world: &mut World, trouble: &Trouble) {
+fn apply_event(world: &mut World, chaos_event: &ChaosEvent) {
     let now = world.now;
-    match trouble {
-        Trouble::Want(d, m) => {
+    match chaos_event {
+        ChaosEvent::Want(d, m) => {
             let wanted: Vec<&str> = MODELS
                 .iter()
                 .enumerate()
@@ -86,79 +86,81 @@
                 .collect();
             want(world, pick(&DAEMONS, *d), &wanted);
         }
-        Trouble::Claim(d, k) => world.give(pick(&DAEMONS, *d), Event::Claim(u128::from(k % 16))),
-        Trouble::ClaimAll(k) => {
+        ChaosEvent::Claim(d, k) => world.give(pick(&DAEMONS, *d), Event::Claim(u128::from(k % 16))),
+        ChaosEvent::ClaimAll(k) => {
             for daemon in DAEMONS {
                 world.give(daemon, Event::Claim(u128::from(k % 16)));
             }
         }
-        Trouble::Slow(t) => world.weather.delay = Duration::from_millis(u64::from(*t % 32) * 20),
-        Trouble::Unclaim(d, k) => {
-            // Only what was not sent may be withdrawn.
+        ChaosEvent::Slow(t) => world.weather.delay = Duration::from_millis(u64::from(*t % 32) * 20),
+        ChaosEvent::Unclaim(d, k) => {
+            // A claim may be cancelled only if it was not granted, so that its request was not
+            // sent.
             let key = u128::from(k % 16);
             if world.granted.iter().all(|(granted, _)| *granted != key) {
                 world.give(pick(&DAEMONS, *d), Event::Unclaim(key));
             }
         }
-        Trouble::Pause(d, t) => {
+        ChaosEvent::Pause(d, t) => {
             let daemon = world.daemons.get_mut(pick(&DAEMONS, *d)).unwrap();
             daemon.paused = now + Duration::from_millis(u64::from(*t) * 150);
         }
-        Trouble::Kill(d) => world.kill(pick(&DAEMONS, *d)),
-        Trouble::Start(d) => {
+        ChaosEvent::Kill(d) => world.kill(pick(&DAEMONS, *d)),
+        ChaosEvent::Start(d) => {
             world.start(pick(&DAEMONS, *d));
             world.list_hosts();
         }
-        Trouble::ReplaceEngine(e) => world.replace_engine(pick(&ENGINES, *e)),
-        Trouble::Leave(e) => {
+        ChaosEvent::ReplaceEngine(e) => world.replace_engine(pick(&ENGINES, *e)),
+        ChaosEvent::Leave(e) => {
             let engine = &mut world.engines.get_mut(pick(&ENGINES, *e)).unwrap().1;
             engine.leaving = !engine.leaving;
         }
-        Trouble::Edit(m, c) => {
+        ChaosEvent::Edit(m, c) => {
             let row = Row { replicas: u32::from(c % 3), ..rows::model(pick(&MODELS, *m)) };
             let event = edit(world, &format!("e{}", now.as_millis()), row);
             world.give("d1", event);
         }
-        Trouble::Drift(d, r) => {
-            // Only a start sets a clock; a running one that jumped would be another failure.
+        ChaosEvent::Drift(d, r) => {
+            // Changes the clock rate only while the daemon is stopped: a jump of a running daemon's
+            // clock is a different failure.
             let daemon = world.daemons.get_mut(pick(&DAEMONS, *d)).unwrap();
             if daemon.control.is_none() {
                 daemon.rate = 0.99 + f64::from(*r) / 255.0 * 0.02;
             }
         }
-        _ => turn_weather(world, trouble),
+        _ => apply_weather(world, chaos_event),
     }
 }
 
-/// Changes how the log and the messages go wrong.
-fn turn_weather(world: &mut World, trouble: &Trouble) {
-    match trouble {
-        Trouble::LogDown(down) => world.log_down = *down,
-        Trouble::Cut(d, cut) => world.daemons.get_mut(pick(&DAEMONS, *d)).unwrap().cut = *cut,
-        Trouble::LoseAppends(n) => world.weather.lose_appends = u32::from(n % 4),
-        Trouble::AppendTwice(t) => {
+/// Changes the injected faults of the log, the orders and the reports.
+fn apply_weather(world: &mut World, chaos_event: &ChaosEvent) {
+    match chaos_event {
+        ChaosEvent::LogDown(down) => world.log_down = *down,
+        ChaosEvent::Cut(d, cut) => world.daemons.get_mut(pick(&DAEMONS, *d)).unwrap().cut = *cut,
+        ChaosEvent::LoseAppends(n) => world.weather.lose_appends = u32::from(n % 4),
+        ChaosEvent::AppendTwice(t) => {
             world.weather.twice = Some(Duration::from_millis(u64::from(*t) * 100));
         }
-        Trouble::LoseOrders(n) => world.weather.lose_orders = u32::from(n % 4),
-        Trouble::LateOrder(t) => {
+        ChaosEvent::LoseOrders(n) => world.weather.lose_orders = u32::from(n % 4),
+        ChaosEvent::LateOrder(t) => {
             world.weather.late_order = Some(Duration::from_millis(u64::from(*t) * 200));
         }
-        Trouble::HeldOrder(t) => {
+        ChaosEvent::HeldOrder(t) => {
             world.weather.held_order = Some(Duration::from_millis(u64::from(*t) * 200));
         }
-        Trouble::Lag(t) => world.weather.lag = Duration::from_millis(u64::from(*t) * 10),
-        _ => unreachable!("{trouble:?} is no weather"),
+        ChaosEvent::Lag(t) => world.weather.lag = Duration::from_millis(u64::from(*t) * 10),
+        _ => unreachable!("{chaos_event:?} does not change the weather"),
     }
 }
 
-/// Runs troubles and checks, at each step, that what is loaded has its slot and its memory; at the
-/// end, that each claim was granted once and that all daemons agree.
-fn survive(fencing: bool, troubles: &[(Trouble, u8)]) -> Result<(), TestCaseError> {
-    // Empty disks, so that checkpoints are fetched in between.
+/// Runs the events and checks at each step that every loaded model has its slot and its memory. At
+/// the end checks that each claim was granted once and that all daemons have the same state.
+fn run_events(fencing: bool, events: &[(ChaosEvent, u8)]) -> Result<(), TestCaseError> {
+    // The disks are empty, so that checkpoints are fetched during the run.
     let mut world = world_of(&FakeEngine::new(25_000, fencing));
     let fail = |b: comfreymux_tools::world::Breach| TestCaseError::fail(b.0);
-    for (trouble, wait) in troubles {
-        cause(&mut world, trouble);
+    for (chaos_event, wait) in events {
+        apply_event(&mut world, chaos_event);
         world.run(Duration::from_millis(u64::from(*wait) * 40), STEP).map_err(fail)?;
     }
     world.log_down = false;
@@ -183,22 +185,22 @@
 
 #[test]
 fn freed_while_woken() {
-    // A reserved model is wanted and its load recorded; before that is read back its server turns out
-    // to leave, and the slot is emptied and given back. Then the record of the load is read. A load
-    // ordered on its strength would have no slot. Found by random cases.
-    let troubles = [
-        (Trouble::Want(0, 92), 141),
-        (Trouble::Pause(96, 0), 116),
-        (Trouble::Cut(8, true), 0),
-        (Trouble::Want(0, 134), 0),
-        (Trouble::Leave(43), 0),
-        (Trouble::Want(4, 0), 4),
+    // A reserved model is requested and a record of its load is appended. Before the record is read
+    // back the server reports that it is leaving, and the slot is emptied and freed. A load ordered
+    // because of the late record would have no slot. Found by random cases.
+    let events = [
+        (ChaosEvent::Want(0, 92), 141),
+        (ChaosEvent::Pause(96, 0), 116),
+        (ChaosEvent::Cut(8, true), 0),
+        (ChaosEvent::Want(0, 134), 0),
+        (ChaosEvent::Leave(43), 0),
+        (ChaosEvent::Want(4, 0), 4),
     ];
-    survive(true, &troubles).unwrap();
+    run_events(true, &events).unwrap();
 }
 
 fn cases() -> ProptestConfig {
-    // The same cases every run; more by the environment variable PROPTEST_CASES.
+    // Every run has the same cases; the environment variable PROPTEST_CASES sets their number.
     let cases = std::env::var("PROPTEST_CASES").ok().and_then(|t| t.parse().ok()).unwrap_or(48);
     ProptestConfig {
         cases,
@@ -212,12 +214,12 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn fencing_engines(troubles in prop::collection::vec((trouble(), any::<u8>()), 1..30)) {
-        survive(true, &troubles)?;
+    fn fencing_engines(events in prop::collection::vec((chaos_event(), any::<u8>()), 1..30)) {
+        run_events(true, &events)?;
     }
 
     #[test]
-    fn unfenced_engines(troubles in prop::collection::vec((trouble(), any::<u8>()), 1..30)) {
-        survive(false, &troubles)?;
+    fn unfenced_engines(events in prop::collection::vec((chaos_event(), any::<u8>()), 1..30)) {
+        run_events(false, &events)?;
     }
 }
--- a/lib/tests/test_claims.rs
+++ b/lib/tests/test_claims.rs
@@ -1,4 +1,4 @@
-//! Claims on the side of the daemon that wants to run a request.
+//! Pending claims of a daemon that is about to run a request.
 
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
 
 #[test]
 fn late_grant() {
-    // The log is slow; the request is refused as not sent. Then the claim takes effect after all:
-    // it must be released, not run.
+    // The log is slow, so the request is refused as not sent. The claim is granted afterwards and
+    // must be released instead of run.
     let mut claims = claims();
     assert_eq!(claims.request(NOW, 7, &ReplicatedState::default(), true), ClaimStep::Append(7));
     assert_eq!(claims.cancel_overdue(NOW + CLAIM_TIMEOUT), [7]);
@@ -45,7 +45,8 @@
 
 #[test]
 fn same_daemon() {
-    // A caller sends a booking twice to one daemon before the log has decided the first.
+    // A caller sends a booking twice to one daemon before the log has decided the first claim. Only
+    // the first is granted.
     let mut claims = claims();
     let state = ReplicatedState::default();
     assert_eq!(claims.request(NOW, 7, &state, true), ClaimStep::Append(7));
@@ -60,8 +61,8 @@
 
 #[test]
 fn old_start() {
-    // A daemon restarts. A claim of its old start is not its own: what became of the request is
-    // unknown, so it may neither be released nor run.
+    // A daemon restarts and finds a claim of its previous incarnation. The outcome of that request
+    // is unknown, so the claim may be neither released nor run.
     let mut claims = PendingClaims::new("d1".into(), 2);
     assert_eq!(claims.cancel(7, &claimed_by("d1")), None);
     let taken = ClaimStep::Answer(ClaimAnswer::Taken("d1".into()));
@@ -70,8 +71,8 @@
 
 #[test]
 fn state_taken_over() {
-    // The daemon fell behind what the log keeps and took over a snapshot while two claims were
-    // under way: one stands in it, the other does not.
+    // The daemon fell behind the oldest entry of the log and installed a snapshot while two claims
+    // were pending. The snapshot contains one of them; the other must be appended again.
     let mut claims = claims();
     let empty = ReplicatedState::default();
     assert_eq!(claims.request(NOW, 7, &empty, true), ClaimStep::Append(7));
--- a/lib/tests/test_failures.rs
+++ b/lib/tests/test_failures.rs
@@ -31,8 +31,8 @@
 
 #[test]
 fn empty_log() {
-    // A new deployment: the log holds nothing yet. The first daemons must lead and be ready to take
-    // the first table, though there is no record that would wake them.
+    // In a new deployment the log is empty. The first daemon must obtain the lease and be ready for
+    // the first table, though no record triggers it.
     let mut world = World::default();
     world.add_daemon("d1", "a");
     world.run(seconds(4), STEP).unwrap();
@@ -43,13 +43,13 @@
 
 #[test]
 fn checkpoint_fetched() {
-    // Nobody waits, and a checkpoint is only in the weight store. It is loaded once while nothing
-    // else is to do and unloaded soon, so that the first callers find it on a disk.
+    // No request waits, and the checkpoints are only in the weight store. Each is loaded once while
+    // the engines are idle and soon unloaded, so that the first request finds a copy on a disk.
     let mut world = world_of(&FakeEngine::new(45_000, true));
     world.run(seconds(120), STEP).unwrap();
     for model in ["m1", "m2", "m3", "m4"] {
-        let near = |e: &FakeEngine| e.source(model) != Source::Remote;
-        assert_eq!(world.engines.values().filter(|(_, e)| near(e)).count(), 1, "{model}");
+        let has_local_copy = |e: &FakeEngine| e.source(model) != Source::Remote;
+        assert_eq!(world.engines.values().filter(|(_, e)| has_local_copy(e)).count(), 1, "{model}");
     }
     assert!(world.engines.values().all(|(_, e)| e.held.is_empty()));
     let loads: u64 = world.engines.values().map(|(_, e)| e.loads).sum();
@@ -58,8 +58,8 @@
 
 #[test]
 fn death_midload() {
-    // The daemon that ordered a load dies before it is complete. Callers still wait for the model.
-    // Its successor takes the lease and finishes: one replica, loaded once.
+    // The daemon that ordered a load dies before it completes, while callers wait for the model.
+    // Its successor takes the lease and completes the load: one replica, loaded once.
     let mut world = world(true);
     let first = holder(&world, "a");
     world.engines.get_mut("e1").unwrap().1.cached.insert("m1".into(), Source::Memory);
@@ -76,9 +76,9 @@
 
 #[test]
 fn pause_unfenced() {
-    // A lease holder is paused with a load order in hand, on an engine that ignores fencing numbers.
-    // Its successor must not give the slot's memory away: when the holder wakes, the order arrives
-    // and the model is loaded after all.
+    // A lease holder is paused before it sends a load order to an engine that ignores fencing
+    // numbers. Its successor must not reassign the slot's memory: when the holder resumes, the
+    // order arrives and the model is loaded.
     let mut world = world(false);
     world.weather.late_order = Some(seconds(40));
     want(&mut world, "d1", &["m1"]);
@@ -98,22 +98,25 @@
     for _ in 0..1200 {
         world.step(STEP).unwrap();
         arrived |= world.engines.values().any(|(_, e)| e.held.contains_key("m1"));
-        assert!(arrived || world.head.slots.contains(slot), "the slot was given away");
+        assert!(
+            arrived || world.head.slots.contains(slot),
+            "the slot was freed before the order arrived"
+        );
     }
     assert!(arrived);
 }
 
 #[test]
 fn log_outage() {
-    // The log is down for five minutes. A model that slept before wakes all the same, because its
-    // slot is reserved on an engine that heeds fencing numbers; no slot is given to another.
+    // The log is down for five minutes. An unloaded model can still be loaded, because its slot is
+    // reserved on an engine that checks fencing numbers. No new slot is assigned to another model.
     let mut world = world(true);
     want(&mut world, "d3", &["m1"]);
     world.run(seconds(8), STEP).unwrap();
     want(&mut world, "d3", &[]);
     while phase_of(&world, "m1") != Some(Phase::Reserved) {
         world.step(STEP).unwrap();
-        assert!(world.now < seconds(4000), "never unloaded");
+        assert!(world.now < seconds(4000), "the model was never unloaded");
     }
     world.log_down = true;
     world.run(seconds(120), STEP).unwrap();
@@ -129,8 +132,8 @@
 
 #[test]
 fn count_lowered() {
-    // The table's count of a loaded model goes to zero: the replica drains, is unloaded, and its
-    // memory is free for others.
+    // The replica count of a loaded model is set to zero: the replica drains and is unloaded, and
+    // its memory becomes free for other models.
     let mut world = world(true);
     want(&mut world, "d1", &["m1"]);
     world.run(seconds(8), STEP).unwrap();
@@ -144,8 +147,8 @@
 
 #[test]
 fn racing_edits() {
-    // Two operators edit one row at the same moment through two daemons. One is told that it is in
-    // force, the other that the row changed; every daemon has the same table.
+    // Two operators edit one row at the same time through two daemons. One edit is accepted, the
+    // other is rejected as a conflict, and every daemon has the same table.
     let mut world = world(true);
     let first = edit(&world, "x", Row { limit: 3, ..rows::model("m1") });
     let second = edit(&world, "y", Row { limit: 4, ..rows::model("m1") });
@@ -165,8 +168,8 @@
 
 #[test]
 fn leaving_server() {
-    // A host is about to be taken away. Its replica drains and the model is loaded elsewhere, though
-    // the table allows only one at a time.
+    // A host is about to be removed. Its replica drains and the model is loaded on another engine,
+    // though the table allows only one replica at a time.
     let mut world = world(true);
     want(&mut world, "d1", &["m1"]);
     world.run(seconds(8), STEP).unwrap();
@@ -180,21 +183,21 @@
 
 #[test]
 fn centre_lost() {
-    // A data centre is lost with its daemons and servers while a model is loaded there. When the host
-    // list no longer names them, another data centre frees its slots and loads the model for its own
-    // callers, though the table allows one replica.
+    // A data centre fails with its daemons and servers while a model is loaded there. Once the host
+    // list no longer contains them, another data centre frees its slots and loads the model for its
+    // own callers, though the table allows only one replica.
     let mut world = world(true);
     want(&mut world, "d1", &["m1"]);
     world.run(seconds(8), STEP).unwrap();
     let slot = world.head.slots_of("m1").next().unwrap().1.clone();
-    let lost = if slot.server == "e1" { ["d1", "d2", "e1"] } else { ["d3", "d3", "e2"] };
-    let left = if slot.server == "e1" { "d3" } else { "d1" };
-    for host in lost {
+    let failed_hosts = if slot.server == "e1" { ["d1", "d2", "e1"] } else { ["d3", "d3", "e2"] };
+    let remaining_daemon = if slot.server == "e1" { "d3" } else { "d1" };
+    for host in failed_hosts {
         world.kill(host);
         world.unlist(host);
     }
     world.engines.remove(&slot.server);
-    want(&mut world, left, &["m1"]);
+    want(&mut world, remaining_daemon, &["m1"]);
     world.run(seconds(30), STEP).unwrap();
     let found = world.head.slots_of("m1").next().unwrap().1;
     assert_ne!(found.server, slot.server);
@@ -203,7 +206,7 @@
 
 #[test]
 fn memory_shared() {
-    // Four models want two engines that hold two each of them; a fifth evicts an idle one.
+    // Four models fill two engines with memory for two models each; a fifth evicts an idle model.
     let mut world = world(true);
     for models in [["m1", "m2"], ["m3", "m4"]] {
         want(&mut world, "d1", &models);
@@ -217,7 +220,7 @@
     assert!(world.decisions.iter().any(|(_, _, d)| d.action == DecisionKind::Free));
 }
 
-/// Three models want the engine in turn while the first order to load arrives late.
+/// Three models are requested from one engine alternately, while the first load order arrives late.
 fn late_then_evicted(fencing: bool) {
     let mut world = small_world(fencing);
     for late in [60, 100, 200] {
@@ -233,24 +236,24 @@
 
 #[test]
 fn late_order_fenced() {
-    // An order to load is given up by its sender, repeated, and carried out. The model is unloaded
-    // later and its memory given to others. Then the first order arrives after all; the engine
-    // must refuse it, though the same holder gave it under the same lease.
+    // A load order times out at its sender, is repeated and carried out. The model is later
+    // unloaded and its memory reassigned. Then the first order arrives; the engine must refuse it,
+    // though the same holder sent it under the same lease.
     late_then_evicted(true);
 }
 
 #[test]
 fn late_order_unfenced() {
-    // As above, but the engine ignores fencing numbers: the order must not have been repeated, and
-    // the slot stays taken until the order arrived.
+    // As above, but the engine ignores fencing numbers: the order must not be repeated, and the
+    // slot stays occupied until the order has arrived.
     late_then_evicted(false);
 }
 
 #[test]
 fn restarted_unfenced() {
-    // A daemon is paused with an order to load in hand, the engine restarts, and then the order is
-    // sent to its new start, which ignores fencing numbers and incarnations. The slot must be kept
-    // for it, or the model is loaded without one.
+    // A load order is held back at its daemon, the engine restarts, and the order is sent to the
+    // new incarnation, which ignores fencing numbers and incarnations. The slot must be kept for
+    // the order, or the model is loaded without a slot.
     let mut world = small_world(false);
     want(&mut world, "d1", &["m1"]);
     world.weather.held_order = Some(seconds(20));
@@ -263,9 +266,9 @@
 
 #[test]
 fn reload_unfenced() {
-    // An order to load is held up and carried out at last. Before a report shows the load, its
-    // sender must not order it again: the second order would be late in its turn and arrive when
-    // the slot was freed.
+    // A load order is delayed and then carried out. Its sender must not repeat the order before a
+    // report shows the load: the second order would also be delayed and arrive after the slot was
+    // freed.
     let mut world = small_world(false);
     want(&mut world, "d1", &["m1"]);
     world.weather.held_order = Some(seconds(14));
@@ -282,8 +285,9 @@
 #[case::fencing(true)]
 #[case::unfenced(false)]
 fn lagging_report(#[case] fencing: bool) {
-    // A model is unloaded and soon wanted again. A lagging report still shows the first load; it
-    // must not be taken for the end of the second, or callers are sent to an engine that loads.
+    // A model is unloaded and soon requested again. A delayed report still shows the first load; it
+    // must not count as the end of the second, or requests are sent to an engine that is still
+    // loading.
     let mut world = small_world(fencing);
     want(&mut world, "d1", &["m1"]);
     world.run(seconds(8), STEP).unwrap();
@@ -291,21 +295,21 @@
     want(&mut world, "d1", &[]);
     while phase_of(&world, "m1") != Some(Phase::Reserved) {
         world.step(STEP).unwrap();
-        assert!(world.now < seconds(4000), "never unloaded");
+        assert!(world.now < seconds(4000), "the model was never unloaded");
     }
     want(&mut world, "d1", &["m1"]);
     while phase_of(&world, "m1") != Some(Phase::Loaded) {
         world.step(STEP).unwrap();
-        assert!(world.now < seconds(4000), "never loaded");
+        assert!(world.now < seconds(4000), "the model was never loaded");
     }
     assert!(world.engines["e1"].1.is_ready(world.now, "m1"));
 }
 
 #[test]
 fn cut_holder() {
-    // A lease holder is cut off from the log and wakes a reserved model all the same, on an engine
-    // that heeds fencing numbers. Its successor needs the memory: it must not take the slot for
-    // empty because nobody recorded a load.
+    // A lease holder is cut off from the log and still loads a reserved model, on an engine that
+    // checks fencing numbers. Its successor needs the memory: it must not treat the slot as empty
+    // just because no load was recorded.
     let mut world = small_world(true);
     world.add_daemon("d2", "a");
     world.run(seconds(1), STEP).unwrap();
@@ -314,14 +318,17 @@
     want(&mut world, "d1", &[]);
     while phase_of(&world, "m1") != Some(Phase::Reserved) {
         world.step(STEP).unwrap();
-        assert!(world.now < seconds(4000), "never unloaded");
+        assert!(world.now < seconds(4000), "the model was never unloaded");
     }
     let first: comfreymux_lib::ids::DaemonId = holder(&world, "a").into();
     world.daemons.get_mut(&first).unwrap().cut = true;
     world.run(seconds(5), STEP).unwrap();
     want(&mut world, &first, &["m1"]);
     world.run(seconds(3), STEP).unwrap();
-    assert!(world.engines["e1"].1.held.contains_key("m1"), "woken without the log");
+    assert!(
+        world.engines["e1"].1.held.contains_key("m1"),
+        "the model was not loaded without the log"
+    );
     world.daemons.get_mut(&first).unwrap().paused = world.now + seconds(10);
     want(&mut world, &first, &[]);
     while holder(&world, "a") == first.as_str() {
--- a/lib/tests/test_fold.rs
+++ b/lib/tests/test_fold.rs
@@ -1,4 +1,5 @@
-//! The fold of the log: what is accepted, what is rejected and why.
+//! Applying log entries to the replicated state: which records are accepted, which are rejected
+//! and why.
 
 use comfreymux_lib::fold;
 use comfreymux_lib::fold::Outcome;
@@ -34,7 +35,7 @@
 }
 
 impl Log {
-    fn put(&mut self, writer: &str, record: Record) -> Outcome {
+    fn append(&mut self, writer: &str, record: Record) -> Outcome {
         let sequence = self.sequences.entry(writer.into()).or_default();
         *sequence += 1;
         let entry = Entry {
@@ -43,27 +44,27 @@
             sequence: *sequence,
             records: vec![record],
         };
-        self.take(&entry)
+        self.apply_entry(&entry)
     }
 
-    fn take(&mut self, entry: &Entry) -> Outcome {
+    fn apply_entry(&mut self, entry: &Entry) -> Outcome {
         let offset = self.state.offset;
         fold::apply(&mut self.state, offset, entry)[0]
     }
 
     fn edit(&mut self, id: &str, base: Position, row: Row) -> Outcome {
         let changes = vec![RowChange { name: row.name.clone(), base, row: Some(row) }];
-        self.put("d1", Record::Edit(Edit { id: id.into(), author: "a".into(), changes }))
+        self.append("d1", Record::Edit(Edit { id: id.into(), author: "a".into(), changes }))
     }
 
     fn bid(&mut self, writer: &str, seen: Position) -> Outcome {
-        self.put(writer, Record::Bid(Bid { centre: "a".into(), seen }))
+        self.append(writer, Record::Bid(Bid { centre: "a".into(), seen }))
     }
 
     fn intent(&mut self, writer: &str, model: &str, server: &str, fence: Fence) -> Outcome {
         let (model, server) = (model.into(), server.into());
         let source = Source::Disk;
-        self.put(writer, Record::Intent(Intent { model, server, incarnation: 1, fence, source }))
+        self.append(writer, Record::Intent(Intent { model, server, incarnation: 1, fence, source }))
     }
 
     fn server(&mut self, id: &str, incarnation: u64, fencing: bool) -> Outcome {
@@ -74,16 +75,17 @@
             memory_mib: 25_000,
             fencing,
         };
-        self.put("d1", Record::Server(facts))
+        self.append("d1", Record::Server(facts))
     }
 
     fn freed(&mut self, writer: &str, slot: Position, fence: Fence, orderer_gone: bool) -> Outcome {
-        self.put(writer, Record::Freed(Freed { slot, fence, orderer_gone }))
+        self.append(writer, Record::Freed(Freed { slot, fence, orderer_gone }))
     }
 }
 
-/// A log with a lease of `d1`, a server and three models of one replica; returns the fence.
-fn ready(fencing: bool) -> (Log, Fence) {
+/// Returns a log with a lease of `d1`, a server and three models of one replica, and the lease's
+/// fencing number.
+fn log_with_lease(fencing: bool) -> (Log, Fence) {
     let mut log = Log::default();
     for name in ["m1", "m2", "m3"] {
         log.edit(name, 0, rows::model(name)).unwrap();
@@ -95,8 +97,8 @@
 
 #[test]
 fn edit_conflict() {
-    // Two operators read version 0 of a row. The second to reach the log is told so, and the row
-    // keeps what the first one set.
+    // Two operators edit version 0 of a row. The second edit to reach the log is rejected as a
+    // conflict, and the row keeps the value of the first.
     let mut log = Log::default();
     let first = log.edit("x", 0, Row { limit: 1, ..rows::model("m") }).unwrap();
     assert_eq!(log.edit("y", 0, Row { limit: 2, ..rows::model("m") }), Err(Rejection::Conflict));
@@ -107,8 +109,8 @@
 
 #[test]
 fn edit_repeated() {
-    // An operator repeats an edit whose answer was lost, after somebody else has changed the row
-    // again. The repeat must not bring the old value back.
+    // An operator repeats an edit whose answer was lost, after another edit changed the row again.
+    // The repeat must not restore the old value.
     let mut log = Log::default();
     let first = log.edit("x", 0, Row { limit: 1, ..rows::model("m") }).unwrap();
     log.edit("y", first, Row { limit: 2, ..rows::model("m") }).unwrap();
@@ -118,9 +120,9 @@
 
 #[test]
 fn entry_repeated() {
-    // An append's answer is lost and it is sent again; both copies are in the log, the second after
-    // a later entry of the same writer. The second has no effect.
-    let (mut log, fence) = ready(true);
+    // An append is repeated because its answer was lost. The log contains both copies, the second
+    // after a later entry of the same writer. The second copy has no effect.
+    let (mut log, fence) = log_with_lease(true);
     let records = vec![Record::Release("a".into(), fence)];
     let entry = Entry { writer: "d1".into(), incarnation: 1, sequence: 100, records };
     let later = Entry {
@@ -128,27 +130,28 @@
         records: vec![Record::Bid(Bid { centre: "a".into(), seen: 0 })],
         ..entry.clone()
     };
-    log.take(&entry).unwrap();
-    log.take(&later).unwrap();
-    assert_eq!(log.take(&entry), Err(Rejection::Duplicate));
+    log.apply_entry(&entry).unwrap();
+    log.apply_entry(&later).unwrap();
+    assert_eq!(log.apply_entry(&entry), Err(Rejection::Duplicate));
     assert!(log.state.leases.contains_key("a"));
 }
 
 #[test]
 fn bid_raced() {
-    // A daemon believes that a holder is silent, but the holder's renewal reached the log first.
-    let (mut log, fence) = ready(true);
-    log.put("d1", Record::Renew).unwrap();
+    // A daemon bids because the holder seems unresponsive, but the holder's renewal reached the log
+    // first.
+    let (mut log, fence) = log_with_lease(true);
+    log.append("d1", Record::Renew).unwrap();
     assert_eq!(log.bid("d2", fence), Err(Rejection::LeaseRenewed));
     let renewed = log.state.leases["a"].renewed;
     log.bid("d2", renewed).unwrap();
-    assert_eq!(log.put("d1", Record::Renew), Err(Rejection::NotHolder));
+    assert_eq!(log.append("d1", Record::Renew), Err(Rejection::NotHolder));
     assert_eq!(log.intent("d1", "m1", "e1", fence), Err(Rejection::NotHolder));
 }
 
 #[test]
 fn count_reached() {
-    let (mut log, fence) = ready(true);
+    let (mut log, fence) = log_with_lease(true);
     log.server("e2", 1, true).unwrap();
     log.intent("d1", "m1", "e1", fence).unwrap();
     assert_eq!(log.intent("d1", "m1", "e2", fence), Err(Rejection::CountReached));
@@ -156,7 +159,7 @@
 
 #[test]
 fn memory_taken() {
-    let (mut log, fence) = ready(true);
+    let (mut log, fence) = log_with_lease(true);
     log.intent("d1", "m1", "e1", fence).unwrap();
     log.intent("d1", "m2", "e1", fence).unwrap();
     assert_eq!(log.intent("d1", "m3", "e1", fence), Err(Rejection::MemoryTaken));
@@ -164,8 +167,8 @@
 
 #[test]
 fn server_replaced() {
-    // A host is replaced while an intent for its old start is under way.
-    let (mut log, fence) = ready(true);
+    // A host is replaced while an intent for its previous incarnation is pending.
+    let (mut log, fence) = log_with_lease(true);
     let slot = log.intent("d1", "m1", "e1", fence).unwrap();
     log.server("e1", 2, true).unwrap();
     assert!(!log.state.slots.contains(slot));
@@ -177,15 +180,16 @@
 #[case::fencing(true, Ok(()))]
 #[case::unfenced(false, Err(Rejection::OrderUnresolved))]
 fn foreign_order(#[case] fencing: bool, #[case] expected: Result<(), Rejection>) {
-    // A daemon takes a lease over while its predecessor's order to load may be under way. On an
-    // engine that ignores fencing numbers the slot may not be freed on the engine's word alone.
-    let (mut log, fence) = ready(fencing);
+    // A daemon takes over a lease while a load order of its predecessor may still be in flight. On
+    // an engine that ignores fencing numbers the engine's report alone is not enough to free the
+    // slot.
+    let (mut log, fence) = log_with_lease(fencing);
     let slot = log.intent("d1", "m1", "e1", fence).unwrap();
     let renewed = log.state.leases["a"].renewed;
     let second = log.bid("d2", renewed).unwrap();
     let reserved = PhaseChange { slot, fence: second, phase: Phase::Reserved };
     if !fencing {
-        let outcome = log.put("d2", Record::Phase(reserved));
+        let outcome = log.append("d2", Record::Phase(reserved));
         assert_eq!(outcome, Err(Rejection::OrderUnresolved));
     }
     assert_eq!(log.freed("d2", slot, second, false).map(drop), expected);
@@ -193,7 +197,7 @@
 
 #[test]
 fn orderer_gone() {
-    let (mut log, fence) = ready(false);
+    let (mut log, fence) = log_with_lease(false);
     let slot = log.intent("d1", "m1", "e1", fence).unwrap();
     let renewed = log.state.leases["a"].renewed;
     let second = log.bid("d2", renewed).unwrap();
@@ -204,59 +208,59 @@
 
 #[test]
 fn claim_once() {
-    // A booking is claimed by one daemon; its repeat through another is told who has it. Only a
-    // claim that is known not to have run may be claimed again.
+    // A booking is claimed by one daemon, and its repeat through another is rejected as claimed. It
+    // may be claimed again only if it is known that the first claim did not run.
     let mut log = Log::default();
     let settle = |verdict| Record::Settle(Settlement { key: 7, verdict, answer: None });
-    log.put("d1", Record::Claim(7)).unwrap();
-    assert_eq!(log.put("d2", Record::Claim(7)), Err(Rejection::Claimed));
-    assert_eq!(log.put("d2", settle(Verdict::DidNotRun)), Err(Rejection::NotClaimant));
-    log.put("d1", settle(Verdict::DidNotRun)).unwrap();
-    log.put("d2", Record::Claim(7)).unwrap();
-    log.put("d2", settle(Verdict::MayHaveRun)).unwrap();
-    assert_eq!(log.put("d1", Record::Claim(7)), Err(Rejection::Claimed));
+    log.append("d1", Record::Claim(7)).unwrap();
+    assert_eq!(log.append("d2", Record::Claim(7)), Err(Rejection::Claimed));
+    assert_eq!(log.append("d2", settle(Verdict::DidNotRun)), Err(Rejection::NotClaimant));
+    log.append("d1", settle(Verdict::DidNotRun)).unwrap();
+    log.append("d2", Record::Claim(7)).unwrap();
+    log.append("d2", settle(Verdict::MayHaveRun)).unwrap();
+    assert_eq!(log.append("d1", Record::Claim(7)), Err(Rejection::Claimed));
 }
 
 #[test]
 fn claim_expires() {
-    // Claims are kept for a day of the log's own clock; a released and newly claimed one for a day
-    // from its second claim.
+    // Claims are kept for a day of the log's own clock, counted from the second claim if a claim
+    // was released and the request claimed again.
     let mut log = Log::default();
-    log.put("d1", Record::Claim(7)).unwrap();
-    log.put("d1", Record::Tick(1)).unwrap();
-    assert_eq!(log.put("d2", Record::Tick(1)), Err(Rejection::Stale));
+    log.append("d1", Record::Claim(7)).unwrap();
+    log.append("d1", Record::Tick(1)).unwrap();
+    assert_eq!(log.append("d2", Record::Tick(1)), Err(Rejection::Stale));
     let release = Settlement { key: 7, verdict: Verdict::DidNotRun, answer: None };
-    log.put("d1", Record::Settle(release)).unwrap();
-    log.put("d1", Record::Claim(7)).unwrap();
+    log.append("d1", Record::Settle(release)).unwrap();
+    log.append("d1", Record::Claim(7)).unwrap();
     for tick in 2..=CLAIM_TTL_TICKS {
-        log.put("d1", Record::Tick(tick)).unwrap();
+        log.append("d1", Record::Tick(tick)).unwrap();
     }
     assert!(log.state.claim(7).is_some());
-    log.put("d1", Record::Tick(CLAIM_TTL_TICKS + 1)).unwrap();
+    log.append("d1", Record::Tick(CLAIM_TTL_TICKS + 1)).unwrap();
     assert!(log.state.claim(7).is_none());
 }
 
 #[test]
 fn snapshot_joined() {
-    // The beginning of the log has expired. Two daemons wrote snapshots at once, their parts mixed
-    // and one of them damaged; a starting daemon takes over a whole one.
+    // The start of the log has expired. Two daemons wrote snapshots at the same time, with
+    // interleaved parts, and one snapshot is corrupt. A starting daemon installs the intact one.
     let mut log = Log::default();
     let body = vec![b'x'; 1000];
     for key in 0..100 {
-        log.put("d1", Record::Claim(key)).unwrap();
+        log.append("d1", Record::Claim(key)).unwrap();
         let answer =
             StoredResponse { status: 200, content_type: "text/plain".into(), body: body.clone() };
         let settlement = Settlement { key, verdict: Verdict::Ran, answer: Some(answer) };
-        log.put("d1", Record::Settle(settlement)).unwrap();
+        log.append("d1", Record::Settle(settlement)).unwrap();
     }
     let good = snapshot::split(&log.state);
     assert!(good.len() > 2);
     let mut bad = good.clone();
     bad[1].hash ^= 1;
-    let mut collector = snapshot::SnapshotAssembler::default();
+    let mut assembler = snapshot::SnapshotAssembler::default();
     let mut found = None;
     for part in bad.iter().zip(good.iter().rev()).flat_map(|(b, g)| [b, g]) {
-        found = collector.add_part(part).or(found);
+        found = assembler.add_part(part).or(found);
     }
     assert_eq!(found.unwrap().hash(), log.state.hash());
 }
