--- a/lib/tests/test_gateway.rs
+++ b/lib/tests/test_gateway.rs
@@ -1,4 +1,4 @@
-//! Bad input, limits and the operators' side, over real sockets.
+//! Invalid input, limits and the admin interface, over real sockets.
 
 use std::io::Read;
 use std::io::Write;
@@ -37,17 +37,17 @@
 #[case::service("{\"model\":\"booking\",\"messages\":[]}", 404, "model_not_found")]
 fn bad_body(#[case] body: &str, #[case] status: u16, #[case] code: &str) {
     let rig = rig(&[]);
-    let told = minreq::post(rig.url("d1", CHAT)).with_body(body).send().unwrap();
-    assert_eq!(told.status_code, status);
-    assert_eq!(told.header("x-request-verdict"), Some("did-not-run"));
-    assert!(told.as_str().unwrap().contains(code));
+    let response = minreq::post(rig.url("d1", CHAT)).with_body(body).send().unwrap();
+    assert_eq!(response.status_code, status);
+    assert_eq!(response.header("x-request-verdict"), Some("did-not-run"));
+    assert!(response.as_str().unwrap().contains(code));
 }
 
 #[test]
 fn body_limit() {
     let rig = rig(&[("body-kib", "1")]);
-    let told = minreq::post(rig.url("d1", CHAT)).with_body(vec![b' '; 2000]).send().unwrap();
-    assert_eq!(told.status_code, 413);
+    let response = minreq::post(rig.url("d1", CHAT)).with_body(vec![b' '; 2000]).send().unwrap();
+    assert_eq!(response.status_code, 413);
 }
 
 #[rstest]
@@ -56,18 +56,18 @@
 #[case::key("Idempotency-Key", "")]
 fn bad_header(#[case] name: &str, #[case] value: &str) {
     let rig = rig(&[]);
-    let told = minreq::post(rig.url("d1", CHAT))
+    let response = minreq::post(rig.url("d1", CHAT))
         .with_header(name, value)
         .with_body(r#"{"model":"hem","messages":[]}"#)
         .send()
         .unwrap();
-    assert_eq!(told.status_code, 400);
-    assert!(told.as_str().unwrap().contains(name));
+    assert_eq!(response.status_code, 400);
+    assert!(response.as_str().unwrap().contains(name));
 }
 
 #[test]
 fn body_cut() {
-    // A caller's connection closes in the middle of its body. Nothing of the request runs, and the
+    // A caller's connection closes in the middle of the body. The request must not run, and the
     // daemon serves the next one.
     let rig = rig(&[]);
     let mut caller = TcpStream::connect(rig.daemons["d1"].addr).unwrap();
@@ -83,28 +83,28 @@
 
 #[test]
 fn deadline_refused() {
-    // A cold model cannot be ready in 50 ms. The caller is refused at once and told when to come
-    // back, instead of waiting for a deadline that cannot be met.
+    // A cold model cannot be ready in 50 ms. The request is refused at once with a Retry-After
+    // header instead of waiting for a deadline that cannot be met.
     let rig = rig(&[]);
-    let told = minreq::post(rig.url("d1", CHAT))
+    let response = minreq::post(rig.url("d1", CHAT))
         .with_header("X-Deadline-Ms", "50")
         .with_body(r#"{"model":"hem","messages":[]}"#)
         .send()
         .unwrap();
-    assert_eq!(told.status_code, 503);
-    assert_eq!(told.header("x-request-verdict"), Some("did-not-run"));
-    assert!(told.header("retry-after").is_some());
-    assert!(told.as_str().unwrap().contains("deadline-too-near"));
+    assert_eq!(response.status_code, 503);
+    assert_eq!(response.header("x-request-verdict"), Some("did-not-run"));
+    assert!(response.header("retry-after").is_some());
+    assert!(response.as_str().unwrap().contains("deadline-too-near"));
 }
 
 #[test]
 fn caller_limit() {
-    // One caller opens more requests than its share; the others are still served.
+    // One caller exceeds its limit of concurrent requests; other callers are still served.
     let rig = rig(&[("caller-requests", "1")]);
     assert_eq!(complete(&rig.url("d1", CHAT), "hem", false, 1).unwrap().0, 200);
     let node = rig.daemons["d1"].node();
-    // A request counts until a moment after its answer.
-    wait_for("the first request's end", || node.limits().total() == 0);
+    // A request counts until shortly after its answer.
+    wait_for("the end of the first request", || node.limits().total() == 0);
     let url = rig.url("d1", CHAT);
     let slow = std::thread::spawn(move || complete(&url, "hem", true, 200));
     wait_for("the stream", || node.limits().total() == 1);
@@ -121,8 +121,8 @@
 
 #[test]
 fn operator_edits() {
-    // Two operators hold the same table; the second to apply is told of the conflict, and what it
-    // read stays applicable after a new look.
+    // Two operators edit the same version of the table. The second edit to arrive is rejected as a
+    // conflict, and an unchanged table is not an edit.
     let rig = rig(&[]);
     let client = AdminClient::new(format!("http://{}", rig.daemons["d1"].addr));
     let table = client.table().unwrap();
@@ -141,11 +141,11 @@
 #[test]
 fn explained_request() {
     let rig = rig(&[]);
-    let told = minreq::post(rig.url("d1", CHAT))
+    let response = minreq::post(rig.url("d1", CHAT))
         .with_body(r#"{"model":"hem","messages":[],"max_tokens":1}"#)
         .send()
         .unwrap();
-    let id = told.header("x-request-id").unwrap();
+    let id = response.header("x-request-id").unwrap();
     let client = AdminClient::new(format!("http://{}", rig.daemons["d1"].addr));
     let lines = client.get(&format!("explain?id={id}")).unwrap();
     let actions: Vec<&str> =
@@ -177,8 +177,7 @@
 
 #[test]
 fn stop_uncut() {
-    // A planned stop while a stream is in progress and a request waits for a cold model: the stream
-    // ends whole, the waiting request is refused truthfully at once.
+    // A daemon stops gracefully while a stream is in progress. The stream is completed first.
     let mut rig = rig(&[]);
     assert_eq!(complete(&rig.url("d1", CHAT), "hem", false, 1).unwrap().0, 200);
     let url = rig.url("d1", CHAT);
@@ -199,7 +198,7 @@
 
 #[test]
 fn table_faults() {
-    // An operator's spreadsheet has five faults. All are named with line and column.
+    // A table file has five faults. The error lists all of them with line and column.
     let text = "name,kind,base,weight,limit,replicas,memory_mib,load_mib,priority,idle_price,repeat\n\
                 a b,model,,1,1,1,1,1,1,1,yes\n\
                 c,adapter,,0,1,1,1,1,1,1,yes\n\
@@ -211,11 +210,12 @@
 
 #[test]
 fn headers_large() {
-    // A caller sends a header of a megabyte. It is refused or cut off, and the next caller is served.
+    // A caller sends a header of 1 MiB. It is refused or disconnected, and the next caller is
+    // served.
     let rig = rig(&[]);
     let mut caller = TcpStream::connect(rig.daemons["d1"].addr).unwrap();
     let head = format!("GET /healthz HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(1 << 20));
-    // The daemon may close before all is written.
+    // The daemon may close the connection before the head is written.
     let _cut = caller.write_all(head.as_bytes());
     let mut answer = Vec::new();
     let _reset = caller.shutdown(Shutdown::Write);
@@ -225,8 +225,9 @@
 
 #[test]
 fn reader_stopped() {
-    // A caller asks for an endless stream and reads nothing of it. When it has taken nothing for the
-    // send timeout its request ends, though it keeps its connection; others are served meanwhile.
+    // A caller requests a stream of 10^9 tokens and stops reading. The request ends once nothing
+    // could be sent for the send timeout, though the connection stays open. Other callers are
+    // served meanwhile.
     let mut rig = Rig::default();
     let fast = EngineSettings { gap: Duration::ZERO, ..EngineSettings::default() };
     rig.add_engine("e1", "hala-a", &fast);
@@ -242,6 +243,6 @@
     caller.read_exact(&mut first).unwrap();
     assert_eq!(complete(&rig.url("d1", CHAT), "hem", false, 1).unwrap().0, 200);
     let node = rig.daemons["d1"].node();
-    wait_for("the stream's end", || node.limits().total() == 0);
+    wait_for("the end of the stream", || node.limits().total() == 0);
     drop(caller);
 }
--- a/lib/tests/test_line_log.rs
+++ b/lib/tests/test_line_log.rs
@@ -1,4 +1,4 @@
-//! Lines of the log, and an output that does not take them.
+//! Format of log lines, and the log's behaviour if its output blocks.
 
 use std::io;
 use std::sync::Arc;
@@ -10,26 +10,26 @@
 use comfreymux_lib::logging::LineLog;
 
 #[derive(Default)]
-struct Taken {
+struct OutputState {
     open: bool,
     bytes: Vec<u8>,
 }
 
-/// An output that takes nothing until it is opened.
+/// An output whose writes block until it is opened.
 #[derive(Clone, Default)]
-struct Gate {
-    taken: Arc<Mutex<Taken>>,
+struct BlockingOutput {
+    state: Arc<Mutex<OutputState>>,
     opened: Arc<Condvar>,
 }
 
-impl Gate {
+impl BlockingOutput {
     fn open(&self) {
-        self.taken.lock().expect("not poisoned").open = true;
+        self.state.lock().expect("not poisoned").open = true;
         self.opened.notify_all();
     }
 
     fn text(&self) -> String {
-        String::from_utf8_lossy(&self.taken.lock().expect("not poisoned").bytes).into_owned()
+        String::from_utf8_lossy(&self.state.lock().expect("not poisoned").bytes).into_owned()
     }
 
     fn wait_for(&self, part: &str) -> String {
@@ -44,11 +44,11 @@
     }
 }
 
-impl io::Write for Gate {
+impl io::Write for BlockingOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let taken = self.taken.lock().expect("not poisoned");
-        let mut taken = self.opened.wait_while(taken, |t| !t.open).expect("not poisoned");
-        taken.bytes.extend_from_slice(buf);
+        let state = self.state.lock().expect("not poisoned");
+        let mut state = self.opened.wait_while(state, |t| !t.open).expect("not poisoned");
+        state.bytes.extend_from_slice(buf);
         Ok(buf.len())
     }
 
@@ -59,49 +59,49 @@
 
 #[test]
 fn pairs_ordered() {
-    let gate = Gate::default();
-    gate.open();
-    let log = LineLog::with_output(gate.clone());
+    let output = BlockingOutput::default();
+    output.open();
+    let log = LineLog::with_output(output.clone());
     slog::info!(log.logger(), "request"; "attempt" => "a1", "status" => 503, "reason" => "too late\nx=1");
-    let text = gate.wait_for("reason");
-    let line = text.lines().next().expect("a line");
+    let text = output.wait_for("reason");
+    let line = text.lines().next().expect("one log line");
     assert!(
         line.contains("event=request attempt=a1 status=503 reason=\"too late\\nx=1\""),
         "{line}"
     );
 }
 
-/// Whatever reads standard output stops reading. Requests must go on, memory must not grow, and the
-/// log says afterwards what is missing.
+/// The reader of standard output stops reading. Logging must not block requests or use unbounded
+/// memory, and a later line reports the dropped lines.
 #[test]
 fn blocked_dropped() {
-    let gate = Gate::default();
-    let log = LineLog::with_output(gate.clone());
+    let output = BlockingOutput::default();
+    let log = LineLog::with_output(output.clone());
     let logger = log.logger();
     for n in 0..40_000 {
         slog::info!(logger, "request"; "attempt" => n, "text" => "some forty bytes of a usual line's end");
     }
-    gate.open();
-    let text = gate.wait_for("event=lines-dropped");
+    output.open();
+    let text = output.wait_for("event=lines-dropped");
     assert!(text.len() < 2 * 1024 * 1024, "{} bytes", text.len());
 }
 
-/// A daemon stops as planned, yet its log has no line of the end: whoever reads it takes the stop for a
-/// crash. The writing thread had taken the line and not written it when the process ended.
+/// A daemon stops gracefully, but its last log line is missing, so that the stop looks like a
+/// crash: the process ended after the writer thread had dequeued the line and before it wrote it.
 #[test]
 fn last_written() {
-    let gate = Gate::default();
-    let log = LineLog::with_output(gate.clone());
+    let output = BlockingOutput::default();
+    let log = LineLog::with_output(output.clone());
     slog::info!(log.logger(), "stop"; "phase" => "ended");
-    // The writing thread takes the line, and is held up by the output.
+    // The writer thread dequeues the line and blocks on the output.
     thread::sleep(Duration::from_millis(150));
-    let output = gate.clone();
+    let opener_output = output.clone();
     let opener = thread::spawn(move || {
         thread::sleep(Duration::from_millis(120));
-        output.open();
+        opener_output.open();
     });
     log.flush();
-    let text = gate.text();
-    opener.join().expect("a thread");
-    assert!(text.contains("phase=ended"), "flushed before it was written");
+    let text = output.text();
+    opener.join().expect("join opener thread");
+    assert!(text.contains("phase=ended"), "flush returned before the line was written");
 }
--- a/lib/tests/test_outages.rs
+++ b/lib/tests/test_outages.rs
@@ -1,4 +1,4 @@
-//! Log outages, cut-off data centres and late starts, over real sockets.
+//! Log outages, failing lease holders and late starts, over real sockets.
 
 use comfreymux_lib::host_list::HostChange;
 use comfreymux_lib::host_list::HostListCache;
@@ -16,11 +16,11 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-fn down() -> LogFaults {
+fn log_down() -> LogFaults {
     LogFaults { down: true, ..LogFaults::default() }
 }
 
-/// Two daemons of one data centre before one engine, with a loaded model.
+/// Starts two daemons and one engine with a loaded model in one data centre.
 fn rig() -> Rig {
     let mut rig = Rig::default();
     rig.add_engine("e1", "qc-c", &EngineSettings::default());
@@ -38,9 +38,9 @@
 
 #[test]
 fn serving_continues() {
-    // The log is down for longer than a lease. Loaded models are served by every daemon.
+    // The log is down for longer than a lease. Every daemon still serves loaded models.
     let rig = rig();
-    rig.log.set_faults(down());
+    rig.log.set_faults(log_down());
     rig.await_view("d1", "the outage", |v| !v.log_up);
     for daemon in ["d1", "d2"] {
         assert_eq!(complete(&rig.url(daemon, CHAT), "hem", false, 1).unwrap().0, 200);
@@ -49,9 +49,9 @@
 
 #[test]
 fn started_late() {
-    // A daemon starts while the log is down. It takes the state over from a peer and serves.
+    // A daemon starts while the log is down. It fetches the state from a peer and serves requests.
     let mut rig = rig();
-    rig.log.set_faults(down());
+    rig.log.set_faults(log_down());
     rig.add_daemon("d3", "qc-c", &[]);
     rig.await_view("d3", "the table", |v| !v.replicas_of("hem").is_empty());
     assert_eq!(complete(&rig.url("d3", CHAT), "hem", false, 1).unwrap().0, 200);
@@ -61,8 +61,8 @@
 
 #[test]
 fn records_expired() {
-    // The log keeps little, and a daemon starts after the first edits expired. It starts from a
-    // snapshot in the log and has the same state as the others.
+    // A daemon starts after the first edits have expired from the log. It installs a snapshot from
+    // the log and reaches the same state as the others.
     let mut rig = rig();
     let node = std::sync::Arc::clone(rig.daemons["d1"].node());
     let state = node.state().unwrap();
@@ -90,17 +90,16 @@
 
 #[test]
 fn edit_relayed() {
-    // A daemon cannot reach the log, but its neighbour can. An edit made through the neighbour is
-    // in force at both.
+    // A daemon cannot reach the log, but a peer can. An edit sent to the peer takes effect at both.
     let mut rig = rig();
-    let cut = comfreymux_testutils::http_server::HttpServer::start(
+    let closed_log = comfreymux_testutils::http_server::HttpServer::start(
         ANY,
         std::sync::Arc::new(comfreymux_testutils::log_standin::LogStandin::default()),
     )
     .unwrap();
-    let nowhere = format!("http://{}", cut.addr);
-    cut.stop();
-    rig.add_daemon("d3", "qc-c", &[("log", &nowhere)]);
+    let unreachable_url = format!("http://{}", closed_log.addr);
+    closed_log.stop();
+    rig.add_daemon("d3", "qc-c", &[("log", &unreachable_url)]);
     rig.await_view("d3", "the table", |v| v.table.row("hem").is_some());
     rig.apply("d1", "second", &[rows::model("hem"), rows::model("quote")]);
     rig.await_view("d3", "the edit", |v| v.table.row("quote").is_some());
@@ -109,8 +108,8 @@
 
 #[test]
 fn holder_killed() {
-    // The daemon that leads the data centre dies without a word. Another one takes the lease over
-    // and loads a cold model for its callers.
+    // The lease holder dies without releasing its lease. Another daemon takes over the lease and
+    // loads a cold model for its callers.
     let mut rig = rig();
     let state = rig.daemons["d1"].node().state().unwrap();
     let holder = state.leases["qc-c"].daemon.clone();
@@ -124,8 +123,8 @@
 
 #[test]
 fn holder_stops() {
-    // The leading daemon is stopped as planned. It gives its lease up, and nobody waits for it to
-    // lapse.
+    // The lease holder stops gracefully. It releases its lease, so that no daemon has to wait for
+    // the lease to expire.
     let mut rig = rig();
     let state = rig.daemons["d1"].node().state().unwrap();
     let holder = state.leases["qc-c"].daemon.clone();
@@ -139,8 +138,8 @@
 
 #[test]
 fn engine_leaves() {
-    // An engine's host is being taken away, and only the engine itself says so yet. New requests go
-    // to another engine, where the model is loaded anew.
+    // An engine's host is being removed, which only the engine itself reports so far. New requests
+    // go to another engine, which loads the model.
     let mut rig = rig();
     rig.add_engine("e2", "qc-c", &EngineSettings::default());
     rig.engines["e1"].set_faults(EngineFaults { leaving: true, ..EngineFaults::default() });
@@ -151,8 +150,8 @@
 
 #[test]
 fn foreign_datagram() {
-    // Somebody on the network sends a daemon datagrams: malformed, from an unknown address, or in
-    // another daemon's name. None is heeded.
+    // A daemon ignores datagrams that are malformed, come from an unknown address or carry another
+    // daemon's name.
     let rig = rig();
     let node = rig.daemons["d1"].node();
     let addr = node.view.load().daemons["d2"];
@@ -173,17 +172,17 @@
 
 #[test]
 fn list_changes() {
-    let mut book = HostListCache::default();
+    let mut cache = HostListCache::default();
     let host = |id: &str| comfreymux_lib::host::Host {
         id: id.into(),
         ..comfreymux_testutils::rig::host(comfreymux_lib::host::HostRole::Entry, "a", ANY)
     };
-    let whole =
+    let full_list =
         HostChange { version: 1, whole: true, hosts: vec![host("a"), host("b")], removed: vec![] };
-    assert_eq!(book.apply(whole).unwrap().len(), 2);
+    assert_eq!(cache.apply(full_list).unwrap().len(), 2);
     let change =
         HostChange { version: 2, whole: false, hosts: vec![host("c")], removed: vec!["a".into()] };
-    let names: Vec<_> = book.apply(change.clone()).unwrap().into_iter().map(|h| h.id).collect();
+    let names: Vec<_> = cache.apply(change.clone()).unwrap().into_iter().map(|h| h.id).collect();
     assert_eq!(names, ["b", "c"]);
-    assert!(book.apply(change).is_none());
+    assert!(cache.apply(change).is_none());
 }
--- a/lib/tests/test_queue.rs
+++ b/lib/tests/test_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait: order, bound, refusals.
+//! The queue of waiting requests: its order, its limit and its refusals.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     Waiter { model: "m".into(), priority, deadline: seconds(deadline) }
 }
 
-fn enter(queue: &mut Queue, priority: u8, deadline: u64) -> WaiterKey {
+fn enqueue_waiter(queue: &mut Queue, priority: u8, deadline: u64) -> WaiterKey {
     match queue.enqueue(seconds(0), waiter(priority, deadline), Duration::ZERO) {
         EnqueueResult::Queued(key, None) => key,
         other => panic!("{other:?}"),
@@ -30,10 +30,10 @@
 #[test]
 fn urgent_first() {
     let mut queue = Queue::new(9);
-    let late = enter(&mut queue, 5, 30);
-    let soon = enter(&mut queue, 5, 10);
-    let valuable = enter(&mut queue, 9, 60);
-    for expected in [valuable, soon, late] {
+    let late = enqueue_waiter(&mut queue, 5, 30);
+    let soon = enqueue_waiter(&mut queue, 5, 10);
+    let high_priority = enqueue_waiter(&mut queue, 9, 60);
+    for expected in [high_priority, soon, late] {
         assert_eq!(queue.first("m"), Some(expected));
         assert!(queue.remove(expected));
     }
@@ -42,36 +42,36 @@
 
 #[test]
 fn valuable_displaces() {
-    // The queue is full of small requests when a full dossier draft comes. It takes the place of the
-    // one with the latest deadline; another small one is refused.
+    // The queue is full of low-priority requests. A high-priority request displaces the one with
+    // the latest deadline; another low-priority request is refused.
     let mut queue = Queue::new(2);
-    enter(&mut queue, 1, 10);
-    let least = enter(&mut queue, 1, 20);
-    let entered = queue.enqueue(seconds(0), waiter(1, 5), Duration::ZERO);
-    assert!(matches!(entered, EnqueueResult::Refused(QueueRefusal::Full)));
-    let entered = queue.enqueue(seconds(0), waiter(9, 60), Duration::ZERO);
-    assert!(matches!(entered, EnqueueResult::Queued(_, Some(key)) if key == least));
+    enqueue_waiter(&mut queue, 1, 10);
+    let least = enqueue_waiter(&mut queue, 1, 20);
+    let result = queue.enqueue(seconds(0), waiter(1, 5), Duration::ZERO);
+    assert!(matches!(result, EnqueueResult::Refused(QueueRefusal::Full)));
+    let result = queue.enqueue(seconds(0), waiter(9, 60), Duration::ZERO);
+    assert!(matches!(result, EnqueueResult::Queued(_, Some(key)) if key == least));
 }
 
 #[test]
 fn hopeless_refused() {
     let mut queue = Queue::new(2);
-    let entered = queue.enqueue(seconds(1), waiter(5, 3), seconds(4));
-    assert!(matches!(entered, EnqueueResult::Refused(QueueRefusal::TooLate)));
+    let result = queue.enqueue(seconds(1), waiter(5, 3), seconds(4));
+    assert!(matches!(result, EnqueueResult::Refused(QueueRefusal::TooLate)));
 }
 
 #[test]
 fn deadline_refused() {
     let mut queue = Queue::new(4);
-    let soon = enter(&mut queue, 5, 10);
-    let later = enter(&mut queue, 5, 20);
+    let soon = enqueue_waiter(&mut queue, 5, 10);
+    let later = enqueue_waiter(&mut queue, 5, 20);
     assert_eq!(queue.expire(seconds(10)), [soon]);
     assert_eq!(queue.first("m"), Some(later));
 }
 
 #[test]
 fn stop_refuses() {
-    // A daemon stops while requests wait. All are refused at once, and so is whoever comes later.
+    // A daemon stops while requests wait. All of them are refused at once, and so are later ones.
     let queue = std::sync::Arc::new(WaitQueue::new(9));
     let waiting = std::sync::Arc::clone(&queue);
     let thread =
@@ -86,8 +86,8 @@
 
 #[test]
 fn demand_kept() {
-    // Reports of waiting requests are lost now and then: one that was not repeated counts for a
-    // while and is then forgotten; the first mention dates the demand.
+    // Reports of waiting requests can be lost: a report that is not repeated counts for a limited
+    // time and then expires. The age of the demand counts from the first report.
     let mut demand = Demand::default();
     let waiting = [WaitingRequests { model: "m".into(), count: 2, weight: 10 }];
     demand.update(seconds(1), &"d1".into(), &waiting);
@@ -110,44 +110,44 @@
 
     #[test]
     fn nobody_lost(steps in prop::collection::vec((0_u8..4, 0_u8..5, 1_u64..50), 1..120)) {
-        // Whoever waits is served, refused or still waiting; the bound holds.
+        // Each request is served, refused or still waiting, and the queue never exceeds its limit.
         let mut queue = Queue::new(4);
-        let (mut now, mut waiting, mut out) = (seconds(0), Vec::new(), 0);
-        let mut came = 0;
+        let (mut now, mut waiting, mut finished) = (seconds(0), Vec::new(), 0);
+        let mut submitted = 0;
         for (step, priority, time) in steps {
             match step {
                 0 | 1 => {
-                    came += 1;
+                    submitted += 1;
                     let deadline = now.as_secs() + time;
                     match queue.enqueue(now, waiter(priority, deadline), Duration::ZERO) {
                         EnqueueResult::Queued(key, displaced) => {
                             waiting.push(key);
                             if let Some(displaced) = displaced {
                                 waiting.retain(|k| *k != displaced);
-                                out += 1;
+                                finished += 1;
                             }
                         }
-                        EnqueueResult::Refused(_) => out += 1,
+                        EnqueueResult::Refused(_) => finished += 1,
                     }
                 }
                 2 => {
                     if let Some(key) = queue.first("m") {
                         prop_assert!(queue.remove(key));
                         waiting.retain(|k| *k != key);
-                        out += 1;
+                        finished += 1;
                     }
                 }
                 _ => {
                     now += seconds(time);
                     for key in queue.expire(now) {
                         waiting.retain(|k| *k != key);
-                        out += 1;
+                        finished += 1;
                     }
                 }
             }
             prop_assert!(queue.keys().len() <= 4);
             prop_assert_eq!(queue.keys().len(), waiting.len());
-            prop_assert_eq!(came, waiting.len() + out);
+            prop_assert_eq!(submitted, waiting.len() + finished);
         }
     }
 }
--- a/lib/tests/test_replicas.rs
+++ b/lib/tests/test_replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas of busy models: how many, and which engines.
+//! Placement of replicas of busy models: their number and their engines.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use comfreymux_testutils::placing_site::Site;
 use comfreymux_testutils::placing_site::load_of;
 
-/// Demand moves to a model with one replica; it needs more before its queue grows.
+/// Demand shifts to a model with one replica, which needs another before its queue grows.
 #[test]
 fn replica_added() {
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("riser", 70_000, 0)]);
@@ -20,11 +20,12 @@
     site.engine("e22", &["a", "b"], &["riser"]);
     site.busy("riser", 6);
     let plan = site.plan();
-    assert_eq!(load_of(&plan, "riser").expect("a second replica").0, "e22");
+    assert_eq!(load_of(&plan, "riser").expect("plan loads a second replica").0, "e22");
 }
 
-/// Engines with copies of a busy model were at work for another second when it needed a replica. It was
-/// fetched from the weight store, which took 13 s, and those that lay on no host waited behind it.
+/// A busy model needed a replica while the engines with local copies were busy loading for another
+/// second. It was fetched from the weight store instead, which took 13 s and delayed the fetches of
+/// models without any local copy.
 #[test]
 fn copy_awaited() {
     let mut site = Site::new(&["a", "b", "c", "d", "busy"].map(|n| (n, 70_000, 0)));
@@ -41,9 +42,9 @@
     assert_eq!(load_of(&site.plan(), "busy"), None);
 }
 
-/// A model's callers rise from eight a second to twenty-four within two seconds. Counted over six
-/// seconds its arrivals ask for three replicas; a quarter of the first events came late until more were
-/// added.
+/// The arrival rate of a model rises from 8 to 24 requests per second within two seconds. Averaged
+/// over six seconds it requires only three replicas; a quarter of the first events came late until
+/// more were added.
 #[test]
 fn peak_followed() {
     let mut site = Site::new(&["a", "b", "c", "d", "e", "f", "hot"].map(|n| (n, 70_000, 0)));
@@ -54,14 +55,14 @@
     let count =
         |count| ArrivalCount { service: SERVICE.into(), model: "hot".into(), adapter: None, count };
     for (seconds, total) in [(10, 0), (8, 16), (6, 32), (4, 48), (2, 64), (0, 112)] {
-        let note = DemandReport { queued: Vec::new(), arrivals: vec![count(total)] };
-        site.demand.update(&"d1".into(), note, NOW.saturating_sub(Duration::from_secs(seconds)));
+        let report = DemandReport { queued: Vec::new(), arrivals: vec![count(total)] };
+        site.demand.update(&"d1".into(), report, NOW.saturating_sub(Duration::from_secs(seconds)));
     }
     assert_eq!(load_of(&site.plan(), "hot").map(|l| l.0), Some("e4444"));
 }
 
-/// Streams of a model take longer than its arrivals tell: most slots of its engines are taken, and new
-/// requests wait for one.
+/// Streams of a model take longer than its arrival rate suggests: most slots of its engines are in
+/// use, and new requests wait for one.
 #[test]
 fn full_relieved() {
     let mut site = Site::new(&["a", "b", "c", "d", "hot"].map(|n| (n, 70_000, 0)));
@@ -70,14 +71,15 @@
     site.engine("e333", &["c", "d"], &["hot"]);
     site.busy("hot", 1);
     assert_eq!(load_of(&site.plan(), "hot"), None);
-    let place = |server: &str| WorkloadKey { server: server.into(), model: Some("hot".into()) };
+    let replica_key =
+        |server: &str| WorkloadKey { server: server.into(), model: Some("hot".into()) };
     let running: Vec<_> =
-        (0..80).map(|n| site.loads.begin(place(["e1", "e22"][n % 2]), 100)).collect();
+        (0..80).map(|n| site.loads.begin(replica_key(["e1", "e22"][n % 2]), 100)).collect();
     assert_eq!(load_of(&site.plan(), "hot").map(|l| l.0), Some("e333"));
     drop(running);
 }
 
-/// The last replicas of what most callers ask for must not make way for one rare request.
+/// The last replica of a busy model must not be evicted for one request to a rare model.
 #[test]
 fn busy_stays() {
     let mut site = Site::new(&[("a", 100_000, 0), ("b", 100_000, 0), ("rare", 70_000, 0)]);
@@ -85,11 +87,12 @@
     site.busy("a", 3);
     site.want("rare", None);
     let plan = site.plan();
-    assert_eq!(load_of(&plan, "rare").expect("loaded").1, ["b"]);
+    assert_eq!(load_of(&plan, "rare").expect("plan loads the rare model").1, ["b"]);
 }
 
-/// A rare model is put on the engine that serves the busiest one, where each arrival's prompt stops its stream, while
-/// an engine with as much to give up is quiet.
+/// A rare model was placed on the engine that serves the busiest model, where the prompt of each
+/// arriving request pauses the rare model's stream, though an engine with little traffic could
+/// evict as much.
 #[test]
 fn quiet_engine() {
     let mut site = Site::new(&["hot", "a", "b", "c", "rare"].map(|n| (n, 70_000, 0)));
@@ -98,5 +101,5 @@
     site.engine("e333", &["hot"], &[]);
     site.busy("hot", 6);
     site.want("rare", None);
-    assert_eq!(load_of(&site.plan(), "rare").expect("loaded").0, "e22");
+    assert_eq!(load_of(&site.plan(), "rare").expect("plan loads the rare model").0, "e22");
 }
--- a/lib/tests/test_router.rs
+++ b/lib/tests/test_router.rs
@@ -1,4 +1,4 @@
-//! The choice of replicas, retry budget, limits and suspicion.
+//! Choice of replicas, retry budget, request limits and backoff after failures.
 
 use std::time::Duration;
 
@@ -25,14 +25,14 @@
     let row = Row { limit, ..rows::model("m") };
     let changes = vec![RowChange { name: "m".into(), base: 0, row: Some(row) }];
     let edit = Edit { id: "e".into(), author: "a".into(), changes };
-    let place = |(server, centre): &(&str, &str)| Replica {
+    let replica = |(server, centre): &(&str, &str)| Replica {
         server: (*server).into(),
         addr: ANY,
         centre: (*centre).into(),
     };
     let mut view =
         RoutingView { table: Table::default().apply(&edit, 1), ..RoutingView::default() };
-    view.replicas.insert("m".into(), servers.iter().map(place).collect());
+    view.replicas.insert("m".into(), servers.iter().map(replica).collect());
     view
 }
 
@@ -52,7 +52,7 @@
 
 #[test]
 fn leaving_avoided() {
-    // A server refuses work because it leaves; the host list will show it only later.
+    // A server refuses requests because it is leaving; the host list shows this only later.
     let view = view(9, &[("e1", "a"), ("e2", "a")]);
     let mut router = Router::new("a".into(), 1);
     router.mark_leaving(NOW, &"e1".into());
@@ -63,8 +63,8 @@
 
 #[test]
 fn failing_avoided() {
-    // A server fails twice in a row and is left alone; one failure between answers is not held
-    // against it.
+    // A server that fails twice in a row is avoided; a single failure between answers has no
+    // effect.
     let view = view(9, &[("e1", "a"), ("e2", "a")]);
     let mut router = Router::new("a".into(), 1);
     router.record_failure(NOW, &"e1".into());
@@ -88,22 +88,24 @@
 
 #[test]
 fn prefix_kept() {
-    // Requests with one prompt beginning go to one server, until it has clearly more than others.
+    // Requests with the same prompt prefix go to one server until it has clearly more requests than
+    // the others.
     let view = view(100, &[("e1", "a"), ("e2", "a"), ("e3", "a")]);
     let mut router = Router::new("a".into(), 1);
-    let home = router.choose(NOW, &view, route_request(Some(5))).unwrap().server;
-    router.record_end(&home, &"m".into());
+    let first_server = router.choose(NOW, &view, route_request(Some(5))).unwrap().server;
+    router.record_end(&first_server, &"m".into());
     let chosen: Vec<_> = (0..30)
         .map(|_| router.choose(NOW, &view, route_request(Some(5))).unwrap().server)
         .collect();
-    assert_eq!(chosen[..2], [home.clone(), home.clone()]);
-    let share = chosen.iter().filter(|s| **s == home).count();
-    assert!((10..=14).contains(&share), "{share} of 30 at home");
+    assert_eq!(chosen[..2], [first_server.clone(), first_server.clone()]);
+    let share = chosen.iter().filter(|s| **s == first_server).count();
+    assert!((10..=14).contains(&share), "{share} of 30 requests went to the first server");
 }
 
 #[test]
 fn told_load() {
-    // An engine says that other daemons keep it busy; the router believes it over its own count.
+    // An engine reports requests of other daemons; the router uses the report instead of its own
+    // count, until the report is outdated.
     let view = view(4, &[("e1", "a")]);
     let mut router = Router::new("a".into(), 1);
     let route = router.choose(NOW, &view, route_request(None)).unwrap();
@@ -115,8 +117,8 @@
 
 #[test]
 fn told_falls() {
-    // An engine at its limit says so with an answer. When that very request ends there is room again
-    // at once; the engine's word must not keep the queue waiting until it is old.
+    // An engine reports with an answer that it is at its limit. Once that request ends there is
+    // free capacity; the report must not block the queue until it expires.
     let view = view(4, &[("e1", "a")]);
     let mut router = Router::new("a".into(), 1);
     let route = router.choose(NOW, &view, route_request(None)).unwrap();
@@ -140,7 +142,8 @@
 
 #[test]
 fn budget_bounded() {
-    // Everything fails. Retries add a tenth to the load, after a burst that was saved up.
+    // Every request fails. Retries add a tenth to the requests sent, after a burst from the saved
+    // budget.
     let mut budget = RetryBudget::default();
     let retries = (0..1000)
         .filter(|_| {
@@ -185,19 +188,19 @@
     fn never_overfull(limit in 1_u32..5, steps in prop::collection::vec(any::<(bool, u8)>(), 1..200)) {
         let view = view(limit, &[("e1", "a"), ("e2", "a"), ("e3", "b")]);
         let mut router = Router::new("a".into(), 1);
-        let mut open: Vec<comfreymux_lib::ids::ServerId> = Vec::new();
+        let mut active: Vec<comfreymux_lib::ids::ServerId> = Vec::new();
         for (begin, n) in steps {
             if begin {
-                let room = router.free_capacity(NOW, &view, "m");
+                let capacity = router.free_capacity(NOW, &view, "m");
                 let route = router.choose(NOW, &view, route_request(n.is_multiple_of(2).then_some(u64::from(n))));
-                prop_assert_eq!(room > 0, route.is_some());
-                open.extend(route.map(|r| r.server));
-            } else if !open.is_empty() {
-                let server = open.swap_remove(n as usize % open.len());
+                prop_assert_eq!(capacity > 0, route.is_some());
+                active.extend(route.map(|r| r.server));
+            } else if !active.is_empty() {
+                let server = active.swap_remove(n as usize % active.len());
                 router.record_end(&server, &"m".into());
             }
             for server in ["e1", "e2", "e3"] {
-                let count = open.iter().filter(|s| **s == server).count();
+                let count = active.iter().filter(|s| **s == server).count();
                 prop_assert!(count <= limit as usize);
             }
         }
--- a/lib/tests/test_serving.rs
+++ b/lib/tests/test_serving.rs
@@ -1,4 +1,4 @@
-//! The whole path: callers, daemons, engines and plain services over real sockets.
+//! End-to-end tests of callers, daemons, engines and plain services, over real sockets.
 
 use std::thread;
 
@@ -29,8 +29,8 @@
 
 #[test]
 fn cold_burst() {
-    // A burst of first requests for one cold model comes at two daemons at once. Every caller gets
-    // its whole answer, and the model is loaded once.
+    // A burst of first requests for one cold model arrives at two daemons. Every caller gets a
+    // complete answer, and the model is loaded once.
     let rig = rig();
     let urls = [rig.url("d1", CHAT), rig.url("d2", CHAT)];
     let send = |i: usize| {
@@ -58,8 +58,8 @@
 
 #[test]
 fn booking_twice() {
-    // The balancer brings a caller's repeat of a booking to another daemon while the first is in
-    // progress. Both callers get the answer, and the booking ran once.
+    // The load balancer sends the repeat of a booking to another daemon while the first is in
+    // progress. Both requests get the same answer, and the booking runs once.
     let rig = rig();
     rig.await_view("d1", "the service", |v| !v.replicas_of("booking").is_empty());
     rig.await_view("d2", "the service", |v| !v.replicas_of("booking").is_empty());
@@ -67,7 +67,7 @@
         slow_ms: 300,
         ..Default::default()
     });
-    let book = |daemon: &str| {
+    let send_booking = |daemon: &str| {
         let url = rig.url(daemon, "/services/booking/confirm");
         thread::spawn(move || {
             minreq::post(url)
@@ -79,7 +79,7 @@
                 .unwrap()
         })
     };
-    let callers = [book("d1"), book("d2")];
+    let callers = [send_booking("d1"), send_booking("d2")];
     let answers = callers.map(|c| c.join().unwrap());
     for answer in &answers {
         assert_eq!(answer.status_code, 200, "{:?}", answer.as_str());
@@ -91,9 +91,8 @@
 
 #[test]
 fn sleep_and_wake() {
-    // A model is unloaded because nobody uses it, and its slot stays reserved. The next caller finds it
-    // asleep: nothing may send the request to the engine that no longer holds the model, and the
-    // model must be loaded again.
+    // An idle model is unloaded, and its slot stays reserved. The next request must not be sent to
+    // the engine, which no longer holds the model, before the model is loaded again.
     let mut rig = Rig::default();
     rig.add_engine("e1", "makati-a", &EngineSettings::default());
     rig.add_daemon("d1", "makati-a", &[("keep-warm", "1s"), ("poll", "100ms")]);
@@ -103,15 +102,15 @@
     assert_eq!(complete(&url, "hem", true, 1).unwrap().0, 200);
     let loads = rig.engines["e1"].audit().loads;
     wait_for("the unload", || rig.engines["e1"].audit().models.is_empty());
-    rig.await_view("d1", "the replica's end", |v| v.replicas_of("hem").is_empty());
+    rig.await_view("d1", "the removal of the replica", |v| v.replicas_of("hem").is_empty());
     assert_eq!(complete(&url, "hem", true, 1).unwrap().0, 200);
     assert_eq!(rig.engines["e1"].audit().loads, loads + 1);
 }
 
 #[test]
 fn stale_replica() {
-    // An engine lost a model without a word, and the log still shows it loaded. A request that is
-    // refused there waits for a load instead of asking again and again.
+    // An engine dropped a model without reporting it, and the log still shows the model as loaded.
+    // A request that the engine refuses waits for a load instead of retrying in a loop.
     let rig = rig();
     let url = rig.url("d1", CHAT);
     assert_eq!(complete(&url, "hem", true, 1).unwrap().0, 200);
--- a/lib/tests/test_streams.rs
+++ b/lib/tests/test_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that end badly, over real sockets.
+//! Streams that fail or are abandoned, over real sockets.
 
 use std::io::Read;
 use std::io::Write;
@@ -16,7 +16,7 @@
 const CHAT: &str = "/v1/chat/completions";
 const TOKENS: u64 = 12;
 
-/// One daemon before one engine with a loaded model.
+/// Starts one daemon and one engine with a loaded model.
 fn rig(repeat: bool) -> Rig {
     let mut rig = Rig::default();
     rig.add_engine("e1", "hala-a", &EngineSettings::default());
@@ -37,7 +37,7 @@
         "error" => faults.error = 1,
         "crossed" => faults.crossed = 1,
         "silent" => faults.silent = 1,
-        _ => unreachable!("a kind of fault"),
+        _ => unreachable!("unknown kind of fault: {kind}"),
     }
     faults
 }
@@ -53,9 +53,8 @@
 #[case::crossed("crossed", 0)]
 #[case::silent("silent", 0)]
 fn stream_resumed(#[case] kind: &str, #[case] after: u64) {
-    // A family waits for a draft. The engine's stream breaks off, before the first token, after some
-    // or before the end marker. The daemon takes it up again on a new connection, and the caller
-    // gets every token once.
+    // The engine's stream fails before the first token, after some tokens or before the end marker.
+    // The daemon resumes it on a new connection, and the caller gets every token once.
     let rig = rig(true);
     rig.engines["e1"].set_faults(fault(kind, after));
     let (status, body) = complete(&rig.url("d1", CHAT), "grant", true, TOKENS).unwrap();
@@ -71,8 +70,8 @@
 #[case::cut("cut", "may-have-run")]
 #[case::error("error", "engine overloaded")]
 fn stream_named(#[case] kind: &str, #[case] named: &str) {
-    // A stream that may not be repeated breaks off after five tokens. The caller keeps the five, is
-    // told what happened, and sees no end marker.
+    // A stream that may not be repeated fails after five tokens. The caller gets these five and an
+    // error event with the cause, but no end marker.
     let rig = rig(false);
     rig.engines["e1"].set_faults(fault(kind, 5));
     let (status, body) = complete(&rig.url("d1", CHAT), "grant", true, TOKENS).unwrap();
@@ -85,8 +84,8 @@
 
 #[test]
 fn error_unstarted() {
-    // The engine accepts a request and streams a lone error object. Without a token sent, the caller
-    // gets a status that says so, not an empty answer.
+    // The engine accepts a request and streams only an error object. Since no token was sent, the
+    // caller gets an error status instead of an empty answer.
     let rig = rig(false);
     rig.engines["e1"].set_faults(fault("error", 0));
     let (status, body) = complete(&rig.url("d1", CHAT), "grant", true, TOKENS).unwrap();
@@ -96,7 +95,8 @@
 
 #[test]
 fn caller_gone() {
-    // A caller vanishes in the middle of a long stream; the daemon and the engine let go of it.
+    // A caller disconnects in the middle of a long stream. The daemon and the engine end the
+    // request.
     let rig = rig(true);
     let body = r#"{"model":"grant","stream":true,"max_tokens":100000,"messages":[]}"#;
     let mut caller = TcpStream::connect(rig.daemons["d1"].addr).unwrap();
@@ -107,14 +107,14 @@
     caller.read_exact(&mut some).unwrap();
     drop(caller);
     let node = rig.daemons["d1"].node();
-    wait_for("the request's end", || node.limits().total() == 0);
-    wait_for("the engine's end", || rig.engines["e1"].report().models[0].active == 0);
+    wait_for("the end of the request at the daemon", || node.limits().total() == 0);
+    wait_for("an idle engine", || rig.engines["e1"].report().models[0].active == 0);
 }
 
 #[test]
 fn silent_once() {
-    // One connection to an engine goes silent for good while new ones work. The engine is not given
-    // up for it: the next requests are served there.
+    // One connection to an engine hangs while new ones work. The daemon must not stop using the
+    // engine: it serves the next requests.
     let rig = rig(true);
     rig.engines["e1"].set_faults(fault("silent", 0));
     for _ in 0..3 {
--- a/lib/tests/test_traces.rs
+++ b/lib/tests/test_traces.rs
@@ -1,4 +1,4 @@
-//! Replay of recorded traces against their stated outcomes.
+//! Replays recorded traces and checks the outcomes that they expect.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -12,17 +12,17 @@
 
 #[test]
 fn recorded_traces() {
-    // What daemons did on a day that was recorded is decided the same way today.
+    // The current code makes the same decisions as the daemons did when the traces were recorded.
     let mut count = 0;
     for file in std::fs::read_dir(traces()).unwrap() {
         let path = file.unwrap().path();
         if path.extension().is_some_and(|e| e == "jsonl") {
             let replayed = trace::replay(&path).unwrap_or_else(|e| panic!("{path:?}: {e}"));
-            assert!(replayed.met > 0, "{path:?} states no outcome");
+            assert!(replayed.met > 0, "{path:?} expects no outcome");
             count += 1;
         }
     }
-    assert!(count >= 2, "{count} traces");
+    assert!(count >= 2, "found only {count} traces");
 }
 
 #[test]
--- a/lib/tests/test_verdicts.rs
+++ b/lib/tests/test_verdicts.rs
@@ -1,4 +1,4 @@
-//! What callers are told of requests that may not be repeated, over real sockets.
+//! Verdicts sent to callers of requests that may not be repeated, over real sockets.
 
 use comfreymux_testutils::log_standin::LogFaults;
 use comfreymux_testutils::rig::Rig;
@@ -9,7 +9,7 @@
 
 const CONFIRM: &str = "/services/booking/confirm";
 
-/// Two daemons in two data centres before one booking service.
+/// Starts two daemons in two data centres and one booking service.
 fn rig() -> Rig {
     rig_with("10s")
 }
@@ -31,36 +31,36 @@
     rig
 }
 
-struct Told {
+struct BookingReply {
     status: u16,
     verdict: String,
-    retry: Option<String>,
+    retry_after: Option<String>,
     body: String,
 }
 
-/// Sends a booking, and comes back as told while the log has not decided its claim.
-fn send(rig: &Rig, daemon: &str, key: Option<&str>, body: &str) -> Told {
-    let mut told = send_once(rig, daemon, key, body);
+/// Sends a booking, and repeats it until the log has decided its claim.
+fn send(rig: &Rig, daemon: &str, key: Option<&str>, body: &str) -> BookingReply {
+    let mut reply = send_once(rig, daemon, key, body);
     wait_for("a decided claim", || {
-        let decided = !told.body.contains("claim-unknown");
+        let decided = !reply.body.contains("claim-unknown");
         if !decided {
-            told = send_once(rig, daemon, key, body);
+            reply = send_once(rig, daemon, key, body);
         }
         decided
     });
-    told
+    reply
 }
 
-fn send_once(rig: &Rig, daemon: &str, key: Option<&str>, body: &str) -> Told {
+fn send_once(rig: &Rig, daemon: &str, key: Option<&str>, body: &str) -> BookingReply {
     let mut request = minreq::post(rig.url(daemon, CONFIRM)).with_body(body).with_timeout(30);
     if let Some(key) = key {
         request = request.with_header("Idempotency-Key", key);
     }
     let response = request.send().unwrap();
-    Told {
+    BookingReply {
         status: response.status_code,
         verdict: response.header("x-request-verdict").unwrap_or_default().to_owned(),
-        retry: response.header("retry-after").map(str::to_owned),
+        retry_after: response.header("retry-after").map(str::to_owned),
         body: response.as_str().unwrap().to_owned(),
     }
 }
@@ -74,8 +74,8 @@
 #[case::silent(ServiceFaults { silent: 1, ..Default::default() })]
 #[case::crossed(ServiceFaults { crossed: 1, ..Default::default() })]
 fn doubtful_once(#[case] faults: ServiceFaults) {
-    // A booking ran, and its answer is lost, never comes, or belongs to somebody else. The caller is
-    // told that it may have run; repeats through either daemon do not run it again.
+    // A booking ran, and its answer is lost, never arrives or belongs to another attempt. The
+    // verdict is that it may have run; repeats through either daemon do not run it again.
     let rig = rig_with("500ms");
     rig.services["s1"].set_faults(faults);
     let first = send(&rig, "d1", Some("k"), "fitting");
@@ -89,28 +89,30 @@
 
 #[test]
 fn refused_then_run() {
-    // The service refuses a booking before running it. That is proof, so it is tried again at once.
+    // The service refuses a booking before it runs. It is then certain that it did not run, so it
+    // is retried at once.
     let rig = rig();
     rig.services["s1"].set_faults(ServiceFaults { refuse: 2, ..Default::default() });
-    let told = send(&rig, "d1", Some("k"), "fitting");
-    assert_eq!((told.status, told.verdict.as_str()), (200, "ran"), "{}", told.body);
+    let reply = send(&rig, "d1", Some("k"), "fitting");
+    assert_eq!((reply.status, reply.verdict.as_str()), (200, "ran"), "{}", reply.body);
     assert_eq!(runs(&rig, "fitting"), 1);
 }
 
 #[test]
 fn unkeyed_once() {
-    // A booking without a key: its answer is lost, and nobody may send it again for the caller.
+    // The answer of a booking without an idempotency key is lost. The daemon must not send it
+    // again.
     let rig = rig();
     rig.services["s1"].set_faults(ServiceFaults { lose: 1, ..Default::default() });
-    let told = send(&rig, "d1", None, "fitting");
-    assert_eq!((told.status, told.verdict.as_str()), (502, "may-have-run"));
+    let reply = send(&rig, "d1", None, "fitting");
+    assert_eq!((reply.status, reply.verdict.as_str()), (502, "may-have-run"));
     assert_eq!(runs(&rig, "fitting"), 1);
 }
 
 #[test]
 fn replayed_answer() {
     // The daemon that ran a booking dies. A repeat through another daemon gets the same answer,
-    // which was small enough to stand in the log.
+    // which was small enough to be stored in the log.
     let mut rig = rig();
     let first = send(&rig, "d1", Some("k"), "fitting");
     assert_eq!(first.status, 200);
@@ -126,8 +128,8 @@
 
 #[test]
 fn claimant_died() {
-    // The daemon that claimed a booking dies while it runs. A repeat through another daemon is told
-    // that it may have run, and does not run it.
+    // The daemon that claimed a booking dies while it runs. A repeat through another daemon must
+    // not get the verdict that it did not run, and must not run it again.
     let mut rig = rig();
     rig.services["s1"].set_faults(ServiceFaults { slow_ms: 250, ..Default::default() });
     let url = rig.url("d1", CONFIRM);
@@ -138,7 +140,7 @@
             .with_timeout(5)
             .send()
     });
-    wait_for("the run", || runs(&rig, "fitting") == 1);
+    wait_for("the booking to run", || runs(&rig, "fitting") == 1);
     rig.daemons.remove("d1").unwrap().abort();
     let repeat = send(&rig, "d2", Some("k"), "fitting");
     assert_ne!(repeat.verdict, "did-not-run");
@@ -148,26 +150,27 @@
 
 #[test]
 fn log_outage() {
-    // The log is down. A booking with a key is refused at once with a time to come back, nothing is
-    // sent, and the repeat after the outage runs it once.
+    // The log is down. A booking with a key is refused at once with a Retry-After header and not
+    // sent to the service. The repeat after the outage runs it once.
     let rig = rig();
     rig.log.set_faults(LogFaults { down: true, ..Default::default() });
-    let told = send_once(&rig, "d1", Some("k"), "fitting");
-    assert_eq!((told.status, told.verdict.as_str()), (503, "may-have-run"));
-    assert!(told.retry.is_some());
+    let reply = send_once(&rig, "d1", Some("k"), "fitting");
+    assert_eq!((reply.status, reply.verdict.as_str()), (503, "may-have-run"));
+    assert!(reply.retry_after.is_some());
     assert_eq!(runs(&rig, "fitting"), 0);
     rig.log.set_faults(LogFaults::default());
-    wait_for("the log", || send(&rig, "d2", Some("k"), "fitting").status == 200);
+    wait_for("a served booking", || send(&rig, "d2", Some("k"), "fitting").status == 200);
     assert_eq!(runs(&rig, "fitting"), 1);
 }
 
 #[test]
 fn append_lost() {
-    // The log takes a claim and its answer is lost. The append is sent again; the booking runs once.
+    // The log appends a claim, but its answer is lost. The append is sent again; the booking runs
+    // once.
     let rig = rig();
     rig.log.set_faults(LogFaults { lose: 3, ..Default::default() });
-    let told = send(&rig, "d1", Some("k"), "fitting");
-    assert_eq!(told.status, 200, "{}", told.body);
+    let reply = send(&rig, "d1", Some("k"), "fitting");
+    assert_eq!(reply.status, 200, "{}", reply.body);
     assert_eq!(send(&rig, "d2", Some("k"), "fitting").status, 200);
     assert_eq!(runs(&rig, "fitting"), 1);
 }
@@ -192,17 +195,17 @@
 
 #[test]
 fn service_leaves() {
-    // The service's host is being taken away and says so; the host list does not show it yet. New
-    // work is refused truthfully and goes there no more.
+    // The service reports that its host is being removed, which the host list does not show yet.
+    // New requests are refused with the verdict that they did not run, and none runs.
     let rig = rig();
     rig.services["s1"].set_faults(ServiceFaults { leaving: true, ..Default::default() });
-    let told = minreq::post(rig.url("d1", CONFIRM))
+    let reply = minreq::post(rig.url("d1", CONFIRM))
         .with_header("X-Deadline-Ms", "400")
         .with_body("fitting")
         .with_timeout(30)
         .send()
         .unwrap();
-    assert_eq!(told.status_code, 503);
-    assert_eq!(told.header("x-request-verdict"), Some("did-not-run"));
+    assert_eq!(reply.status_code, 503);
+    assert_eq!(reply.header("x-request-verdict"), Some("did-not-run"));
     assert_eq!(runs(&rig, "fitting"), 0);
 }
