--- a/lib/testutils/src/store_standin.rs
+++ b/lib/testutils/src/store_standin.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the weight store, which limits the fetches that start per second and slows down
-//! all fetches if more than [`FULL_SPEED_FETCHES`] run concurrently.
+//! Stand-in for the weight store, which limits the fetches that start per second and slows down all
+//! fetches if too many run concurrently.
 
 use std::io;
 use std::net::TcpStream;
