--- a/cli/src/daemon.rs
+++ b/cli/src/daemon.rs
@@ -24,12 +24,12 @@
 use signal_hook::consts::SIGTERM;
 use signal_hook::iterator::Signals;
 
-/// Exit code of wrong settings.
+/// Exit code for invalid settings.
 const EXIT_USAGE: u8 = 2;
-/// Exit code of a stop that had to cut requests.
-const EXIT_CUT: u8 = 3;
-/// Time between looks at the operators' order to drain.
-const LOOK: Duration = Duration::from_millis(100);
+/// Exit code of a shutdown that aborted requests in progress.
+const EXIT_ABORTED: u8 = 3;
+/// Interval between checks for a signal or an operator's drain request.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl FlagSource for Comfreymuxd {
     fn text(&self, flag: &str) -> Option<String> {
@@ -69,7 +69,7 @@
     };
     match run(settings) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(EXIT_CUT),
+        Ok(false) => ExitCode::from(EXIT_ABORTED),
         Err(report) => {
             eprintln!("{report:?}");
             ExitCode::FAILURE
@@ -77,7 +77,7 @@
     }
 }
 
-/// Runs until a signal or an operator's order; returns whether no request was cut.
+/// Runs until a signal or an operator's drain request; returns `true` if no request was aborted.
 fn run(settings: Settings) -> miette::Result<bool> {
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|e| miette::miette!("no signals: {e}"))?;
@@ -92,7 +92,7 @@
     let daemon =
         Daemon::start(settings, incarnation_now(), sockets, &clients, backend_client, log)?;
     while signals.pending().next().is_none() && !daemon.node().is_stopping() {
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(daemon.stop())
 }
--- a/cli/src/entry.rs
+++ b/cli/src/entry.rs
@@ -15,7 +15,7 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// Exit code of wrong settings.
+/// Exit code for invalid settings.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -28,13 +28,13 @@
 use miette::WrapErr;
 use serde_json::json;
 
-/// Exit code of a conflict, a refusal or a broken promise.
+/// Exit code for a conflict, a refusal or a violated guarantee.
 const EXIT_REFUSED: u8 = 1;
-/// Exit code of a daemon that does not answer.
+/// Exit code for an unreachable daemon.
 const EXIT_UNREACHABLE: u8 = 3;
-/// Idle prices that are tried where none are given.
+/// Idle prices compared if `--prices` is not given.
 const DEFAULT_PRICES: &str = "10,40,160,640";
-/// Daemon that is asked where no other is named.
+/// Daemon address if neither `--daemon` nor `COMFREYMUX_DAEMON` is set.
 const DEFAULT_DAEMON: &str = "http://127.0.0.1:8080";
 
 fn main() -> ExitCode {
--- a/cli/src/show.rs
+++ b/cli/src/show.rs
@@ -1,9 +1,9 @@
-//! Printing for people.
+//! Output of the command line: JSON for scripts or text.
 
 use comfreymux_lib::table::RowChange;
 use serde_json::Value;
 
-/// Prints a value as JSON, or by `text` for a person.
+/// Prints a value as JSON if `json` is set, otherwise with `text`.
 pub(crate) fn value(json: bool, value: &Value, text: impl FnOnce(&Value)) {
     if json {
         println!("{value}");
@@ -12,7 +12,7 @@
     }
 }
 
-fn word(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
@@ -20,27 +20,27 @@
 pub(crate) fn status(value: &Value) {
     println!(
         "daemon {} in {}, log {} at offset {}, {} requests in progress",
-        word(&value["daemon"]),
-        word(&value["centre"]),
+        plain_text(&value["daemon"]),
+        plain_text(&value["centre"]),
         if value["log_up"] == true { "up" } else { "down" },
         value["offset"],
         value["active"],
     );
     for (centre, lease) in value["leases"].as_object().into_iter().flatten() {
-        println!("lease {centre}: {} fence={}", word(&lease["daemon"]), lease["fence"]);
+        println!("lease {centre}: {} fence={}", plain_text(&lease["daemon"]), lease["fence"]);
     }
     for slot in value["slots"].as_array().into_iter().flatten() {
         println!(
             "slot {:>10} {:<20} {:<16} {} MiB {}",
             slot["slot"],
-            word(&slot["model"]),
-            word(&slot["server"]),
+            plain_text(&slot["model"]),
+            plain_text(&slot["server"]),
             slot["memory_mib"],
-            word(&slot["phase"]),
+            plain_text(&slot["phase"]),
         );
     }
     for waiting in value["waiting"].as_array().into_iter().flatten() {
-        println!("waiting {}: {}", word(&waiting["model"]), waiting["count"]);
+        println!("waiting {}: {}", plain_text(&waiting["model"]), waiting["count"]);
     }
 }
 
@@ -50,10 +50,10 @@
         println!(
             "{:>10.3}s {:<8} {} {} {}",
             line["at"].as_f64().unwrap_or_default(),
-            word(&line["action"]),
-            word(&line["model"]),
-            word(&line["place"]),
-            word(&line["reason"]),
+            plain_text(&line["action"]),
+            plain_text(&line["model"]),
+            plain_text(&line["place"]),
+            plain_text(&line["reason"]),
         );
     }
 }
@@ -68,14 +68,14 @@
         println!(
             "{:>10} {} by {}: {} rows, {outcome}",
             edit["position"],
-            word(&edit["id"]),
-            word(&edit["author"]),
+            plain_text(&edit["id"]),
+            plain_text(&edit["author"]),
             edit["rows"].as_array().map_or(0, Vec::len),
         );
     }
 }
 
-/// Prints row changes.
+/// Prints the changes that applying a CSV file would make.
 pub(crate) fn changes(changes: &[RowChange]) {
     if changes.is_empty() {
         println!("nothing would change");
