--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that use their connections for as long as these live, and what they saw.
+//! Callers that send requests over persistent connections, check the responses and record the results.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -19,17 +19,17 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-/// Events of a whole stream of the stand-ins.
+/// Number of events in a complete stream of a stand-in server.
 pub const EVENTS: u64 = 10;
-/// Time that callers wait.
+/// Deadline that callers send with each request.
 const DEADLINE: Duration = Duration::from_secs(4);
-/// After the deadline an answer of the daemon's own is due within this time.
-const LATE: Duration = Duration::from_secs(2);
-/// Statuses that promise that a request has not run and will not.
-const UNRUN: [u16; 4] = [408, 421, 429, 503];
+/// After the deadline, a daemon must send its own response within this time.
+const RESPONSE_MARGIN: Duration = Duration::from_secs(2);
+/// Statuses that guarantee that a request has not run and will not run.
+const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// The status of a request that may have run and has no answer.
-const IN_DOUBT: u16 = 502;
+/// Status of a request that may have run and for which no server's response is available.
+const UNKNOWN_OUTCOME: u16 = 502;
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -38,7 +38,7 @@
     Book,
     /// May run again.
     Look,
-    /// A stream that may go on elsewhere.
+    /// A stream that another server may resume.
     Draft,
     /// A stream that must not run twice.
     Note,
@@ -54,40 +54,45 @@
         }
     }
 
-    /// Returns whether it may run once at most.
+    /// Returns whether a request of this kind must run at most once.
     pub fn is_single(self) -> bool {
         matches!(self, Self::Book | Self::Note)
     }
 }
 
-/// What callers saw.
+/// Results that all callers of a soak record.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Attempts by kind, in order.
-    pub asked: RefCell<Vec<(String, Kind)>>,
-    /// Attempts that were told they did not run.
-    pub unrun: RefCell<Vec<String>>,
-    /// Broken promises.
+pub struct CallerRecord {
+    /// All attempts with their kind, in the order sent.
+    pub attempts: RefCell<Vec<(String, Kind)>>,
+    /// Attempts whose response status guarantees that they did not run.
+    pub not_run: RefCell<Vec<String>>,
+    /// Violated guarantees.
     pub faults: RefCell<Vec<String>>,
-    /// Good answers and all answers since the counts were reset.
-    pub good: Cell<(u64, u64)>,
-    /// Whether nothing but planned stops happens.
-    pub calm: Cell<bool>,
-    /// Attempts that ended meanwhile with a closed connection and no answer.
-    pub cut: RefCell<Vec<String>>,
-    /// Whether troubles are over.
-    pub troubles_over: Cell<bool>,
-    /// Whether callers stop.
-    pub over: Cell<bool>,
+    /// Good responses and all responses since the counts were reset; a missing response counts as not good.
+    pub responses: Cell<(u64, u64)>,
+    /// Whether graceful stops are the only fault injected now.
+    pub only_stops: Cell<bool>,
+    /// Attempts during `only_stops` whose connection closed without a response.
+    pub unanswered: RefCell<Vec<String>>,
+    /// Whether fault injection has ended.
+    pub faults_over: Cell<bool>,
+    /// Whether callers must stop sending.
+    pub stopped: Cell<bool>,
 }
 
-/// Asks on and on; `number` tells callers apart.
-pub async fn ask_on(seen: Rc<Seen>, fronts: Vec<SocketAddr>, course: u64, number: usize) {
+/// Sends requests one after another until the soak ends. `number` identifies the caller.
+pub async fn send_requests(
+    seen: Rc<CallerRecord>,
+    fronts: Vec<SocketAddr>,
+    course: u64,
+    number: usize,
+) {
     let mut rng = ChaCha8Rng::seed_from_u64(course ^ ((number as u64) << 32));
     let mut open: Option<Wire> = None;
     let mut count = 0;
     let mut front = fronts[number % fronts.len()];
-    while !seen.over.get() {
+    while !seen.stopped.get() {
         count += 1;
         let kind = [Kind::Book, Kind::Look, Kind::Draft, Kind::Note][rng.random_range(0..4)];
         let attempt = format!("c{number}-{count}");
@@ -96,11 +101,11 @@
         if matches!(kind, Kind::Draft | Kind::Note) {
             ask.model = Some(MODELS[rng.random_range(0..MODELS.len())].to_owned());
         }
-        seen.asked.borrow_mut().push((attempt.clone(), kind));
+        seen.attempts.borrow_mut().push((attempt.clone(), kind));
         let began = Instant::now();
-        let was_calm = seen.calm.get();
+        let had_only_stops = seen.only_stops.get();
         let leaves = rng.random_bool(0.05);
-        let limit = if leaves { Duration::from_millis(30) } else { DEADLINE + LATE };
+        let limit = if leaves { Duration::from_millis(30) } else { DEADLINE + RESPONSE_MARGIN };
         let exchange = async {
             let mut wire = match open.take() {
                 Some(mut wire) => {
@@ -116,8 +121,8 @@
         };
         match timeout(limit, exchange).await {
             Ok(Some((wire, answer))) => {
-                judge(&seen, &attempt, kind, &answer);
-                if was_calm && seen.calm.get() && answer.status() == IN_DOUBT {
+                check_response(&seen, &attempt, kind, &answer);
+                if had_only_stops && seen.only_stops.get() && answer.status() == UNKNOWN_OUTCOME {
                     let fault = format!("{attempt} {kind:?} was left in doubt by a planned stop");
                     seen.faults.borrow_mut().push(fault);
                 }
@@ -125,22 +130,24 @@
                     open = Some(wire);
                 }
             }
-            // Closed without an answer: the daemon was killed, or the request crossed its stop.
+            // Closed without a response: the daemon was killed, or it closed the connection in its stop just as the
+            // request was sent.
             Ok(None) => {
-                if was_calm && seen.calm.get() {
-                    seen.cut.borrow_mut().push(attempt);
+                if had_only_stops && seen.only_stops.get() {
+                    seen.unanswered.borrow_mut().push(attempt);
                 }
-                count_answer(&seen, false);
+                count_response(&seen, false);
                 front = fronts[rng.random_range(0..fronts.len())];
                 sleep(Duration::from_millis(50)).await;
             }
             Err(_elapsed) if leaves => {}
             Err(_elapsed) => {
-                // A paused or silent host answers nobody; it shows in the recovery, not here.
-                count_answer(&seen, false);
+                // A paused or unresponsive host sends no response. This is no fault here; the success ratio after
+                // the recovery shows it.
+                count_response(&seen, false);
                 front = fronts[rng.random_range(0..fronts.len())];
                 let waited = began.elapsed();
-                if waited > DEADLINE + LATE * 2 {
+                if waited > DEADLINE + RESPONSE_MARGIN * 2 {
                     seen.faults.borrow_mut().push(format!("{attempt} waited {waited:?}"));
                 }
             }
@@ -149,49 +156,54 @@
     }
 }
 
-/// Sends requests that crash servers, each again and again at any daemon, until troubles are over.
-pub async fn ask_fatal(seen: Rc<Seen>, fronts: Vec<SocketAddr>, bodies: Vec<Vec<u8>>, course: u64) {
+/// Sends the requests that crash servers repeatedly to random daemons until fault injection ends.
+pub async fn send_fatal_requests(
+    seen: Rc<CallerRecord>,
+    fronts: Vec<SocketAddr>,
+    bodies: Vec<Vec<u8>>,
+    course: u64,
+) {
     let mut rng = ChaCha8Rng::seed_from_u64(course.rotate_left(16));
     let mut count = 0;
-    while !seen.troubles_over.get() {
+    while !seen.faults_over.get() {
         count += 1;
         let which = rng.random_range(0..bodies.len());
         let kind = [Kind::Draft, Kind::Note, Kind::Look][which % 3];
         let attempt = format!("f{count}");
         let mut ask = Ask::model(&attempt, kind.path(), MODELS[0]);
         ask.body.clone_from(&bodies[which]);
-        seen.asked.borrow_mut().push((attempt.clone(), kind));
+        seen.attempts.borrow_mut().push((attempt.clone(), kind));
         let front = fronts[rng.random_range(0..fronts.len())];
         let seen = Rc::clone(&seen);
         spawn_local(async move {
-            if let Ok(Ok(answer)) = timeout(DEADLINE + LATE, ask.get(front)).await
-                && UNRUN.contains(&answer.status())
+            if let Ok(Ok(answer)) = timeout(DEADLINE + RESPONSE_MARGIN, ask.get(front)).await
+                && NOT_RUN.contains(&answer.status())
             {
-                seen.unrun.borrow_mut().push(attempt);
+                seen.not_run.borrow_mut().push(attempt);
             }
         });
         sleep(Duration::from_millis(rng.random_range(100..700))).await;
     }
 }
 
-fn count_answer(seen: &Seen, good: bool) {
-    let (had, all) = seen.good.get();
-    seen.good.set((had + u64::from(good), all + 1));
+fn count_response(seen: &CallerRecord, good: bool) {
+    let (had, all) = seen.responses.get();
+    seen.responses.set((had + u64::from(good), all + 1));
 }
 
-fn judge(seen: &Seen, attempt: &str, kind: Kind, answer: &Message) {
+fn check_response(seen: &CallerRecord, attempt: &str, kind: Kind, answer: &Message) {
     let fault = |text: &str| {
         let line = &answer.line;
         seen.faults.borrow_mut().push(format!("{attempt} {kind:?} {line}: {text}"));
     };
     let status = answer.status();
-    if UNRUN.contains(&status) {
-        seen.unrun.borrow_mut().push(attempt.to_owned());
+    if NOT_RUN.contains(&status) {
+        seen.not_run.borrow_mut().push(attempt.to_owned());
         if status == 503 && answer.header("retry-after").is_empty() {
             fault("a refusal without a time to come back");
         }
     }
-    count_answer(seen, status == 200 && answer.whole);
+    count_response(seen, status == 200 && answer.whole);
     if status == 404 {
         fault("a route that every version has");
     }
--- a/soak/src/calm_stop.rs
+++ b/soak/src/calm_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops without other troubles, beside slow servers.
+//! Graceful stops of every daemon while servers are slow and no other fault is injected.
 
 use std::io;
 use std::rc::Rc;
@@ -7,43 +7,44 @@
 use rustix::process::Signal;
 use tokio::time::sleep;
 
-use crate::callers::Seen;
+use crate::callers::CallerRecord;
 use crate::world::World;
 
-/// Time of a plain server for a request: less than a daemon waits before it asks another, more than a
-/// stop has left at its end.
-const WORK: Duration = Duration::from_millis(1500);
-/// Time in which callers have such requests under way, before and after the stops.
-const AROUND: Duration = Duration::from_millis(2500);
-/// Time between two stops.
-const GAP: Duration = Duration::from_millis(300);
-/// Time between looks at the daemons.
-const LOOK: Duration = Duration::from_millis(50);
+/// Time that a plain server takes for a request: shorter than a daemon waits before it fails over, longer
+/// than the time left at the end of a graceful stop.
+const SERVICE_TIME: Duration = Duration::from_millis(1500);
+/// Time with such requests in progress before the first stop and after the last.
+const MARGIN_TIME: Duration = Duration::from_millis(2500);
+/// Interval between stops of two daemons.
+const STOP_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval between checks of the daemons.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Stops each daemon while its callers go on, and waits until others run in their place.
+/// Stops each daemon while callers keep sending, and waits until all have been restarted.
 ///
-/// Nothing else happens meanwhile, so that no request which a server ran may go without an answer, and
-/// no caller may be left in doubt.
+/// No other fault is active, so every request that a server ran must get a response, and no caller may
+/// get the status for an unknown outcome.
 ///
 /// # Errors
 ///
-/// A program cannot be started.
-pub async fn stop_each(world: &Rc<World>, seen: &Seen) -> io::Result<()> {
-    let slow = |work| world.servers.borrow().iter().for_each(|server| server.work.set(work));
+/// A daemon's program cannot be started.
+pub async fn stop_each(world: &Rc<World>, seen: &CallerRecord) -> io::Result<()> {
+    let set_service_time =
+        |work| world.servers.borrow().iter().for_each(|server| server.work.set(work));
     world.note("calm stops");
-    slow(WORK);
-    sleep(AROUND).await;
-    seen.calm.set(true);
+    set_service_time(SERVICE_TIME);
+    sleep(MARGIN_TIME).await;
+    seen.only_stops.set(true);
     for daemon in 0..world.daemons.len() {
         world.signal(daemon, Signal::TERM);
-        sleep(GAP).await;
+        sleep(STOP_INTERVAL).await;
     }
     while world.daemons.iter().any(|d| d.borrow().is_stopping()) {
-        world.tend()?;
-        sleep(LOOK).await;
+        world.restart_exited()?;
+        sleep(POLL_INTERVAL).await;
     }
-    sleep(AROUND).await;
-    seen.calm.set(false);
-    slow(Duration::ZERO);
+    sleep(MARGIN_TIME).await;
+    seen.only_stops.set(false);
+    set_service_time(Duration::ZERO);
     Ok(())
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `comfreymux-soak`: real daemons under random troubles, their promises checked from outside.
+//! `comfreymux-soak`: runs real daemons under random faults and checks their guarantees from outside.
 
 mod callers;
 mod calm_stop;
@@ -26,21 +26,21 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::callers::Seen;
+use crate::callers::CallerRecord;
 use crate::flags::ComfreymuxSoak;
 use crate::world::Size;
 use crate::world::World;
 
-/// Callers for each daemon.
-const CALLERS: usize = 4;
-/// Time without troubles in which service must come back.
-const RECOVERY: Duration = Duration::from_secs(8);
-/// Requests that crash servers.
-const FATAL: usize = 3;
-/// Servers that such a request may crash before daemons that hear of each other send it to none.
-const CRASHES: usize = 3;
-/// Part of the answers that must be good after the recovery.
-const GOOD_PART: f64 = 0.9;
+/// Callers per daemon.
+const CALLERS_PER_DAEMON: usize = 4;
+/// Time without faults within which service must recover.
+const RECOVERY_TIME: Duration = Duration::from_secs(8);
+/// Number of distinct requests that crash servers.
+const FATAL_REQUESTS: usize = 3;
+/// Servers that such a request may crash before daemons that receive each other's reports quarantine it.
+const CRASHES_PER_DAEMON: usize = 3;
+/// Fraction of responses that must be good after the recovery.
+const MIN_GOOD_RATIO: f64 = 0.9;
 
 fn main() -> ExitCode {
     let flags = ComfreymuxSoak::from_env_or_exit();
@@ -55,7 +55,7 @@
         match rig::run(soak(size, seed, time, flags.fatal, &flags.program, &folder)) {
             Ok((faults, summary)) if faults.is_empty() => {
                 println!("seed {seed}: kept; {summary}");
-                // Logs of a good run are not needed.
+                // Logs are kept only for failed seeds.
                 let _removed = fs::remove_dir_all(&folder);
             }
             Ok((faults, summary)) => {
@@ -84,17 +84,22 @@
 ) -> io::Result<(Vec<String>, String)> {
     fs::create_dir_all(folder)?;
     let world = World::start(size, seed, program, folder).await?;
-    let outcome = Rc::new(Seen::default());
+    let outcome = Rc::new(CallerRecord::default());
     sleep(Duration::from_millis(1500)).await;
     let fronts: Vec<_> = world.front_proxies.iter().map(|p| p.addr).collect();
-    for number in 0..size.daemons * CALLERS {
-        spawn_local(callers::ask_on(Rc::clone(&outcome), fronts.clone(), seed, number));
+    for number in 0..size.daemons * CALLERS_PER_DAEMON {
+        spawn_local(callers::send_requests(Rc::clone(&outcome), fronts.clone(), seed, number));
     }
     if is_fatal {
-        let bodies = (0..FATAL).map(|n| format!("fatal {n}").into_bytes());
+        let bodies = (0..FATAL_REQUESTS).map(|n| format!("fatal {n}").into_bytes());
         world.fatal.borrow_mut().extend(bodies);
         let bodies = world.fatal.borrow().clone();
-        spawn_local(callers::ask_fatal(Rc::clone(&outcome), fronts.clone(), bodies, seed));
+        spawn_local(callers::send_fatal_requests(
+            Rc::clone(&outcome),
+            fronts.clone(),
+            bodies,
+            seed,
+        ));
     }
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut broken = ChaCha8Rng::seed_from_u64(!seed);
@@ -102,38 +107,38 @@
     let mut again = ChaCha8Rng::seed_from_u64(!seed.rotate_left(32));
     let began = Instant::now();
     while began.elapsed() < time {
-        plan::strike(&world, &mut rng).await;
-        plan::sprinkle(&world, &mut broken);
-        plan::litter(&world, &mut foreign);
+        plan::inject_fault(&world, &mut rng).await;
+        plan::inject_bad_responses(&world, &mut broken);
+        plan::inject_foreign_record(&world, &mut foreign);
         plan::restart(&world, &mut again).await;
         let pause = Duration::from_millis(rng.random_range(50..1200));
         let next = Instant::now() + pause;
         while Instant::now() < next {
-            world.tend()?;
-            world.revive().await;
+            world.restart_exited()?;
+            world.restart_crashed().await;
             sleep(Duration::from_millis(50)).await;
         }
     }
     recover(&world, &outcome).await?;
-    let (good, all) = outcome.good.get();
+    let (good, all) = outcome.responses.get();
     calm_stop::stop_each(&world, &outcome).await?;
-    outcome.over.set(true);
+    outcome.stopped.set(true);
     sleep(Duration::from_millis(200)).await;
     let mut faults = check(&world, &outcome);
-    if (good as f64) < GOOD_PART * all as f64 || all == 0 {
+    if (good as f64) < MIN_GOOD_RATIO * all as f64 || all == 0 {
         faults.push(format!("after the recovery {good} of {all} answers are good"));
     }
-    let asked = outcome.asked.borrow().len();
+    let attempts = outcome.attempts.borrow().len();
     let crashes = crashes(&world);
     let summary =
-        format!("{asked} requests, {good} of {all} good after recovery, crashes {crashes:?}");
+        format!("{attempts} requests, {good} of {all} good after recovery, crashes {crashes:?}");
     Ok((faults, summary))
 }
 
-/// Ends all troubles and waits for service to come back.
-async fn recover(world: &Rc<World>, seen: &Seen) -> io::Result<()> {
+/// Ends all faults, waits for service to recover and then counts responses for as long again.
+async fn recover(world: &Rc<World>, seen: &CallerRecord) -> io::Result<()> {
     world.note("troubles end");
-    seen.troubles_over.set(true);
+    seen.faults_over.set(true);
     for daemon in 0..world.daemons.len() {
         world.rewrite_settings(daemon, true);
         world.signal(daemon, Signal::CONT);
@@ -142,11 +147,11 @@
         server.script.borrow_mut().clear();
     }
     let began = Instant::now();
-    while began.elapsed() < RECOVERY * 2 {
-        world.tend()?;
-        world.revive().await;
-        if began.elapsed() < RECOVERY {
-            seen.good.set((0, 0));
+    while began.elapsed() < RECOVERY_TIME * 2 {
+        world.restart_exited()?;
+        world.restart_crashed().await;
+        if began.elapsed() < RECOVERY_TIME {
+            seen.responses.set((0, 0));
         }
         sleep(Duration::from_millis(50)).await;
     }
@@ -163,14 +168,14 @@
     world.fatal.borrow().iter().map(count).collect()
 }
 
-/// Compares what callers and servers saw with what was promised.
-fn check(world: &World, seen: &Seen) -> Vec<String> {
+/// Returns the violated guarantees, from the records of callers, servers, engines and daemons.
+fn check(world: &World, seen: &CallerRecord) -> Vec<String> {
     let mut faults = seen.faults.borrow().clone();
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for run in world.runs.borrow().iter() {
         *runs.entry(run.attempt.clone()).or_default() += 1;
     }
-    let kinds: BTreeMap<String, callers::Kind> = seen.asked.borrow().iter().cloned().collect();
+    let kinds: BTreeMap<String, callers::Kind> = seen.attempts.borrow().iter().cloned().collect();
     for (attempt, count) in &runs {
         match kinds.get(attempt) {
             None => faults.push(format!("{attempt} ran, but no caller sent it")),
@@ -180,25 +185,25 @@
             Some(_) => {}
         }
     }
-    for attempt in seen.unrun.borrow().iter() {
+    for attempt in seen.not_run.borrow().iter() {
         let is_single = kinds.get(attempt).is_some_and(|k| k.is_single());
         if is_single && runs.contains_key(attempt) {
             faults.push(format!("{attempt} was told that it did not run, but it did"));
         }
     }
-    for attempt in seen.cut.borrow().iter().filter(|a| runs.contains_key(*a)) {
+    for attempt in seen.unanswered.borrow().iter().filter(|a| runs.contains_key(*a)) {
         let kind = kinds.get(attempt);
         faults
             .push(format!("{attempt} {kind:?} ran, and a planned stop left it without an answer"));
     }
-    // As many as if each daemon had learned of it alone, as those do that are cut off from each other and the store.
-    let most = CRASHES * world.daemons.len();
+    // Daemons that are cut off from each other and the store each detect the crashes alone.
+    let most = CRASHES_PER_DAEMON * world.daemons.len();
     let too_many = crashes(world).into_iter().filter(|count| *count > most);
     faults.extend(too_many.map(|count| format!("a request crashed {count} servers")));
     let mut holders: BTreeMap<u64, String> = BTreeMap::new();
     let servers = world.servers.borrow();
-    let gone = world.gone.borrow();
-    for server in servers.iter().chain(gone.iter()) {
+    let removed = world.removed.borrow();
+    for server in servers.iter().chain(removed.iter()) {
         let Some(engine) = &server.engine else { continue };
         let engine = engine.borrow();
         faults.extend(engine.faults.iter().map(|f| format!("{}: {f}", server.id)));
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! A seeded course of troubles.
+//! A seeded sequence of injected faults.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::proxy::Harm;
+use crate::proxy::NetworkFault;
 use crate::world::World;
 
-/// Kinds of trouble, each as likely.
-const KINDS: u32 = 14;
+/// Number of fault kinds, all equally likely.
+const FAULT_KINDS: u32 = 14;
 
-const BROKEN: [Behaviour; 9] = [
+const BAD_BEHAVIOURS: [Behaviour; 9] = [
     Behaviour::RefuseUnrun,
     Behaviour::Fail,
     Behaviour::LoseAnswer,
@@ -31,24 +31,25 @@
     Behaviour::RepeatEvent,
 ];
 
-/// Broken answers that a server gives after each trouble.
-const SPRINKLE: usize = 8;
+/// Bad responses scripted on one server with each injected fault.
+const BAD_RESPONSES: usize = 8;
 
-/// Makes one server break some of its next answers, whatever else happens.
+/// Makes one server misbehave in some of its next responses, in addition to other faults.
 ///
-/// It draws from a course of its own, so that the troubles of a seed stay what they were.
-pub fn sprinkle(world: &World, rng: &mut ChaCha8Rng) {
+/// Uses a random generator of its own, so that a seed's sequence of faults does not change.
+pub fn inject_bad_responses(world: &World, rng: &mut ChaCha8Rng) {
     let servers = world.servers.borrow();
     let server = &servers[rng.random_range(0..servers.len())];
-    let broken = (0..SPRINKLE).map(|_| BROKEN[rng.random_range(0..BROKEN.len())]);
+    let broken =
+        (0..BAD_RESPONSES).map(|_| BAD_BEHAVIOURS[rng.random_range(0..BAD_BEHAVIOURS.len())]);
     server.script.borrow_mut().extend(broken);
 }
 
-/// Leaves a record of another writer in one of the store's topics, over a record that counts or beside.
-/// The configuration itself stays: daemons that all start anew have it from nowhere else.
+/// Writes a record of a foreign writer to one of the store's topics, over a valid record or beside it.
+/// The configuration is never overwritten: if all daemons restart, the store is its only source.
 ///
-/// It draws from a course of its own, as broken answers do.
-pub fn litter(world: &World, rng: &mut ChaCha8Rng) {
+/// Uses a random generator of its own, as [`inject_bad_responses`] does.
+pub fn inject_foreign_record(world: &World, rng: &mut ChaCha8Rng) {
     let server = {
         let servers = world.servers.borrow();
         servers[rng.random_range(0..servers.len())].id.clone()
@@ -61,15 +62,15 @@
     world.store.put_raw(topic, key, value);
 }
 
-/// Part of the troubles beside which a server starts again under its id.
-const RESTARTS: f64 = 0.3;
+/// Probability that a server restarts under its id with an injected fault.
+const RESTART_PROBABILITY: f64 = 0.3;
 
-/// Lets a server start again under its id, now and then.
+/// Restarts a server under its id with probability [`RESTART_PROBABILITY`].
 ///
-/// It draws from a course of its own, as broken answers do.
+/// Uses a random generator of its own, as [`inject_bad_responses`] does.
 pub async fn restart(world: &World, rng: &mut ChaCha8Rng) {
     let server = rng.random_range(0..world.servers.borrow().len());
-    if rng.random_bool(RESTARTS) {
+    if rng.random_bool(RESTART_PROBABILITY) {
         world.note(&format!("restart server={server}"));
         world.restart(server).await;
     }
@@ -82,26 +83,26 @@
     });
 }
 
-/// Daemons from which on some read the store for others, as in the daemon's settings.
+/// Fleet size from which readers poll the store for the others, as in the daemon's settings.
 const LARGE_FLEET: usize = 37;
 
-/// The daemon that a draw stands for. In a large fleet every second one stands for one that reads for the others, so
-/// that these are killed, paused and cut off again and again, at times all at once.
+/// Returns the daemon that a random draw selects. In a large fleet every second draw selects a reader, so that
+/// readers are often killed, paused and cut off, at times all at once.
 fn target(world: &World, draw: usize) -> usize {
     if world.daemons.len() < LARGE_FLEET || !draw.is_multiple_of(2) {
         return draw;
     }
     let readers: Vec<usize> =
-        (0..world.daemons.len()).filter(|n| world.daemons[*n].borrow().reads()).collect();
+        (0..world.daemons.len()).filter(|n| world.daemons[*n].borrow().is_reader()).collect();
     if readers.is_empty() { draw } else { readers[draw / 2 % readers.len()] }
 }
 
-/// Begins one trouble; those that last end by themselves.
-pub async fn strike(world: &Rc<World>, rng: &mut ChaCha8Rng) {
+/// Injects one fault; a lasting one ends by itself.
+pub async fn inject_fault(world: &Rc<World>, rng: &mut ChaCha8Rng) {
     let time = Duration::from_millis(rng.random_range(300..4000));
     let daemon = target(world, rng.random_range(0..world.daemons.len()));
     let server = rng.random_range(0..world.servers.borrow().len());
-    let kind = rng.random_range(0..KINDS);
+    let kind = rng.random_range(0..FAULT_KINDS);
     world.note(&format!("kind={kind} daemon={daemon} server={server} for={time:?}"));
     match kind {
         0 => world.signal(daemon, Signal::KILL),
@@ -132,16 +133,16 @@
         }
         7 | 8 => {
             let proxies = if kind == 7 { &world.store_proxies } else { &world.front_proxies };
-            harm(&proxies[daemon], time, rng);
+            inject_network_fault(&proxies[daemon], time, rng);
         }
         9 => {
             let proxies = world.server_proxies.borrow();
-            harm(&proxies[server], time, rng);
+            inject_network_fault(&proxies[server], time, rng);
         }
         10 => world.crash(server).await,
         11 => world.leave(server).await,
         12 => {
-            let behaviour = BROKEN[rng.random_range(0..BROKEN.len())];
+            let behaviour = BAD_BEHAVIOURS[rng.random_range(0..BAD_BEHAVIOURS.len())];
             let servers = world.servers.borrow();
             servers[server].script.borrow_mut().extend([behaviour; 20]);
         }
@@ -152,14 +153,20 @@
     }
 }
 
-fn harm(proxy: &Rc<crate::proxy::Proxy>, time: Duration, rng: &mut ChaCha8Rng) {
-    let kinds = [Harm::Delay, Harm::OneWay, Harm::Silence, Harm::Refuse, Harm::None];
-    let harm = kinds[rng.random_range(0..kinds.len())];
-    if harm == Harm::None {
+fn inject_network_fault(proxy: &Rc<crate::proxy::Proxy>, time: Duration, rng: &mut ChaCha8Rng) {
+    let kinds = [
+        NetworkFault::Delay,
+        NetworkFault::OneWay,
+        NetworkFault::Stall,
+        NetworkFault::Refuse,
+        NetworkFault::None,
+    ];
+    let fault = kinds[rng.random_range(0..kinds.len())];
+    if fault == NetworkFault::None {
         proxy.reset();
         return;
     }
-    proxy.harm.set(harm);
+    proxy.fault.set(fault);
     let proxy = Rc::clone(proxy);
-    later(time, move || proxy.harm.set(Harm::None));
+    later(time, move || proxy.fault.set(NetworkFault::None));
 }
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! Daemons as separate processes, signalled and ended by their own ids only.
+//! Daemons as child processes, signalled and killed by process id only.
 
 use std::fs;
 use std::fs::File;
@@ -16,24 +16,24 @@
 use rustix::process::kill_process;
 use tokio::time::Instant;
 
-/// Longest time from SIGTERM to the end of a daemon.
+/// Longest time from SIGTERM to the exit of a daemon; `grace_s` in its settings.
 const GRACE: Duration = Duration::from_secs(8);
-/// Added to the grace for a busy machine.
+/// Added to [`GRACE`] for a busy machine.
 const GRACE_MARGIN: Duration = Duration::from_secs(2);
 
-/// A daemon and its files.
+/// A daemon process with its settings file and log.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Its name.
+    /// Name in the daemon's settings, also of its files.
     pub name: String,
     program: PathBuf,
     folder: PathBuf,
     settings: String,
     child: Option<Child>,
-    /// When SIGTERM was sent.
-    terminated: Option<Instant>,
+    /// When SIGTERM or SIGKILL was first sent.
+    terminated_at: Option<Instant>,
     paused: bool,
-    /// Ends that nobody asked for.
+    /// Unexpected exits, and stops that took too long.
     pub faults: Vec<String>,
 }
 
@@ -61,7 +61,7 @@
             folder: folder.to_owned(),
             settings,
             child: None,
-            terminated: None,
+            terminated_at: None,
             paused: false,
             faults: Vec::new(),
         }
@@ -71,11 +71,11 @@
         self.folder.join(format!("{}.toml", self.name))
     }
 
-    /// Writes the settings file, or nonsense in its place.
+    /// Writes the settings file, with invalid TOML unless `good`.
     ///
     /// # Errors
     ///
-    /// The folder cannot be written to.
+    /// The file cannot be written.
     pub fn write_settings(&self, good: bool) -> io::Result<()> {
         let text = if good { &self.settings } else { "node_name = [\n" };
         fs::write(self.settings_path(), text)
@@ -97,14 +97,14 @@
             .stderr(log)
             .spawn()?;
         self.child = Some(child);
-        self.terminated = None;
+        self.terminated_at = None;
         self.paused = false;
         Ok(())
     }
 
-    /// Returns whether it reads the store for others, as the last of its log's lines on that says.
-    pub fn reads(&self) -> bool {
-        // A log that cannot be read or is not written yet tells of no duty.
+    /// Returns whether the daemon is a reader, by the last line of its log that states its role.
+    pub fn is_reader(&self) -> bool {
+        // A log that is missing or cannot be read counts as no reader role.
         let log = fs::read(self.folder.join(format!("{}.log", self.name))).unwrap_or_default();
         let text = String::from_utf8_lossy(&log);
         text.lines()
@@ -113,16 +113,16 @@
             .is_some_and(|line| line.contains("reads=true"))
     }
 
-    /// Sends a signal.
+    /// Sends a signal, unless the process was never started.
     pub fn signal(&mut self, signal: Signal) {
         let Some(child) = &self.child else { return };
         let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
         let Some(pid) = pid else { return };
-        // The process may have ended just now; its end is found by the next look.
+        // The process may just have exited; `restart_exited` detects that.
         let _sent = kill_process(pid, signal);
         match signal {
             Signal::TERM | Signal::KILL => {
-                self.terminated.get_or_insert_with(Instant::now);
+                self.terminated_at.get_or_insert_with(Instant::now);
             }
             Signal::STOP => self.paused = true,
             Signal::CONT => self.paused = false,
@@ -130,27 +130,28 @@
         }
     }
 
-    /// Returns whether it was told to end and has not been started again.
+    /// Returns whether SIGTERM or SIGKILL was sent and the daemon has not been restarted since.
     pub fn is_stopping(&self) -> bool {
-        self.terminated.is_some()
+        self.terminated_at.is_some()
     }
 
-    /// Looks whether it ended, and starts it again; notes an end that nobody asked for.
+    /// Restarts the daemon if it has exited. Records a fault if the exit was unexpected, and kills a daemon
+    /// that is late to stop.
     ///
     /// # Errors
     ///
     /// The program cannot be started.
-    pub fn tend(&mut self) -> io::Result<()> {
+    pub fn restart_exited(&mut self) -> io::Result<()> {
         let Some(child) = &mut self.child else { return self.start() };
-        // Whether it ended comes before whether it is late: while a large fleet is stopped one by one, nobody looks for
-        // longer than a stop may take.
+        // Checked before lateness: while a large fleet is stopped one by one, the time between two calls can exceed
+        // the time that a stop may take.
         if let Some(status) = child.try_wait()? {
-            if self.terminated.is_none() {
+            if self.terminated_at.is_none() {
                 self.faults.push(format!("{} ended by itself: {status}", self.name));
             }
             return self.start();
         }
-        let late = self.terminated.is_some_and(|t| t.elapsed() > GRACE + GRACE_MARGIN);
+        let late = self.terminated_at.is_some_and(|t| t.elapsed() > GRACE + GRACE_MARGIN);
         if late && !self.paused {
             self.faults.push(format!("{} did not end after SIGTERM", self.name));
             self.signal(Signal::KILL);
@@ -162,7 +163,7 @@
 impl Drop for Daemon {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // Nothing to do where it has ended already.
+            // An error means that it has already exited.
             let _killed = child.kill();
             let _reaped = child.wait();
         }
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms the connections through it.
+//! A loopback TCP proxy that injects network faults.
 
 use std::cell::Cell;
 use std::io;
@@ -16,50 +16,50 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What the proxy does to its connections.
+/// The fault that a proxy injects into its connections.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Harm {
-    /// Passes bytes on.
+pub enum NetworkFault {
+    /// Forwards bytes unchanged.
     #[default]
     None,
-    /// Passes them on late.
+    /// Forwards bytes after a delay.
     Delay,
-    /// Passes nothing on towards the server.
+    /// Drops bytes to the server, forwards bytes to the caller.
     OneWay,
-    /// Passes nothing on; open connections stay silent for good, new ones wait.
-    Silence,
+    /// Drops all bytes. Connections that lost bytes never recover; new ones wait until the fault ends.
+    Stall,
     /// Closes new connections at once.
     Refuse,
 }
 
-/// Delay of [`Harm::Delay`] in each direction.
+/// Delay of [`NetworkFault::Delay`] in each direction.
 const DELAY: Duration = Duration::from_millis(150);
-/// Time between looks at whether a held connection may go on.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a waiting connection checks whether the fault has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A proxy before one address.
+/// A proxy in front of one address.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address that the proxy listens on.
     pub addr: SocketAddr,
-    /// What it does.
-    pub harm: Cell<Harm>,
+    /// The fault injected now.
+    pub fault: Cell<NetworkFault>,
     resets: Notify,
     closing: Notify,
     opening: Notify,
 }
 
 impl Proxy {
-    /// Starts before `target`.
+    /// Starts a proxy in front of `target`.
     ///
     /// # Errors
     ///
-    /// The system gives no port.
+    /// No port can be bound.
     pub async fn start(target: SocketAddr) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
         let (resets, closing, opening) = <_>::default();
-        let proxy = Rc::new(Self { addr, harm: Cell::default(), resets, closing, opening });
+        let proxy = Rc::new(Self { addr, fault: Cell::default(), resets, closing, opening });
         spawn_local(Rc::clone(&proxy).listen(listener, target));
         Ok(proxy)
     }
@@ -93,32 +93,32 @@
         }
     }
 
-    /// Refuses connections, as the host of a server that crashed does.
+    /// Refuses connections, as the host of a crashed server does.
     pub fn close(&self) {
         self.closing.notify_one();
     }
 
-    /// Takes connections again.
+    /// Accepts connections again after [`Self::close`].
     pub fn open(&self) {
         self.opening.notify_one();
     }
 
-    /// Ends all connections that are open.
+    /// Closes all open connections.
     pub fn reset(&self) {
         self.resets.notify_waiters();
     }
 
     async fn pass(self: Rc<Self>, caller: TcpStream, target: SocketAddr) -> io::Result<()> {
-        if self.harm.get() == Harm::Refuse {
+        if self.fault.get() == NetworkFault::Refuse {
             return Ok(());
         }
-        while self.harm.get() == Harm::Silence {
-            sleep(LOOK).await;
+        while self.fault.get() == NetworkFault::Stall {
+            sleep(POLL_INTERVAL).await;
         }
         let server = TcpStream::connect(target).await?;
         let (caller_in, caller_out) = caller.into_split();
         let (server_in, server_out) = server.into_split();
-        // Either end's close ends both directions, as a reset would.
+        // A close by either end closes both directions, as a reset would.
         tokio::select! {
             _ = self.copy(caller_in, server_out, true) => {}
             _ = self.copy(server_in, caller_out, false) => {}
@@ -130,23 +130,23 @@
         &self,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
-        towards: bool,
+        to_server: bool,
     ) -> io::Result<()> {
         let mut buffer = vec![0; 16 * 1024];
-        let mut dead = false;
+        let mut dropping = false;
         loop {
             let length = from.read(&mut buffer).await?;
             if length == 0 {
                 return Ok(());
             }
-            match self.harm.get() {
-                Harm::Delay => sleep(DELAY).await,
-                Harm::OneWay if towards => dead = true,
-                Harm::Silence => dead = true,
+            match self.fault.get() {
+                NetworkFault::Delay => sleep(DELAY).await,
+                NetworkFault::OneWay if to_server => dropping = true,
+                NetworkFault::Stall => dropping = true,
                 _ => {}
             }
-            // A connection that lost bytes can never go on as if nothing had happened.
-            if !dead {
+            // Once bytes were dropped, later ones must not be forwarded: the stream would have a gap.
+            if !dropping {
                 to.write_all(&buffer[..length]).await?;
             }
         }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -1,4 +1,4 @@
-//! Everything that one soak has: store, servers, proxies, daemons.
+//! The deployment that one soak runs: store, servers, proxies and daemons.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -27,59 +27,59 @@
 use crate::process::Daemon;
 use crate::proxy::Proxy;
 
-/// Time that a server goes on serving after its notice.
+/// Time that a server keeps serving after it has announced that it leaves.
 const LEAVE_TIME: Duration = Duration::from_secs(4);
-/// Time after which a server that crashed under a request starts again.
-const DOWN_TIME: Duration = Duration::from_millis(800);
-/// Time of a load in the soak.
-const LOAD: Duration = Duration::from_millis(300);
+/// Time after which a server that a request crashed is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(800);
+/// Time that an engine takes to load a model.
+const LOAD_TIME: Duration = Duration::from_millis(300);
 
-/// Sizes of a soak.
+/// Number of processes and servers in a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Servers of the plain service.
+    /// Number of servers of the plain service.
     pub plain: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
 }
 
-/// One soak.
+/// State of one soak.
 #[derive(Debug)]
 pub struct World {
-    /// The store.
+    /// Stand-in for the platform's store.
     pub store: Rc<StoreStandin>,
-    /// Servers that are listed.
+    /// Servers listed in the store.
     pub servers: RefCell<Vec<Rc<ServerStandin>>>,
-    /// The proxy before each of them.
+    /// The proxy in front of each server, in the order of `servers`.
     pub server_proxies: RefCell<Vec<Rc<Proxy>>>,
-    /// A proxy between each daemon and the store.
+    /// The proxy between each daemon and the store.
     pub store_proxies: Vec<Rc<Proxy>>,
-    /// A proxy between callers and each daemon.
+    /// The proxy between callers and each daemon.
     pub front_proxies: Vec<Rc<Proxy>>,
-    /// The daemons.
+    /// The daemon processes.
     pub daemons: Vec<RefCell<Daemon>>,
-    /// Runs of all servers.
+    /// Every request that a server started_at to run.
     pub runs: Runs,
-    /// Bodies of requests that crash every server that begins to run them.
+    /// Bodies of the requests that crash every server that begins to run them.
     pub fatal: Fatal,
-    /// Servers that crashed under a request, since when.
-    pub down: RefCell<BTreeMap<String, Instant>>,
-    /// Engines that are gone, for the checks at the end.
-    pub gone: RefCell<Vec<Rc<ServerStandin>>>,
+    /// When each server that a request crashed was found crashed, by server id.
+    pub crashed_since: RefCell<BTreeMap<String, Instant>>,
+    /// Servers that were removed or replaced; the checks at the end read the state of their engines.
+    pub removed: RefCell<Vec<Rc<ServerStandin>>>,
     version: Cell<u64>,
     number: Cell<u64>,
-    began: Instant,
+    started_at: Instant,
     notes: RefCell<File>,
 }
 
 impl World {
-    /// Starts all parts; daemons take addresses of their own from `seed`.
+    /// Starts all parts. `seed` selects the daemons' loopback addresses.
     ///
     /// # Errors
     ///
-    /// The system gives no ports, or a program cannot be started.
+    /// No port can be bound, a file cannot be written, or a daemon's program cannot be started.
     pub async fn start(
         size: Size,
         seed: u64,
@@ -115,11 +115,11 @@
             daemons,
             runs: Rc::default(),
             fatal: Rc::default(),
-            down: RefCell::default(),
-            gone: RefCell::default(),
+            crashed_since: RefCell::default(),
+            removed: RefCell::default(),
             version: Cell::new(1),
             number: Cell::new(0),
-            began: Instant::now(),
+            started_at: Instant::now(),
             notes: RefCell::new(File::create(folder.join("course.log"))?),
         });
         for _ in 0..size.plain {
@@ -134,10 +134,10 @@
         Ok(world)
     }
 
-    /// Writes a line of the soak's course.
+    /// Writes a line to the soak's log of events, with the milliseconds since its start.
     pub fn note(&self, text: &str) {
-        let at = self.began.elapsed().as_millis();
-        // The course is an aid; without it the soak still counts.
+        let at = self.started_at.elapsed().as_millis();
+        // The log of events is only an aid; a failed write does not invalidate the soak.
         let _written = writeln!(self.notes.borrow_mut(), "{at} {text}");
     }
 
@@ -146,7 +146,7 @@
         self.number.set(number + 1);
         let engine = is_engine.then(|| {
             let models = [["m0", "m1"], ["m0", "m2"], ["m3", "m4"]][number as usize % 3];
-            EngineState::new(&models, LOAD)
+            EngineState::new(&models, LOAD_TIME)
         });
         let service = if is_engine { "drafting" } else { "booking" };
         let id = format!("s{number}");
@@ -161,7 +161,7 @@
         Ok(())
     }
 
-    /// Lets a server's proxy refuse connections once the server has crashed.
+    /// Makes a server's proxy refuse connections once the server has crashed.
     fn close_at_crash(server: &Rc<ServerStandin>, proxy: &Rc<Proxy>) {
         let (server, proxy) = (Rc::clone(server), Rc::clone(proxy));
         spawn_local(async move {
@@ -170,41 +170,42 @@
         });
     }
 
-    /// Starts servers again that crashed under a request a while ago.
-    pub async fn revive(&self) {
+    /// Restarts servers that a request crashed more than [`RESTART_DELAY`] ago.
+    pub async fn restart_crashed(&self) {
         let crashed = |(index, server): (usize, &Rc<ServerStandin>)| {
             server.is_crashed().then(|| (index, server.id.clone()))
         };
         let crashed: Vec<_> =
             self.servers.borrow().iter().enumerate().filter_map(crashed).collect();
         for (index, id) in crashed {
-            let since = *self.down.borrow_mut().entry(id.clone()).or_insert_with(Instant::now);
-            if since.elapsed() > DOWN_TIME {
-                self.down.borrow_mut().remove(&id);
+            let since =
+                *self.crashed_since.borrow_mut().entry(id.clone()).or_insert_with(Instant::now);
+            if since.elapsed() > RESTART_DELAY {
+                self.crashed_since.borrow_mut().remove(&id);
                 self.note(&format!("revive server={index}"));
                 self.restart(index).await;
             }
         }
     }
 
-    /// Lists a server in the store for as long as it lives.
+    /// Registers a server in the store and renews its entry with heartbeats until it crashes.
     fn list(&self, server: &Rc<ServerStandin>) {
         server.register(&self.store);
-        let (beating, store) = (Rc::clone(server), Rc::clone(&self.store));
+        let (registered, store) = (Rc::clone(server), Rc::clone(&self.store));
         spawn_local(async move {
-            while !beating.is_crashed() {
+            while !registered.is_crashed() {
                 sleep(BEAT).await;
-                if !beating.is_crashed() {
-                    beating.register(&store);
+                if !registered.is_crashed() {
+                    registered.register(&store);
                 }
             }
         });
     }
 
-    fn take(&self, index: usize) -> Rc<ServerStandin> {
+    fn detach_server(&self, index: usize) -> Rc<ServerStandin> {
         self.server_proxies.borrow_mut().remove(index);
         let server = self.servers.borrow_mut().remove(index);
-        self.gone.borrow_mut().push(Rc::clone(&server));
+        self.removed.borrow_mut().push(Rc::clone(&server));
         server
     }
 
@@ -214,9 +215,9 @@
         }
     }
 
-    /// Crashes a server; its entry goes three heartbeats later, and another takes its place.
+    /// Crashes a server and starts another in its place; its entry is removed three heartbeats later.
     pub async fn crash(self: &Rc<Self>, index: usize) {
-        let server = self.take(index);
+        let server = self.detach_server(index);
         server.crash();
         self.replace(&server).await;
         let store = Rc::clone(&self.store);
@@ -226,7 +227,7 @@
         });
     }
 
-    /// Crashes a server, which starts again at once under its id and at its address, empty.
+    /// Crashes a server and restarts it at once under its id and at its address, with nothing loaded.
     pub async fn restart(&self, index: usize) {
         let server = Rc::clone(&self.servers.borrow()[index]);
         server.crash();
@@ -234,7 +235,7 @@
             Ok(again) => {
                 again.listed.set(server.listed.get());
                 self.list(&again);
-                // Others may have come and gone while its port was awaited.
+                // The list of servers may have changed while this waited for the port.
                 let mut servers = self.servers.borrow_mut();
                 match servers.iter().position(|s| Rc::ptr_eq(s, &server)) {
                     Some(place) => {
@@ -245,15 +246,15 @@
                     }
                     None => again.crash(),
                 }
-                self.gone.borrow_mut().push(server);
+                self.removed.borrow_mut().push(server);
             }
             Err(error) => self.note(&format!("not started again: {error}")),
         }
     }
 
-    /// Replaces a server that gives notice and serves on for a while.
+    /// Announces that a server leaves and starts another; the old one keeps serving for [`LEAVE_TIME`].
     pub async fn leave(self: &Rc<Self>, index: usize) {
-        let server = self.take(index);
+        let server = self.detach_server(index);
         server.leaving.set(true);
         server.register(&self.store);
         self.replace(&server).await;
@@ -270,7 +271,7 @@
         self.daemons[daemon].borrow_mut().signal(signal);
     }
 
-    /// Rewrites a daemon's settings.
+    /// Rewrites a daemon's settings file, with invalid TOML unless `good`.
     pub fn rewrite_settings(&self, daemon: usize, good: bool) {
         if let Err(error) = self.daemons[daemon].borrow().write_settings(good) {
             self.note(&format!("settings not written: {error}"));
@@ -283,12 +284,12 @@
         self.version.get()
     }
 
-    /// Starts daemons again that ended.
+    /// Restarts daemons that have exited.
     ///
     /// # Errors
     ///
-    /// The program cannot be started.
-    pub fn tend(&self) -> io::Result<()> {
-        self.daemons.iter().try_for_each(|d| d.borrow_mut().tend())
+    /// A daemon's program cannot be started.
+    pub fn restart_exited(&self) -> io::Result<()> {
+        self.daemons.iter().try_for_each(|d| d.borrow_mut().restart_exited())
     }
 }
