--- a/tools/src/demo.rs
+++ b/tools/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: two daemons over real sockets, before embedded stand-ins.
+//! The demo: two daemons on real sockets in front of embedded stand-ins.
 
 use std::io;
 use std::io::Write;
@@ -20,11 +20,11 @@
 use comfreymux_testutils::service_standin::ServiceFaults;
 
 const CHAT: &str = "/v1/chat/completions";
-/// Callers of the burst.
+/// Number of callers in the burst.
 const BURST: usize = 24;
-/// Tokens of each answer of the burst.
+/// Tokens in each response of the burst.
 const TOKENS: u64 = 20;
-/// Daemons of the demo.
+/// Names of the demo's daemons.
 const DAEMONS: [&str; 2] = ["entry-1", "entry-2"];
 
 struct Demo<'a> {
@@ -33,11 +33,11 @@
     broken: u32,
 }
 
-/// Runs the demo; returns how many promises broke.
+/// Runs the demo; returns the number of violated guarantees.
 ///
 /// # Errors
 ///
-/// The output cannot be written.
+/// Writing to `out` failed.
 pub fn run(out: &mut dyn Write) -> io::Result<u32> {
     let rig = Rig::default();
     let mut demo = Demo { out, rig, broken: 0 };
@@ -84,13 +84,13 @@
 
     fn burst(&mut self) -> io::Result<()> {
         writeln!(self.out, "a burst of {BURST} callers on the cold model `hem`, at both daemons")?;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let callers: Vec<_> = (0..BURST)
             .map(|i| {
                 let url = self.rig.url(DAEMONS[i % DAEMONS.len()], CHAT);
                 thread::spawn(move || {
                     let answer = complete(&url, "hem", true, TOKENS);
-                    (began.elapsed(), answer)
+                    (started_at.elapsed(), answer)
                 })
             })
             .collect();
@@ -153,7 +153,7 @@
                 Some(Edit { id, author: (*daemon).into(), changes: vec![change] })
             })
             .collect();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let answers: Vec<_> = DAEMONS
             .iter()
             .zip(edits)
@@ -172,7 +172,7 @@
                 v.table.row("hem").is_some_and(|r| r.limit == rows::model("hem").limit + 1)
             });
         }
-        let time = began.elapsed().as_secs_f64();
+        let time = started_at.elapsed().as_secs_f64();
         writeln!(self.out, "  accepted: {accepted}, in force at both after {time:.2}s")?;
         self.check(accepted == 1, "one edit was accepted, the other told of the conflict")
     }
--- a/tools/src/experiment.rs
+++ b/tools/src/experiment.rs
@@ -1,4 +1,4 @@
-//! A workload through the decision code, in virtual time, and what it cost.
+//! Runs a workload through the decision code in virtual time and measures waits, idle hours and loads.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,47 +27,47 @@
 use crate::world::Breach;
 use crate::world::World;
 
-/// Step while requests wait or anything is under way.
-const FINE: Duration = Duration::from_millis(100);
-/// Step otherwise.
-const COARSE: Duration = Duration::from_secs(1);
+/// Step of virtual time while requests wait or messages are in transit.
+const BUSY_STEP: Duration = Duration::from_millis(100);
+/// Step of virtual time otherwise.
+const IDLE_STEP: Duration = Duration::from_secs(1);
 /// Time for daemons to start and read the table before the first request.
 const WARM_UP: Duration = Duration::from_secs(20);
-/// Longest queue of one model at one daemon.
-const QUEUE: usize = 256;
-/// How often a picture is taken anew though the log shows nothing new.
-const VIEW_AGE: Duration = Duration::from_secs(1);
+/// Maximum number of queued requests per model and daemon.
+const QUEUE_LIMIT: usize = 256;
+/// Age at which a routing view is rebuilt although the log has no new entries.
+const MAX_VIEW_AGE: Duration = Duration::from_secs(1);
 
-/// What a run cost.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// The policy's name.
+    /// Name of the policy.
     pub name: String,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
     /// Requests that found no loaded replica.
     pub cold: u64,
-    /// Waits of the cold requests, in seconds: median.
+    /// Median wait of the cold requests, in seconds.
     pub cold_p50: f64,
-    /// 95th percentile.
+    /// 95th percentile of the waits of the cold requests, in seconds.
     pub cold_p95: f64,
-    /// 99th percentile.
+    /// 99th percentile of the waits of the cold requests, in seconds.
     pub cold_p99: f64,
-    /// The worst.
+    /// Longest wait of a cold request, in seconds.
     pub cold_worst: f64,
     /// 99th percentile of the waits of all requests, in seconds.
     pub all_p99: f64,
     /// Sum of all waits, in hours.
     pub wait_hours: f64,
-    /// Accelerator hours in which something was loaded or loading and served nothing.
+    /// Accelerator hours in which a model was loaded or loading and served no request.
     pub idle_hours: f64,
-    /// Loads.
+    /// Number of loads.
     pub loads: u64,
     /// Loads that served no request.
     pub wasted: u64,
-    /// Requests refused at once.
+    /// Requests refused on arrival or displaced from a queue.
     pub refused: u64,
-    /// Requests refused at their deadline.
+    /// Requests that were still queued at their deadline.
     pub expired: u64,
 }
 
@@ -78,19 +78,19 @@
     model: ModelName,
 }
 
-struct Front {
+struct EntryDaemon {
     name: String,
     queue: Queue,
     router: Router,
     view: RoutingView,
-    taken: (u64, Duration),
+    view_built: (u64, Duration),
     waiting: BTreeMap<WaiterKey, Arrival>,
 }
 
 /// A run in progress.
 struct Run {
     world: World,
-    fronts: Vec<Front>,
+    entry_daemons: Vec<EntryDaemon>,
     running: Vec<Running>,
     waits: Histogram<u64>,
     cold: Histogram<u64>,
@@ -100,11 +100,11 @@
     expired: u64,
 }
 
-/// Runs a workload under a policy.
+/// Runs a workload under a keep-warm policy.
 ///
 /// # Errors
 ///
-/// A promise was broken.
+/// An invariant was violated.
 pub fn run(
     name: &str,
     deployment: &Deployment,
@@ -140,31 +140,32 @@
             engine.cached = here.map(|p| (p.model.clone(), p.source)).collect();
             world.add_engine(&format!("engine-{i}"), &deployment.centre(i), engine);
         }
-        let mut fronts = Vec::new();
+        let mut entry_daemons = Vec::new();
         for i in 0..deployment.daemons() {
             let name = format!("daemon-{i}");
             let centre = deployment.centre(i);
             world.add_daemon(&name, &centre);
-            fronts.push(Front {
+            entry_daemons.push(EntryDaemon {
                 name,
-                queue: Queue::new(QUEUE),
+                queue: Queue::new(QUEUE_LIMIT),
                 router: Router::new(centre, seed + i as u64),
                 view: RoutingView::default(),
-                taken: (0, Duration::ZERO),
+                view_built: (0, Duration::ZERO),
                 waiting: BTreeMap::new(),
             });
         }
-        world.run(Duration::from_secs(5), FINE)?;
+        world.run(Duration::from_secs(5), BUSY_STEP)?;
         let changes = world.head.table.diff(&deployment.table());
         let edit = Edit { id: "table".into(), author: "experiment".into(), changes };
         world.give("daemon-0", Event::Edit(edit));
-        world.run(WARM_UP.saturating_sub(world.now), FINE)?;
+        world.run(WARM_UP.saturating_sub(world.now), BUSY_STEP)?;
         let histogram = || {
-            Histogram::new_with_bounds(1, 3_600_000, 3).expect("an hour in milliseconds is allowed")
+            Histogram::new_with_bounds(1, 3_600_000, 3)
+                .expect("an hour in milliseconds is a valid bound")
         };
         Ok(Self {
             world,
-            fronts,
+            entry_daemons,
             running: Vec::new(),
             waits: histogram(),
             cold: histogram(),
@@ -176,22 +177,22 @@
     }
 
     fn arrive(&mut self, arrival: &Arrival) {
-        let daemon = arrival.daemon % self.fronts.len();
+        let daemon = arrival.daemon % self.entry_daemons.len();
         self.refresh(daemon);
-        if self.begin(daemon, arrival) {
+        if self.try_start(daemon, arrival) {
             self.waits.saturating_record(0);
             return;
         }
-        let front = &mut self.fronts[daemon];
+        let entry_daemon = &mut self.entry_daemons[daemon];
         let waiter = Waiter {
             model: arrival.model.clone(),
             priority: arrival.priority,
             deadline: WARM_UP + deadline(arrival),
         };
-        match front.queue.enqueue(self.world.now, waiter, Duration::ZERO) {
+        match entry_daemon.queue.enqueue(self.world.now, waiter, Duration::ZERO) {
             EnqueueResult::Queued(key, displaced) => {
-                front.waiting.insert(key, arrival.clone());
-                if displaced.and_then(|key| front.waiting.remove(&key)).is_some() {
+                entry_daemon.waiting.insert(key, arrival.clone());
+                if displaced.and_then(|key| entry_daemon.waiting.remove(&key)).is_some() {
                     self.refused += 1;
                 }
             }
@@ -199,33 +200,35 @@
         }
     }
 
-    /// Takes a daemon's picture anew if it may have changed.
+    /// Rebuilds a daemon's routing view if it may have changed.
     fn refresh(&mut self, daemon: usize) {
-        let front = &mut self.fronts[daemon];
+        let entry_daemon = &mut self.entry_daemons[daemon];
         let world_now = self.world.now;
-        let Some((now, control)) = self.world.awake(&front.name) else {
+        let Some((now, control)) = self.world.running_control(&entry_daemon.name) else {
             return;
         };
-        let taken = (control.state().offset, world_now);
-        if front.taken.0 != taken.0 || world_now >= front.taken.1 + VIEW_AGE {
-            front.view = RoutingView::new(control, now);
-            front.taken = taken;
+        let view_built = (control.state().offset, world_now);
+        if entry_daemon.view_built.0 != view_built.0
+            || world_now >= entry_daemon.view_built.1 + MAX_VIEW_AGE
+        {
+            entry_daemon.view = RoutingView::new(control, now);
+            entry_daemon.view_built = view_built;
         }
     }
 
-    /// Begins to run a request, if a replica has room.
-    fn begin(&mut self, daemon: usize, arrival: &Arrival) -> bool {
+    /// Starts a request if a replica has capacity; returns whether it started.
+    fn try_start(&mut self, daemon: usize, arrival: &Arrival) -> bool {
         let now = self.world.now;
-        let front = &mut self.fronts[daemon];
+        let entry_daemon = &mut self.entry_daemons[daemon];
         let route_request = RouteRequest { model: &arrival.model, prefix: None, tried: &[] };
-        let Some(route) = front.router.choose(now, &front.view, route_request) else {
+        let Some(route) = entry_daemon.router.choose(now, &entry_daemon.view, route_request) else {
             return false;
         };
         let engine = self.world.engines.get_mut(&route.server).map(|(_, e)| e);
         let held = engine.and_then(|e| e.held.get_mut(&arrival.model)).filter(|h| h.ready <= now);
         let Some(held) = held else {
-            // The engine refuses: it does not hold the model any more.
-            front.router.record_end(&route.server, &arrival.model);
+            // The engine refuses the request because the model is no longer loaded.
+            entry_daemon.router.record_end(&route.server, &arrival.model);
             return false;
         };
         held.active += 1;
@@ -241,15 +244,15 @@
 
     fn step(&mut self, until: Option<Duration>) -> Result<(), Breach> {
         let now = self.world.now;
-        let waiting = self.fronts.iter().any(|f| !f.waiting.is_empty());
-        let step = if waiting || self.world.is_busy() { FINE } else { COARSE };
+        let waiting = self.entry_daemons.iter().any(|f| !f.waiting.is_empty());
+        let step = if waiting || self.world.is_busy() { BUSY_STEP } else { IDLE_STEP };
         let ends = self.running.iter().map(|r| r.end);
         let next = ends.chain(until).min().unwrap_or(now + step);
         let step = step.min(next.saturating_sub(now)).max(Duration::from_millis(10));
         self.add_idle(step);
         self.world.step(step)?;
         self.finish();
-        for daemon in 0..self.fronts.len() {
+        for daemon in 0..self.entry_daemons.len() {
             self.serve_waiting(daemon);
         }
         Ok(())
@@ -270,7 +273,7 @@
         self.running = running;
         let done: Vec<Running> = done;
         for r in done {
-            self.fronts[r.daemon].router.record_end(&r.server, &r.model);
+            self.entry_daemons[r.daemon].router.record_end(&r.server, &r.model);
             let engine = self.world.engines.get_mut(&r.server);
             if let Some(held) = engine.and_then(|(_, e)| e.held.get_mut(&r.model)) {
                 held.active = held.active.saturating_sub(1);
@@ -280,33 +283,33 @@
 
     fn serve_waiting(&mut self, daemon: usize) {
         let now = self.world.now;
-        for key in self.fronts[daemon].queue.expire(now) {
-            self.fronts[daemon].waiting.remove(&key);
+        for key in self.entry_daemons[daemon].queue.expire(now) {
+            self.entry_daemons[daemon].waiting.remove(&key);
             self.expired += 1;
         }
-        if !self.fronts[daemon].waiting.is_empty() {
+        if !self.entry_daemons[daemon].waiting.is_empty() {
             self.refresh(daemon);
         }
-        for model in self.fronts[daemon].queue.models() {
-            while let Some(key) = self.fronts[daemon].queue.first(&model) {
-                let Some(arrival) = self.fronts[daemon].waiting.get(&key).cloned() else {
+        for model in self.entry_daemons[daemon].queue.models() {
+            while let Some(key) = self.entry_daemons[daemon].queue.first(&model) {
+                let Some(arrival) = self.entry_daemons[daemon].waiting.get(&key).cloned() else {
                     break;
                 };
-                if !self.begin(daemon, &arrival) {
+                if !self.try_start(daemon, &arrival) {
                     break;
                 }
-                self.fronts[daemon].queue.remove(key);
-                self.fronts[daemon].waiting.remove(&key);
-                let came = WARM_UP + Duration::from_millis(arrival.at_ms);
-                let wait = now.saturating_sub(came);
+                self.entry_daemons[daemon].queue.remove(key);
+                self.entry_daemons[daemon].waiting.remove(&key);
+                let arrived_at = WARM_UP + Duration::from_millis(arrival.at_ms);
+                let wait = now.saturating_sub(arrived_at);
                 self.waits.saturating_record(wait.as_millis() as u64);
                 self.cold.saturating_record(wait.as_millis() as u64);
                 self.wait_sum += wait.as_secs_f64();
             }
         }
-        let front = &self.fronts[daemon];
-        if let Some(d) = self.world.daemons.get_mut(front.name.as_str()) {
-            d.waiting = front.queue.demand();
+        let entry_daemon = &self.entry_daemons[daemon];
+        if let Some(d) = self.world.daemons.get_mut(entry_daemon.name.as_str()) {
+            d.waiting = entry_daemon.queue.demand();
         }
     }
 
--- a/tools/src/fake_daemon.rs
+++ b/tools/src/fake_daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon's control in virtual time.
+//! A simulated daemon: its control state machine and faults, in virtual time.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 use comfreymux_lib::ids::CentreId;
 use comfreymux_lib::ids::Incarnation;
 
-/// One daemon's control.
+/// A simulated daemon.
 #[derive(Debug)]
 pub struct FakeDaemon {
     /// Its data centre.
     pub centre: CentreId,
-    /// Its start count.
+    /// Number of starts so far.
     pub incarnation: Incarnation,
-    /// Its state machine; none while it is dead.
+    /// Its state machine; `None` after it was killed.
     pub control: Option<Controller>,
-    /// Until when it is paused.
+    /// Time until which it is paused.
     pub paused: Duration,
-    /// Whether it is cut off from the platform.
+    /// Whether the log and the host list are unreachable from it.
     pub cut: bool,
-    /// Rate of its clock; 1 is true.
+    /// Rate of its clock relative to true time.
     pub rate: f64,
-    /// Requests that wait at it.
+    /// Requests queued at it, per model.
     pub waiting: Vec<WaitingRequests>,
     pub(crate) started: Duration,
-    pub(crate) saw_hosts: u64,
+    pub(crate) hosts_version: u64,
 }
--- a/tools/src/fake_engine.rs
+++ b/tools/src/fake_engine.rs
@@ -1,4 +1,4 @@
-//! A model engine in virtual time: what it really holds, and orders as they arrive.
+//! A simulated model engine in virtual time: the models in its memory and its handling of orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,37 +16,38 @@
 use comfreymux_lib::ids::Position;
 use comfreymux_lib::record::Source;
 
-/// What an engine holds of one model.
+/// A model in an engine's memory, loaded or loading.
 #[derive(Clone, Debug)]
 pub struct Held {
     /// When its load is complete.
     pub ready: Duration,
     /// Ticket of the order that loaded it.
     pub ticket: Position,
-    /// Memory in use.
+    /// Memory in use, in MiB.
     pub memory_mib: Mebibytes,
     /// Requests in progress.
     pub active: u32,
-    /// Requests begun.
+    /// Requests started since the load.
     pub served: u64,
 }
 
-/// A model engine.
+/// A simulated model engine.
 #[derive(Clone, Debug)]
 pub struct FakeEngine {
-    /// Accelerator memory. Loads past it are taken all the same, so that a fault shows.
+    /// Accelerator memory, in MiB. Loads that exceed it are accepted all the same, so that a fault of the
+    /// planner is detected.
     pub memory_mib: Mebibytes,
-    /// Whether orders with an old fencing number or incarnation are refused.
+    /// Whether orders with an is_stale fencing number or incarnation are refused.
     pub fencing: bool,
-    /// Start count.
+    /// Number of starts so far.
     pub incarnation: Incarnation,
-    /// Whether the host is being taken away.
+    /// Whether the host has announced its removal.
     pub leaving: bool,
-    /// What it holds.
+    /// Models loaded or loading.
     pub held: BTreeMap<ModelName, Held>,
-    /// Checkpoints that need no weight store.
+    /// Checkpoints with a local copy, which load without the weight store.
     pub cached: BTreeMap<ModelName, Source>,
-    /// Loads begun.
+    /// Loads started, over all incarnations.
     pub loads: u64,
     fence: Fence,
 }
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Replaces the host: nothing is loaded, no fencing number known, and only the disk is gone.
+    /// Replaces the host: the next incarnation has nothing loaded and knows no fencing number, but keeps the
+    /// local copies.
     pub fn replace(&mut self) {
         let cached = std::mem::take(&mut self.cached);
         *self = Self {
@@ -77,15 +79,15 @@
         self.cached = cached;
     }
 
-    /// Returns where a load of `model` reads.
+    /// Returns the source that a load of `model` reads from.
     pub fn source(&self, model: &str) -> Source {
         self.cached.get(model).copied().unwrap_or(Source::Remote)
     }
 
-    /// Carries an order out; `time` is how long a load takes.
+    /// Handles an order; a load that it starts takes `time`.
     pub fn order(&mut self, now: Duration, order: &Order, time: Duration) -> OrderAnswer {
-        let old = order.fence < self.fence || order.incarnation != self.incarnation;
-        if self.fencing && old {
+        let is_stale = order.fence < self.fence || order.incarnation != self.incarnation;
+        if self.fencing && is_stale {
             return OrderAnswer::Stale;
         }
         self.fence = self.fence.max(order.fence);
@@ -117,17 +119,17 @@
         }
     }
 
-    /// Returns memory in use.
+    /// Returns the memory in use, in MiB.
     pub fn used_mib(&self) -> Mebibytes {
         self.held.values().map(|h| h.memory_mib).sum()
     }
 
-    /// Returns whether `model` can serve.
+    /// Returns whether `model` is loaded and can serve.
     pub fn is_ready(&self, now: Duration, model: &str) -> bool {
         self.held.get(model).is_some_and(|h| h.ready <= now)
     }
 
-    /// Returns the load report.
+    /// Returns the server's report of its state.
     pub fn report(&self, now: Duration) -> ServerReport {
         let line = |(model, held): (&ModelName, &Held)| ModelReport {
             model: model.clone(),
--- a/tools/src/flags.rs
+++ b/tools/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-ins.
+//! Command line of `comfreymux-standin`.
 
 use std::net::SocketAddr;
 
--- a/tools/src/lib.rs
+++ b/tools/src/lib.rs
@@ -1,4 +1,4 @@
-//! Tools around comfreymux: the demo, load, generated workloads, and experiments in virtual time.
+//! Tools around comfreymux: the demo, a load generator, generated workloads and experiments in virtual time.
 
 pub mod demo;
 pub mod experiment;
--- a/tools/src/load.rs
+++ b/tools/src/load.rs
@@ -1,4 +1,4 @@
-//! Load on a daemon: open streams, and the time that the daemon adds to their first token.
+//! Load generator: opens streams at a daemon and measures the time to the first token and between tokens.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -17,29 +17,29 @@
 
 use hdrhistogram::Histogram;
 
-/// What a load looks like.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// New streams a second.
+    /// New streams per second.
     pub rate: f64,
-    /// How long new streams come.
+    /// Time for which new streams are opened.
     pub time: Duration,
     /// Tokens of each stream.
     pub tokens: u64,
 }
 
-/// What a load saw.
+/// Measurements of a run.
 #[derive(Debug)]
-pub struct Seen {
+pub struct LoadResult {
     /// Time from the request to the first token, in microseconds.
     pub first: Histogram<u64>,
     /// Time between two tokens, in microseconds.
     pub between: Histogram<u64>,
-    /// Streams that ended whole.
+    /// Streams that ended with `[DONE]`.
     pub whole: u64,
-    /// Tokens that came.
+    /// Tokens received in these streams.
     pub tokens: u64,
-    /// Time of the run.
+    /// Duration of the run, until the last stream ended.
     pub took: Duration,
 }
 
@@ -58,8 +58,8 @@
 ///
 /// # Panics
 ///
-/// Panics if the system gives no thread.
-pub fn run(addr: SocketAddr, path: &'static str, model: &str, load: Load) -> Seen {
+/// Panics if a thread cannot be started.
+pub fn run(addr: SocketAddr, path: &'static str, model: &str, load: Load) -> LoadResult {
     let shared = Arc::new(Shared {
         first: Mutex::new(histogram()),
         between: Mutex::new(histogram()),
@@ -70,15 +70,15 @@
         r#"{{"model":"{model}","stream":true,"max_tokens":{},"messages":[{{"role":"user","content":"x"}}]}}"#,
         load.tokens
     );
-    let began = Instant::now();
+    let started_at = Instant::now();
     let count = (load.rate * load.time.as_secs_f64()) as u64;
     let mut threads = Vec::new();
     for i in 0..count {
         let due = Duration::from_secs_f64(i as f64 / load.rate);
-        thread::sleep(due.saturating_sub(began.elapsed()));
+        thread::sleep(due.saturating_sub(started_at.elapsed()));
         let (shared, body) = (Arc::clone(&shared), body.clone());
         let stream = move || {
-            // A stream that fails is missing among the whole ones.
+            // A failed stream is not counted in `whole`.
             let _failed = read_stream(addr, path, &body, &shared);
         };
         let builder = thread::Builder::new().stack_size(128 * 1024);
@@ -88,21 +88,21 @@
         let _failed = thread.join();
     }
     let take = |m: &Mutex<Histogram<u64>>| m.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    Seen {
+    LoadResult {
         first: take(&shared.first),
         between: take(&shared.between),
         whole: shared.whole.load(Ordering::Relaxed),
         tokens: shared.tokens.load(Ordering::Relaxed),
-        took: began.elapsed(),
+        took: started_at.elapsed(),
     }
 }
 
-/// Sends requests that cannot be met, each on a connection of its own, and returns how long their
-/// refusals took, in microseconds, and how many came that were something else.
+/// Sends requests with a deadline that cannot be met, each on a new connection. Returns the times to their
+/// responses, in microseconds, and the number of results other than a refusal with status 503.
 ///
 /// # Panics
 ///
-/// Panics if the system gives no thread.
+/// Panics if a thread cannot be started.
 pub fn refusals(
     addr: SocketAddr,
     model: &str,
@@ -111,10 +111,10 @@
 ) -> (Histogram<u64>, u64) {
     let url = format!("http://{addr}{}", comfreymux_lib::chat::PATH);
     let body = format!(r#"{{"model":"{model}","messages":[]}}"#);
-    let began = Instant::now();
-    let ask = || {
+    let started_at = Instant::now();
+    let send_all = || {
         let (mut times, mut others) = (histogram(), 0);
-        while began.elapsed() < time {
+        while started_at.elapsed() < time {
             let sent = Instant::now();
             let answer = minreq::post(&url)
                 .with_header("X-Deadline-Ms", "1")
@@ -127,10 +127,10 @@
         (times, others)
     };
     thread::scope(|scope| {
-        let running: Vec<_> = (0..threads).map(|_| scope.spawn(ask)).collect();
+        let running: Vec<_> = (0..threads).map(|_| scope.spawn(send_all)).collect();
         let mut total = (histogram(), 0);
         for thread in running {
-            let (times, others) = thread.join().expect("asking does not panic");
+            let (times, others) = thread.join().expect("a sender thread does not panic");
             total.0 += times;
             total.1 += others;
         }
@@ -139,7 +139,7 @@
 }
 
 fn read_stream(addr: SocketAddr, path: &str, body: &str, shared: &Shared) -> std::io::Result<()> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut stream = TcpStream::connect(addr)?;
     stream.set_nodelay(true)?;
     let length = body.len();
@@ -150,7 +150,7 @@
     stream.write_all(head.as_bytes())?;
     let mut reader = BufReader::with_capacity(1024, stream);
     let mut line = String::new();
-    let mut last = began;
+    let mut last = started_at;
     let mut tokens = 0;
     loop {
         line.clear();
@@ -174,7 +174,7 @@
     }
 }
 
-/// Processor time and memory of this process or of its parts.
+/// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Processor time, in seconds.
@@ -183,19 +183,19 @@
     pub resident_mib: f64,
 }
 
-/// Clock ticks a second of `/proc`, the same on every Linux.
-const TICKS: f64 = 100.0;
-/// Bytes of a page of `/proc`.
-const PAGE: f64 = 4096.0;
+/// Clock ticks per second in `/proc`, the same on every Linux.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Bytes per page in `/proc`.
+const PAGE_BYTES: f64 = 4096.0;
 
-/// Reads what a process used so far.
+/// Returns the resource usage of a process so far; zeros if `/proc` cannot be read.
 pub fn usage(pid: u32) -> Usage {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let rest = stat.rsplit_once(") ").map_or("", |(_, rest)| rest);
     let field =
         |n: usize| -> f64 { rest.split(' ').nth(n).and_then(|t| t.parse().ok()).unwrap_or(0.0) };
     Usage {
-        cpu_s: (field(11) + field(12)) / TICKS,
-        resident_mib: field(21) * PAGE / 1024.0 / 1024.0,
+        cpu_s: (field(11) + field(12)) / TICKS_PER_SECOND,
+        resident_mib: field(21) * PAGE_BYTES / 1024.0 / 1024.0,
     }
 }
--- a/tools/src/relay.rs
+++ b/tools/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay of streams without any decision, against which a daemon is measured.
+//! A plain stream relay without routing: the baseline for measurements of a daemon.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 ///
-/// The address cannot be used.
+/// The address cannot be listened on, or a thread cannot be started.
 pub fn run(listen: SocketAddr, to: SocketAddr) -> io::Result<()> {
     let listener = gateway::listen(listen)?;
     println!("listening on {}", listener.local_addr()?);
@@ -30,7 +30,7 @@
     for request in server.incoming_requests() {
         let backend_client = Arc::clone(&backend_client);
         thread::Builder::new().stack_size(256 * 1024).spawn(move || {
-            // A stream that fails is missing at its caller.
+            // The caller detects a failed stream by its missing end.
             let _failed = relay(backend_client.as_ref(), to, request);
         })?;
     }
--- a/tools/src/report.rs
+++ b/tools/src/report.rs
@@ -1,4 +1,4 @@
-//! The trade between idle accelerator hours and cold starts: a table and a plot.
+//! Reports the trade-off between idle accelerator hours and cold starts as a table and a plot.
 
 use std::path::Path;
 use std::thread;
@@ -13,15 +13,14 @@
 use crate::workload::Deployment;
 use crate::world::Breach;
 
-/// Keep-warm times of the baselines, in seconds; the first stands for never unloading.
-const FIXED: [u64; 7] = [10_000_000, 7200, 3600, 1800, 600, 120, 0];
+/// Keep-warm times of the baselines, in seconds; the first is longer than any run and means never unloading.
+const FIXED_KEEP_WARM_S: [u64; 7] = [10_000_000, 7200, 3600, 1800, 600, 120, 0];
 
-/// Runs the baselines and the learned policy at several idle prices on one workload, on as many
-/// threads.
+/// Runs the baselines and, for each idle price, the learned policy on one workload, each on its own thread.
 ///
 /// # Errors
 ///
-/// A promise was broken.
+/// An invariant was violated.
 ///
 /// # Panics
 ///
@@ -32,7 +31,7 @@
     arrivals: &[Arrival],
     prices: &[f64],
 ) -> Result<Vec<Outcome>, Breach> {
-    let fixed = FIXED.map(|s| {
+    let fixed = FIXED_KEEP_WARM_S.map(|s| {
         let name = match s {
             0 => "at once".to_owned(),
             10_000_000 => "never unload".to_owned(),
@@ -55,11 +54,11 @@
     })
 }
 
-/// Returns the points that no keep-warm policy can beat: for each number of cold starts, the least
-/// idle hours, if the gaps between requests of each model were known in advance.
+/// Returns a lower bound for every keep-warm policy as points of (idle hours, cold starts): the least idle
+/// hours for each number of cold starts, if the gaps between requests of each model were known in advance.
 ///
-/// The shortest gaps are bridged first. Gaps are weighed by the model's share of an accelerator;
-/// requests that run delay nothing here, so the bound is a little too good.
+/// The model stays loaded through the shortest gaps first. Gaps are weighted by the model's share of an
+/// accelerator. Running requests do not delay others here, so the bound is slightly too optimistic.
 pub fn bound(deployment: &Deployment, arrivals: &[Arrival]) -> Vec<(f64, f64)> {
     let table = deployment.table();
     let mut gaps = Vec::new();
@@ -88,7 +87,7 @@
     points
 }
 
-/// Returns, for each outcome, the least idle hours with as few cold starts.
+/// Returns, for each outcome, the lower bound of idle hours at its number of loads.
 pub fn bound_table(deployment: &Deployment, arrivals: &[Arrival], outcomes: &[Outcome]) -> String {
     let points = bound(deployment, arrivals);
     let least = |colds: f64| points.iter().find(|p| p.1 <= colds).map_or(f64::NAN, |p| p.0);
@@ -141,7 +140,7 @@
     )
 }
 
-/// Draws the trade as an SVG file.
+/// Plots idle hours against waiting hours as an SVG file.
 ///
 /// # Errors
 ///
--- a/tools/src/small.rs
+++ b/tools/src/small.rs
@@ -1,4 +1,4 @@
-//! Small worlds to begin a test of a failure with.
+//! Small simulated deployments for failure tests, and helpers for them.
 
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
 use crate::fake_engine::FakeEngine;
 use crate::world::World;
 
-/// Step of virtual time.
+/// Step of virtual time in tests.
 pub const STEP: Duration = Duration::from_millis(50);
 
-/// Returns so many seconds.
+/// Shorthand for [`Duration::from_secs`].
 pub fn seconds(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-/// Returns an event that sets one row, based on the row in force.
+/// Returns an edit that sets one row, based on the row's current version.
 pub fn edit(world: &World, id: &str, row: Row) -> Event {
     let base = world.head.table.versioned_row(&row.name).map_or(0, |v| v.version);
     let changes = vec![RowChange { name: row.name.clone(), base, row: Some(row) }];
     Event::Edit(Edit { id: id.into(), author: "test".into(), changes })
 }
 
-/// An engine that has every checkpoint on its disk, so that nothing is loaded without callers.
+/// Returns an engine with every checkpoint on its disk, so that nothing is loaded without demand.
 pub fn engine(fencing: bool) -> FakeEngine {
     let mut engine = FakeEngine::new(25_000, fencing);
     for model in ["m1", "m2", "m3", "m4", "m5"] {
@@ -38,17 +38,17 @@
     engine
 }
 
-/// Two daemons of one data centre before one engine, and a third daemon in another with its own.
+/// Returns [`world_of`] with the engine of [`engine`].
 pub fn world(fencing: bool) -> World {
     world_of(&engine(fencing))
 }
 
-/// Two daemons of one data centre before one engine, and a third daemon in another with its own, and
-/// four models in the table.
+/// Returns two daemons and one engine in data centre `a`, one daemon and one engine in `b`, and four
+/// models in the table.
 ///
 /// # Panics
 ///
-/// Panics if a promise breaks meanwhile.
+/// Panics if an invariant is violated during setup.
 pub fn world_of(engine: &FakeEngine) -> World {
     let mut world = World::default();
     world.add_engine("e1", "a", engine.clone());
@@ -65,17 +65,17 @@
     world
 }
 
-/// Lets one request wait at a daemon for each of these models, and none for others.
+/// Replaces a daemon's queue with one request for each of these models.
 ///
 /// # Panics
 ///
-/// Panics if there is no such daemon.
+/// Panics if the daemon does not exist.
 pub fn want(world: &mut World, daemon: &str, models: &[&str]) {
     let line = |m: &&str| WaitingRequests { model: (*m).into(), count: 1, weight: 5 };
     world.daemons.get_mut(daemon).unwrap().waiting = models.iter().map(line).collect();
 }
 
-/// Returns the daemon that leads a data centre.
+/// Returns the lease holder of a data centre.
 pub fn holder(world: &World, centre: &str) -> String {
     world.head.leases[centre].daemon.to_string()
 }
@@ -85,11 +85,11 @@
     world.head.slots_of(model).next().map(|(_, s)| s.phase)
 }
 
-/// One daemon, one engine with room for two models, and three models in the table.
+/// Returns one daemon, one engine with memory for two models, and three models in the table.
 ///
 /// # Panics
 ///
-/// Panics if a promise breaks meanwhile.
+/// Panics if an invariant is violated during setup.
 pub fn small_world(fencing: bool) -> World {
     let mut world = World::default();
     world.add_engine("e1", "a", engine(fencing));
--- a/tools/src/standin.rs
+++ b/tools/src/standin.rs
@@ -1,4 +1,4 @@
-//! `comfreymux-standin`: one stand-in of the platform or a backend server, as a process.
+//! `comfreymux-standin`: runs a stand-in for a platform service or a backend server, or a load generator.
 
 mod flags;
 
@@ -118,37 +118,37 @@
     };
     let model = flags.model.as_deref().unwrap_or("hem");
     let before = flags.pid.map(load::usage);
-    let seen = load::run(flags.to, comfreymux_lib::chat::PATH, model, load);
+    let result = load::run(flags.to, comfreymux_lib::chat::PATH, model, load);
     let ms = |h: &hdrhistogram::Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1000.0;
     let streams = format!(
         "streams whole={} of={} tokens/s={:.0} first_ms p50={:.2} p95={:.2} p99={:.2} between_ms p50={:.2} p95={:.2}\n",
-        seen.whole,
+        result.whole,
         (load.rate * load.time.as_secs_f64()) as u64,
-        seen.tokens as f64 / seen.took.as_secs_f64(),
-        ms(&seen.first, 0.5),
-        ms(&seen.first, 0.95),
-        ms(&seen.first, 0.99),
-        ms(&seen.between, 0.5),
-        ms(&seen.between, 0.95),
+        result.tokens as f64 / result.took.as_secs_f64(),
+        ms(&result.first, 0.5),
+        ms(&result.first, 0.95),
+        ms(&result.first, 0.99),
+        ms(&result.between, 0.5),
+        ms(&result.between, 0.95),
     );
     let (Some(pid), Some(before)) = (flags.pid, before) else {
         return streams;
     };
     let after = load::usage(pid);
-    let cores = (after.cpu_s - before.cpu_s) / seen.took.as_secs_f64();
+    let cores = (after.cpu_s - before.cpu_s) / result.took.as_secs_f64();
     streams + &format!("process cores={cores:.2} resident_mib={:.0}\n", after.resident_mib)
 }
 
-/// Serves until the process is ended, after entering a host in the host list.
+/// Registers the host of `registration` in the host list, if given, and serves until the process is killed.
 fn serve(
     listen: SocketAddr,
     handler: Arc<dyn Handler>,
-    enter: Option<(SocketAddr, Host)>,
+    registration: Option<(SocketAddr, Host)>,
 ) -> Result<(), String> {
     let server = HttpServer::start(listen, handler)
         .map_err(|e| format!("cannot listen on {listen}: {e}"))?;
     println!("listening on {}", server.addr);
-    if let Some((list, host)) = enter {
+    if let Some((list, host)) = registration {
         let host = Host { addr: server.addr, ..host };
         let body = serde_json::to_vec(&host).map_err(|e| e.to_string())?;
         let sent = minreq::post(format!("http://{list}/put")).with_body(body).send();
--- a/tools/src/weather.rs
+++ b/tools/src/weather.rs
@@ -1,27 +1,27 @@
-//! How the fake log, the messages and the weight store behave.
+//! Injected message faults and the weight store of the simulated [`World`](crate::world::World).
 
 use std::time::Duration;
 
-/// How messages go wrong until told otherwise.
+/// Message faults of the simulation. Counters and options are used up; delays apply until changed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Weather {
-    /// Delay of everything.
+    /// Delay added to every message.
     pub delay: Duration,
-    /// Next appends that take effect and whose answer is lost.
+    /// Number of next appends that take effect but whose response is lost.
     pub lose_appends: u32,
-    /// Next appends that the log takes twice, the second time after this delay.
+    /// The next append takes effect twice, the second time after this delay.
     pub twice: Option<Duration>,
-    /// Next orders whose answer is lost.
+    /// Number of next orders whose response is lost.
     pub lose_orders: u32,
-    /// The next order arrives this late, after its sender has given up on the connection.
+    /// The next order arrives after this delay, when its sender has already timed out.
     pub late_order: Option<Duration>,
-    /// The next order is sent this late: its sender was paused with it in hand.
+    /// The next order is sent after this delay, as if its sender had been paused just before it sent it.
     pub held_order: Option<Duration>,
-    /// Lag of load reports.
+    /// Delay of server reports.
     pub lag: Duration,
 }
 
-/// The weight store: loads that may begin in a second, and those under way.
+/// The weight store: limits how often loads start and tracks the loads in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     /// Time between the starts of two loads.
--- a/tools/src/workload.rs
+++ b/tools/src/workload.rs
@@ -1,4 +1,4 @@
-//! Generated requests of a deployment: mostly idle models that wake in bursts.
+//! Generated workloads: most models are idle most of the time and receive requests in bursts.
 
 use std::time::Duration;
 
@@ -15,31 +15,31 @@
 
 use comfreymux_testutils::rows;
 
-/// Memory of one accelerator.
+/// Memory of one accelerator, in MiB.
 pub const ACCELERATOR_MIB: u64 = 80_000;
 
-/// What a deployment is.
+/// Size and parameters of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name.
+    /// Name for the command line.
     pub name: &'static str,
     /// Its data centres.
     pub centres: &'static [&'static str],
-    /// Model engines, spread over the data centres.
+    /// Number of model engines, spread over the data centres.
     pub engines: usize,
     /// Accelerators of each engine.
     pub accelerators: u64,
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: usize,
-    /// Loads from the weight store that may begin in a second.
+    /// Loads from the weight store that may start per second.
     pub starts: f64,
     /// Cold-start seconds that an idle accelerator hour is worth.
     pub idle_price: f64,
 }
 
-/// Tahi Ayos Booking, where idle hours weigh most.
+/// Tahi Ayos Booking, for which idle hours matter most.
 pub const TAHI_AYOS: Deployment = Deployment {
     name: "tahi-ayos",
     centres: &["makati-a", "pasig-b", "qc-c", "taguig-d"],
@@ -51,7 +51,7 @@
     idle_price: 400.0,
 };
 
-/// Teplý Domov Franšíza, where the tail of cold starts weighs most.
+/// Teplý Domov Franšíza, for which the tail latency of cold starts matters most.
 pub const TEPLY_DOMOV: Deployment = Deployment {
     name: "teply-domov",
     centres: &["hala-a", "hala-b", "hala-c"],
@@ -66,35 +66,35 @@
 /// One request of a workload.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Arrival {
-    /// When it comes.
+    /// Arrival time since the start of the workload, in milliseconds.
     pub at_ms: u64,
-    /// Number of the daemon that the balancer brings it to.
+    /// Index of the daemon that the load balancer selects.
     pub daemon: usize,
     /// The model.
     pub model: ModelName,
     /// Its priority.
     pub priority: u8,
-    /// Time until an answer must begin.
+    /// Time from the arrival until the response must begin, in milliseconds.
     pub deadline_ms: u64,
-    /// Time that it runs.
+    /// Time that a server takes to run it, in milliseconds.
     pub run_ms: u64,
 }
 
-/// A checkpoint that some engine has at the beginning.
+/// A local copy of a checkpoint that an engine has at the start.
 #[derive(Clone, Debug)]
-pub struct Placed {
-    /// Number of the engine.
+pub struct LocalCopy {
+    /// Index of the engine.
     pub engine: usize,
     /// The model.
     pub model: ModelName,
-    /// Where its checkpoint is.
+    /// Whether the copy is on disk or in memory.
     pub source: Source,
 }
 
-/// Spread of the logarithm of the gaps between sessions; the longest are hundreds of times the
-/// shortest.
-const SPREAD: f64 = 1.2;
-/// Most adapters of the table are small next to their bases.
+/// Standard deviation of the logarithm of the gaps between sessions; the longest gaps are hundreds of
+/// times the shortest.
+const GAP_LOG_STD_DEV: f64 = 1.2;
+/// Memory and load size of an adapter, in MiB; small compared to its base model.
 const ADAPTER_MIB: u64 = 500;
 
 impl Deployment {
@@ -143,39 +143,40 @@
         table
     }
 
-    /// Returns which checkpoints are cached where, unevenly: a third on a disk, a tenth in memory.
-    pub fn cached(&self, seed: u64) -> Vec<Placed> {
+    /// Returns the local copies at the start, on random engines: a third of the checkpoints on a disk, a tenth
+    /// in memory.
+    pub fn cached(&self, seed: u64) -> Vec<LocalCopy> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xCA);
-        let mut placed = Vec::new();
+        let mut copies = Vec::new();
         for row in self.table() {
-            let (engine, luck) = (rng.random_range(0..self.engines), rng.random_range(0.0..1.0));
-            let source = match luck {
+            let (engine, draw) = (rng.random_range(0..self.engines), rng.random_range(0.0..1.0));
+            let source = match draw {
                 x if x < 0.1 => Source::Memory,
                 x if x < 0.43 => Source::Disk,
                 _ => continue,
             };
-            placed.push(Placed { engine, model: row.name, source });
+            copies.push(LocalCopy { engine, model: row.name, source });
         }
-        placed
+        copies
     }
 
-    /// Generates the requests of `hours`, in the order of their times.
+    /// Generates the requests of `hours` hours, ordered by arrival time.
     ///
-    /// Each model has sessions with heavy-tailed gaps between them, thinned by night; a session
-    /// begins with a burst at several daemons and goes on with single requests.
+    /// Each model has sessions with heavy-tailed gaps between them, fewer at night. A session starts with a
+    /// burst at several daemons, followed by single requests.
     pub fn arrivals(&self, seed: u64, hours: u64) -> Vec<Arrival> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let end = hours as f64 * 3600.0;
         let mut arrivals = Vec::new();
         for row in self.table() {
-            // Popular models return within minutes, most others within hours.
+            // Popular models have their next session within minutes, most others within hours.
             let scale = 600.0 * 40_f64.powf(rng.random_range(0.0..1.0));
             let mut at = rng.random_range(0.0..scale);
             while at < end {
                 if rng.random_range(0.0..1.0) < day_share(at) {
                     self.session(&mut rng, &row, at, &mut arrivals);
                 }
-                at += scale * (SPREAD * normal(&mut rng)).exp();
+                at += scale * (GAP_LOG_STD_DEV * normal(&mut rng)).exp();
             }
         }
         arrivals.retain(|a| a.at_ms < hours * 3_600_000);
@@ -206,19 +207,19 @@
     }
 }
 
-/// Returns a draw of the standard normal distribution, by the Box-Muller transform.
+/// Returns a sample of the standard normal distribution, by the Box-Muller transform.
 fn normal(rng: &mut ChaCha8Rng) -> f64 {
     let radius = (-2.0 * (1.0 - rng.random_range(0.0..1.0_f64)).ln()).sqrt();
     radius * (std::f64::consts::TAU * rng.random_range(0.0..1.0)).cos()
 }
 
-/// Returns the share of sessions that take place at this time of day.
+/// Returns the fraction of sessions kept at this time of day; `at` is in seconds.
 fn day_share(at: f64) -> f64 {
     let hour = (at / 3600.0) % 24.0;
     0.55 + 0.45 * ((hour - 6.0) / 24.0 * std::f64::consts::TAU).sin()
 }
 
-/// Returns the deadline of an arrival.
+/// Returns the deadline of an arrival since the start of the workload.
 pub fn deadline(arrival: &Arrival) -> Duration {
     Duration::from_millis(arrival.at_ms + arrival.deadline_ms)
 }
@@ -227,7 +228,7 @@
 ///
 /// # Errors
 ///
-/// Never fails in memory; the type is the library's.
+/// Writing to memory does not fail; the error type is that of the CSV library.
 pub fn write_csv(arrivals: &[Arrival]) -> Result<String, csv::Error> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     for arrival in arrivals {
@@ -238,11 +239,11 @@
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Reads arrivals that [`write_csv`] wrote, in the order of their times.
+/// Reads arrivals that [`write_csv`] wrote; returns them ordered by arrival time.
 ///
 /// # Errors
 ///
-/// A line is not an arrival.
+/// A line cannot be parsed as an arrival.
 pub fn read_csv(text: &str) -> Result<Vec<Arrival>, csv::Error> {
     let mut arrivals = csv::Reader::from_reader(text.as_bytes())
         .into_deserialize()
--- a/tools/src/world.rs
+++ b/tools/src/world.rs
@@ -1,7 +1,7 @@
-//! Control state machines on a fake log and fake engines, in virtual time.
+//! Simulation of control state machines with a fake log and fake engines, in virtual time.
 //!
-//! Everything that may go wrong between them is in the caller's hands: lost and late answers,
-//! pauses, crashes, a log that is down, replaced hosts, clocks that drift.
+//! The caller injects the faults: lost and late responses, pauses, crashes, an unavailable log, replaced
+//! hosts and clock drift.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -46,47 +46,47 @@
 enum Message {
     Append(DaemonId, Incarnation, Entry, bool),
     Appended(DaemonId, Incarnation, u64, bool),
-    /// An order, and whether its answer is lost; none where the sender has given up.
+    /// An order, and whether its response is lost; `None` if the sender has timed out.
     Order(DaemonId, Incarnation, Order, Option<bool>),
     Ordered(DaemonId, Incarnation, Order, OrderAnswer),
     Report(DaemonId, Incarnation, ServerId, Option<ServerReport>),
-    /// An answer that waited for the end of a pause.
-    Answer(DaemonId, Incarnation, Event),
+    /// A response deferred to the end of the daemon's pause.
+    Deferred(DaemonId, Incarnation, Event),
 }
 
-/// When the sender of an order gives up waiting for its answer.
+/// Time after which the sender of an order stops waiting for the response.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay of every message where the weather says nothing else.
+/// Base delay of every message; the delays of [`Weather`] are added.
 const DELAY: Duration = Duration::from_millis(20);
 
-/// A breach of a promise.
+/// A violated invariant, as text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Breach(pub String);
 
-/// The world.
+/// State of the simulation.
 #[derive(Debug)]
 pub struct World {
-    /// Now, on the true clock.
+    /// Current time of the true clock.
     pub now: Duration,
-    /// Whether the log is down.
+    /// Whether the log is unavailable.
     pub log_down: bool,
-    /// How messages go wrong.
+    /// Injected message faults.
     pub weather: Weather,
     /// Daemons by name.
     pub daemons: BTreeMap<DaemonId, FakeDaemon>,
     /// Engines by name, with their data centres.
     pub engines: BTreeMap<ServerId, (CentreId, FakeEngine)>,
-    /// The fold of the whole log.
+    /// State after applying the whole log.
     pub head: ReplicatedState,
-    /// Claims granted, with the daemon.
+    /// Granted claims, each with its daemon.
     pub granted: Vec<(ClaimKey, DaemonId)>,
-    /// Answers to claims that were not granted.
+    /// Results of claims that were not granted.
     pub refused: Vec<(ClaimKey, ClaimAnswer)>,
-    /// Answers to edits.
+    /// Results of edits.
     pub edited: Vec<(Edit, EditAnswer)>,
     /// Decisions, newest last.
     pub decisions: Vec<(Duration, DaemonId, Decision)>,
-    /// Loading speeds of the engines.
+    /// Load rates of the engines.
     pub rates: LoadRates,
     /// The weight store.
     pub store: Store,
@@ -96,7 +96,7 @@
     hosts: Vec<Host>,
     version: u64,
     messages: BTreeMap<(Duration, u64), Message>,
-    numbers: u64,
+    message_count: u64,
 }
 
 impl Default for World {
@@ -106,7 +106,7 @@
 }
 
 impl World {
-    /// Creates a world with nothing in it.
+    /// Creates a simulation without daemons and engines.
     pub fn new(policy: KeepWarmPolicy) -> Self {
         Self {
             now: Duration::ZERO,
@@ -127,7 +127,7 @@
             hosts: Vec::new(),
             version: 0,
             messages: BTreeMap::new(),
-            numbers: 0,
+            message_count: 0,
         }
     }
 
@@ -148,28 +148,28 @@
             rate: 1.0,
             waiting: Vec::new(),
             started: Duration::ZERO,
-            saw_hosts: 0,
+            hosts_version: 0,
         };
         self.daemons.insert(id.into(), daemon);
         self.start(id);
         self.list_hosts();
     }
 
-    /// Kills a daemon: what it knew is gone, what it sent is under way.
+    /// Kills a daemon: its state is lost, messages that it sent stay in transit.
     pub fn kill(&mut self, id: &str) {
         if let Some(daemon) = self.daemons.get_mut(id) {
             daemon.control = None;
         }
     }
 
-    /// Starts a daemon anew, if it is dead.
+    /// Starts a daemon with the next incarnation unless it is running.
     pub fn start(&mut self, id: &str) {
         let Some(daemon) = self.daemons.get_mut(id).filter(|d| d.control.is_none()) else {
             return;
         };
         daemon.incarnation += 1;
         daemon.started = self.now;
-        daemon.saw_hosts = 0;
+        daemon.hosts_version = 0;
         daemon.paused = self.now;
         daemon.control = Some(Controller::new(ControlSettings {
             id: id.into(),
@@ -181,7 +181,7 @@
         }));
     }
 
-    /// Replaces an engine's host: what it held is gone.
+    /// Replaces an engine's host, so that its loaded models are lost.
     pub fn replace_engine(&mut self, id: &str) {
         if let Some((_, engine)) = self.engines.get_mut(id) {
             engine.replace();
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Makes the host list show the hosts as they are now.
+    /// Updates the host list to the current daemons and engines.
     pub fn list_hosts(&mut self) {
         self.version += 1;
         let host = |id: &str, role, centre: &CentreId| Host {
@@ -210,39 +210,39 @@
         self.hosts = daemons.chain(engines).collect();
     }
 
-    /// Takes a host out of the host list, whatever it does.
+    /// Removes a host from the host list; the host itself keeps running.
     pub fn unlist(&mut self, id: &str) {
         self.version += 1;
         self.hosts.retain(|h| h.id != id);
     }
 
-    /// Gives a daemon an event.
+    /// Passes an event to a daemon and applies the effects. Ignored if the daemon is paused or killed.
     pub fn give(&mut self, id: &str, event: Event) {
-        let Some((now, control)) = self.awake(id) else {
+        let Some((now, control)) = self.running_control(id) else {
             return;
         };
         let effects = control.handle(now, event);
-        self.carry_out(id, effects);
+        self.apply_effects(id, effects);
     }
 
-    /// Returns whether a message is under way.
+    /// Returns whether a message is in transit.
     pub fn is_busy(&self) -> bool {
         !self.messages.is_empty()
     }
 
-    /// Returns a daemon's clock and state machine, if it runs.
-    pub fn awake(&mut self, id: &str) -> Option<(Duration, &mut Controller)> {
+    /// Returns a daemon's local time and state machine; `None` if it is paused or killed.
+    pub fn running_control(&mut self, id: &str) -> Option<(Duration, &mut Controller)> {
         let now = self.now;
         let daemon = self.daemons.get_mut(id).filter(|d| d.paused <= now)?;
         let local = now.saturating_sub(daemon.started).mul_f64(daemon.rate);
         daemon.control.as_mut().map(|control| (local, control))
     }
 
-    /// Lets time pass.
+    /// Advances virtual time by `time` in steps of `step`.
     ///
     /// # Errors
     ///
-    /// A promise was broken.
+    /// An invariant was violated.
     pub fn run(&mut self, time: Duration, step: Duration) -> Result<(), Breach> {
         let end = self.now + time;
         while self.now < end {
@@ -251,11 +251,11 @@
         Ok(())
     }
 
-    /// Lets one step of time pass, and checks what the engines really hold.
+    /// Advances virtual time by one step, delivers due messages and checks the invariants.
     ///
     /// # Errors
     ///
-    /// A promise was broken.
+    /// An invariant was violated.
     pub fn step(&mut self, step: Duration) -> Result<(), Breach> {
         self.now += step;
         while let Some(entry) = self.messages.first_entry() {
@@ -269,25 +269,25 @@
         let ids: Vec<DaemonId> = self.daemons.keys().cloned().collect();
         for id in &ids {
             self.read_log(id);
-            self.tell_hosts(id);
-            self.tell_demand(id);
+            self.send_hosts(id);
+            self.send_demand(id);
             self.give(id, Event::Tick);
         }
         self.check()
     }
 
-    fn tell_hosts(&mut self, id: &str) {
+    fn send_hosts(&mut self, id: &str) {
         let version = self.version;
-        let is_due = |d: &FakeDaemon| !d.cut && d.saw_hosts != version;
-        if self.daemons.get(id).is_some_and(is_due) && self.awake(id).is_some() {
+        let is_due = |d: &FakeDaemon| !d.cut && d.hosts_version != version;
+        if self.daemons.get(id).is_some_and(is_due) && self.running_control(id).is_some() {
             self.give(id, Event::Hosts(self.hosts.clone()));
             if let Some(daemon) = self.daemons.get_mut(id) {
-                daemon.saw_hosts = version;
+                daemon.hosts_version = version;
             }
         }
     }
 
-    fn tell_demand(&mut self, id: &str) {
+    fn send_demand(&mut self, id: &str) {
         let reports: Vec<(DaemonId, Vec<WaitingRequests>)> =
             self.daemons.iter().map(|(from, d)| (from.clone(), d.waiting.clone())).collect();
         for (from, waiting) in reports {
@@ -297,7 +297,7 @@
 
     fn read_log(&mut self, id: &str) {
         let down = self.log_down || self.daemons.get(id).is_some_and(|d| d.cut);
-        let Some((_, control)) = self.awake(id) else {
+        let Some((_, control)) = self.running_control(id) else {
             return;
         };
         if down {
@@ -313,12 +313,12 @@
     }
 
     fn send(&mut self, delay: Duration, message: Message) {
-        self.numbers += 1;
+        self.message_count += 1;
         let at = self.now + DELAY + self.weather.delay + delay;
-        self.messages.insert((at, self.numbers), message);
+        self.messages.insert((at, self.message_count), message);
     }
 
-    fn carry_out(&mut self, id: &str, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, id: &str, effects: Vec<Effect>) {
         let Some(daemon) = self.daemons.get(id) else {
             return;
         };
@@ -359,7 +359,7 @@
         let mut lost = take(&mut self.weather.lose_orders);
         let late = self.weather.late_order.take();
         if late.is_some() {
-            // The sender gives up long before the order arrives.
+            // The sender times out long before the order arrives.
             lost = true;
             let unknown =
                 Message::Ordered(id.into(), incarnation, order.clone(), OrderAnswer::Unknown);
@@ -396,13 +396,13 @@
                 }
             }
             Message::Appended(id, incarnation, sequence, done) => {
-                self.answer(&id, incarnation, Event::Appended { sequence, done });
+                self.respond(&id, incarnation, Event::Appended { sequence, done });
             }
             Message::Order(id, incarnation, order, lost) => {
                 let now = self.now;
                 let time = self.load_time(&order);
-                // A connection ends with the engine that took it; what was under way on it never
-                // reaches a later start. Only an order still in its sender's hand does.
+                // A connection ends with the engine's incarnation that accepted it, so an order in transit
+                // never reaches a later one. Only an order that was not sent yet can.
                 let engine = self
                     .engines
                     .get_mut(&order.server)
@@ -415,17 +415,18 @@
                 }
             }
             Message::Ordered(id, incarnation, order, answer) => {
-                self.answer(&id, incarnation, Event::Ordered(order, answer));
+                self.respond(&id, incarnation, Event::Ordered(order, answer));
             }
             Message::Report(id, incarnation, server, report) => {
-                self.answer(&id, incarnation, Event::Report(server, report));
+                self.respond(&id, incarnation, Event::Report(server, report));
             }
-            Message::Answer(id, incarnation, event) => self.answer(&id, incarnation, event),
+            Message::Deferred(id, incarnation, event) => self.respond(&id, incarnation, event),
         }
     }
 
-    /// Gives an answer to the start of the daemon that asked; a paused one gets it later.
-    fn answer(&mut self, id: &str, incarnation: Incarnation, event: Event) {
+    /// Delivers a response to the daemon if it still has the incarnation that sent the request. A paused
+    /// daemon receives it at the end of the pause.
+    fn respond(&mut self, id: &str, incarnation: Incarnation, event: Event) {
         let now = self.now;
         let Some(daemon) = self.daemons.get(id).filter(|d| d.incarnation == incarnation) else {
             return;
@@ -434,13 +435,14 @@
         if wait.is_zero() {
             self.give(id, event);
         } else {
-            self.send(wait, Message::Answer(id.into(), incarnation, event));
+            self.send(wait, Message::Deferred(id.into(), incarnation, event));
         }
     }
 
-    /// Returns how long a load takes that begins now.
+    /// Returns the time until a load that is ordered now completes.
     ///
-    /// Loads from the weight store wait for their start, and share its speed past the fourth.
+    /// Loads from the weight store start at most once per `spacing`; with more than [`MAX_STORE_LOADS`] in
+    /// progress they share its bandwidth.
     fn load_time(&mut self, order: &Order) -> Duration {
         if order.action != OrderAction::Load {
             return Duration::ZERO;
@@ -462,11 +464,11 @@
         end.saturating_sub(now)
     }
 
-    /// Checks the promises against what the engines really hold.
+    /// Checks the invariants against the models that the engines have in memory.
     ///
-    /// Everything that is loaded must have its slot in the log, memory must suffice, and a model's
-    /// slots may not grow past the table's count. A count that was lowered may stay exceeded, but
-    /// not grow.
+    /// Every loaded model must have a slot in the log, memory must not be exceeded, and a model's slots must
+    /// not grow beyond the table's replica count. After the count was lowered, the slots may stay above it
+    /// but must not grow.
     fn check(&mut self) -> Result<(), Breach> {
         let mut counts = BTreeMap::new();
         for slot in self.head.slots.values() {
