--- a/lib/benches/slopes.rs
+++ b/lib/benches/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes of control: what each part of the state costs in time and bytes, at several sizes.
+//! Measures how time and bytes of the control state grow with its size, for each part of the state.
 //!
 //! `cargo bench -p comfreymux-lib --bench slopes` prints one line for each part and size.
 
@@ -36,19 +36,19 @@
 use comfreymux_testutils::rows;
 use comfreymux_tools::load::usage;
 
-const ME: &str = "daemon-0000";
+const DAEMON_ID: &str = "daemon-0000";
 const CENTRES: usize = 21;
 
-/// A log that grows in memory.
+/// A log in memory.
 #[derive(Default)]
 struct Log {
     entries: Vec<Entry>,
 }
 
 impl Log {
-    fn put(&mut self, records: Vec<Record>) -> u64 {
+    fn append(&mut self, records: Vec<Record>) -> u64 {
         let sequence = self.entries.len() as u64 + 1;
-        self.entries.push(Entry { writer: ME.into(), incarnation: 1, sequence, records });
+        self.entries.push(Entry { writer: DAEMON_ID.into(), incarnation: 1, sequence, records });
         sequence - 1
     }
 }
@@ -66,13 +66,14 @@
     })
 }
 
-/// A log of `servers` in 21 data centres, all led by one daemon, with two slots on each.
+/// Returns a log of `servers` servers in [`CENTRES`] data centres, with two slots on each server. One daemon
+/// holds the lease of every data centre.
 fn log_of(servers: usize, models: usize) -> Log {
     let mut log = Log::default();
-    log.put(vec![edit("rows", (0..models).map(row))]);
+    log.append(vec![edit("rows", (0..models).map(row))]);
     let mut fences = Vec::new();
     for i in 0..CENTRES {
-        let offset = log.put(vec![Record::Bid(Bid { centre: centre(i), seen: 0 })]);
+        let offset = log.append(vec![Record::Bid(Bid { centre: centre(i), seen: 0 })]);
         fences.push(comfreymux_lib::ids::position(offset, 0));
     }
     let server = |i: usize| format!("server-{i:05}");
@@ -93,7 +94,7 @@
         };
         let records =
             vec![Record::Server(facts), Record::Intent(intent(i)), Record::Intent(intent(i + 1))];
-        let offset = log.put(records);
+        let offset = log.append(records);
         let phase = |index| {
             Record::Phase(PhaseChange {
                 slot: comfreymux_lib::ids::position(offset, index),
@@ -101,7 +102,7 @@
                 phase: Phase::Loaded,
             })
         };
-        log.put(vec![phase(1), phase(2)]);
+        log.append(vec![phase(1), phase(2)]);
     }
     log
 }
@@ -110,17 +111,17 @@
     format!("centre-{:02}", i % CENTRES).into()
 }
 
-fn time(repeat: u32, mut run: impl FnMut()) -> f64 {
-    let began = Instant::now();
+fn mean_micros(repeat: u32, mut run: impl FnMut()) -> f64 {
+    let started_at = Instant::now();
     for _ in 0..repeat {
         run();
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(repeat)
+    started_at.elapsed().as_secs_f64() * 1e6 / f64::from(repeat)
 }
 
 fn control_of(log: &Log, servers: usize) -> Controller {
     let mut control = Controller::new(ControlSettings {
-        id: ME.into(),
+        id: DAEMON_ID.into(),
         incarnation: 1,
         centre: centre(0),
         append_gap: Duration::from_millis(20),
@@ -151,21 +152,21 @@
     let mut control = control_of(&log, servers);
     let resident = usage(std::process::id()).resident_mib - before;
     let mut now = Duration::from_secs(1);
-    let tick = time(200, || {
+    let tick = mean_micros(200, || {
         now += Duration::from_millis(50);
         black_box(control.handle(now, Event::Tick));
     });
     let waiting: Vec<WaitingRequests> =
         (0..20).map(|i| WaitingRequests { model: row(i).name, count: 3, weight: 9 }).collect();
-    let busy = time(200, || {
+    let busy = mean_micros(200, || {
         now += Duration::from_millis(50);
         control.handle(now, Event::Demand("daemon-0001".into(), waiting.clone()));
         black_box(control.handle(now, Event::Tick));
     });
-    let view = time(10, || {
+    let view = mean_micros(10, || {
         black_box(RoutingView::new(&control, now));
     });
-    let encode = time(5, || {
+    let encode = mean_micros(5, || {
         black_box(control.state().hash());
     });
     println!(
@@ -180,15 +181,15 @@
     let mut state = ReplicatedState::default();
     let before = usage(std::process::id()).resident_mib;
     let batch = 10;
-    let began = Instant::now();
+    let started_at = Instant::now();
     for i in 0..claims / batch {
         let keys = (i * batch..(i + 1) * batch).map(|k| u128::from(k) << 64 | u128::from(k));
         let settle = |key| Record::Settle(Settlement { key, verdict: Verdict::Ran, answer: None });
         let records = keys.flat_map(|key| [Record::Claim(key), settle(key)]).collect();
-        let entry = Entry { writer: ME.into(), incarnation: 1, sequence: i + 1, records };
+        let entry = Entry { writer: DAEMON_ID.into(), incarnation: 1, sequence: i + 1, records };
         fold::apply(&mut state, i, &entry);
     }
-    let each = began.elapsed().as_secs_f64() * 1e6 / claims as f64;
+    let each = started_at.elapsed().as_secs_f64() * 1e6 / claims as f64;
     let resident = usage(std::process::id()).resident_mib - before;
     println!(
         "claims={claims}: fold {each:.2} us each, state {} B each, resident +{resident:.0} MiB",
@@ -197,8 +198,12 @@
 }
 
 fn measure_bytes() {
-    let entry =
-        |records| Entry { writer: ME.into(), incarnation: 1 << 40, sequence: 1 << 20, records };
+    let entry = |records| Entry {
+        writer: DAEMON_ID.into(),
+        incarnation: 1 << 40,
+        sequence: 1 << 20,
+        records,
+    };
     let size = |records| wire::encode(&entry(records)).len();
     let empty = size(Vec::new());
     let settle = Settlement { key: u128::MAX, verdict: Verdict::Ran, answer: None };
@@ -212,7 +217,7 @@
         size(vec![edit("operator-0123456789abcdef", std::iter::once(row(1)))]) - empty,
     );
     let digest = |lines: usize| Digest {
-        daemon: ME.into(),
+        daemon: DAEMON_ID.into(),
         offset: 1 << 40,
         hash: (1 << 40, u64::MAX),
         demand: (0..lines)
--- a/tools/src/fake_engine.rs
+++ b/tools/src/fake_engine.rs
@@ -37,7 +37,7 @@
     /// Accelerator memory, in MiB. Loads that exceed it are accepted all the same, so that a fault of the
     /// planner is detected.
     pub memory_mib: Mebibytes,
-    /// Whether orders with an is_stale fencing number or incarnation are refused.
+    /// Whether orders with a stale fencing number or incarnation are refused.
     pub fencing: bool,
     /// Number of starts so far.
     pub incarnation: Incarnation,
