--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -130,7 +130,7 @@
                     open = Some(wire);
                 }
             }
-            // Closed without a response: the daemon was killed, or it closed the connection in its stop just as the
+            // Closed without a response: the daemon was killed, or it stopped and closed the connection just as the
             // request was sent.
             Ok(None) => {
                 if had_only_stops && seen.only_stops.get() {
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -60,7 +60,7 @@
     pub front_proxies: Vec<Rc<Proxy>>,
     /// The daemon processes.
     pub daemons: Vec<RefCell<Daemon>>,
-    /// Every request that a server started_at to run.
+    /// Every request that a server started to run.
     pub runs: Runs,
     /// Bodies of the requests that crash every server that begins to run them.
     pub fatal: Fatal,
