--- a/lib/src/cluster/peer_table.rs
+++ b/lib/src/cluster/peer_table.rs
@@ -86,7 +86,7 @@
     /// Id of its process.
     pub process: ProcessId,
     /// When its last digest was received; `None` if it is only listed in the store.
-    pub last_heard: Option<Moment>,
+    pub last_received: Option<Moment>,
     /// Its data centre; empty if neither a digest nor an entry has named it.
     pub centre: CentreId,
     /// Its configuration version; 0 if unknown.
@@ -129,7 +129,7 @@
     pub fn put_listed(&mut self, id: &DaemonId, listed: &DaemonEntry, now: Moment) {
         let peer = self.entry(id, listed.addr, listed.process, now);
         // A digest is newer than the list.
-        if peer.last_heard.is_none() {
+        if peer.last_received.is_none() {
             peer.addr = listed.addr;
             peer.process = listed.process;
             peer.centre = listed.centre.clone();
@@ -148,7 +148,7 @@
         self.peers.entry(id.clone()).or_insert_with(|| Peer {
             addr,
             process,
-            last_heard: None,
+            last_received: None,
             centre: CentreId::default(),
             config_version: 0,
             config_checked: Moment::ZERO,
@@ -171,14 +171,14 @@
     ) -> bool {
         let timeout = self.peer_timeout();
         let peer = self.entry(id, addr, process, now);
-        let was_unreachable = peer.last_heard.is_none_or(|heard| now > heard + timeout);
+        let was_unreachable = peer.last_received.is_none_or(|heard| now > heard + timeout);
         if peer.process != process {
             peer.reader_status = None;
         }
         peer.addr = addr;
         peer.process = process;
         peer.rank = ReaderRank { is_small: digest.is_small, process };
-        peer.last_heard = Some(now);
+        peer.last_received = Some(now);
         peer.centre = digest.centre.clone();
         peer.config_version = digest.config_version;
         let age = Duration::from_millis(digest.config_age.into());
@@ -238,8 +238,8 @@
     }
 
     /// Returns whether a peer has neither sent a digest nor been listed within [`Self::peer_timeout`].
-    pub(super) fn is_gone(&self, peer: &Peer, now: Moment) -> bool {
-        now > peer.last_heard.unwrap_or(peer.listed_at).max(peer.listed_at) + self.peer_timeout()
+    pub(super) fn is_expired(&self, peer: &Peer, now: Moment) -> bool {
+        now > peer.last_received.unwrap_or(peer.listed_at).max(peer.listed_at) + self.peer_timeout()
     }
 
     /// Returns the peers that sent a digest within [`Self::peer_timeout`].
@@ -336,7 +336,7 @@
     pub fn holder(&self, now: Moment) -> Option<(&DaemonId, &Peer, PeerLease)> {
         let claims = self.peers.iter().filter_map(|(id, p)| Some((id, p, p.lease?)));
         let timeout = self.holder_interval() * HOLDER_MISSED_DIGESTS;
-        let is_fresh = |p: &Peer| p.last_heard.is_some_and(|heard| now <= heard + timeout);
+        let is_fresh = |p: &Peer| p.last_received.is_some_and(|heard| now <= heard + timeout);
         claims.filter(|(_, p, l)| now <= l.until && is_fresh(p)).max_by_key(|(_, _, l)| l.fence)
     }
 
@@ -347,7 +347,7 @@
             return others > 1 && now > self.remote_heard(centre, now) + ISOLATION_TIMEOUT;
         }
         let mut others =
-            self.peers.values().filter(|p| p.last_heard.is_some() && p.centre != centre);
+            self.peers.values().filter(|p| p.last_received.is_some() && p.centre != centre);
         let timeout = self.peer_timeout();
         let mut count = 0;
         let all_unreachable = others.all(|p| {
@@ -361,7 +361,8 @@
     pub fn sweep(&mut self, now: Moment) {
         let cycles = DIGEST_INTERVAL * self.daemons() as u32 * RETENTION_CYCLES;
         let ttl = if self.is_large_fleet() { cycles.max(PEER_RETENTION) } else { PEER_RETENTION };
-        self.peers.retain(|_, p| now <= p.last_heard.unwrap_or(p.listed_at).max(p.listed_at) + ttl);
+        self.peers
+            .retain(|_, p| now <= p.last_received.unwrap_or(p.listed_at).max(p.listed_at) + ttl);
     }
 }
 
@@ -374,6 +375,6 @@
 
     /// Returns whether its last digest was received at most `timeout` ago.
     pub fn is_reachable(&self, now: Moment, timeout: Duration) -> bool {
-        self.last_heard.is_some_and(|heard| now <= heard + timeout)
+        self.last_received.is_some_and(|heard| now <= heard + timeout)
     }
 }
--- a/lib/src/cluster/quarantine.rs
+++ b/lib/src/cluster/quarantine.rs
@@ -48,13 +48,13 @@
     is_own: bool,
     requests: BTreeMap<Fingerprint, CrashStage>,
     /// The most suspicious stage of all its requests, including those cleared since.
-    worst: CrashStage,
+    worst_stage: CrashStage,
 }
 
 impl Crash {
     /// Returns whether it had the request and none of its other requests was at a more suspicious stage.
     fn has_worst(&self, fingerprint: &Fingerprint) -> bool {
-        self.requests.get(fingerprint) == Some(&self.worst)
+        self.requests.get(fingerprint) == Some(&self.worst_stage)
     }
 }
 
@@ -112,7 +112,8 @@
     ) -> bool {
         let is_released =
             progress == RequestProgress::Complete && self.held.contains_key(&fingerprint);
-        let is_cleared = |c: &Crash| progress.clears(c.worst) && self.is_suspect(&fingerprint, c);
+        let is_cleared =
+            |c: &Crash| progress.clears(c.worst_stage) && self.is_suspect(&fingerprint, c);
         let is_change = is_released || self.crashes.values().any(is_cleared);
         if is_change {
             self.clear_at(fingerprint, progress, now);
@@ -133,7 +134,8 @@
     /// Returns whether a request has progressed beyond the stage of a crash since, and is no suspect of a later crash.
     /// The latter matters for requests whose servers crash near the first event: these progress further now and then.
     fn is_cleared(&self, fingerprint: &Fingerprint, crash: &Crash) -> bool {
-        let clearing = RequestProgress::ALL.iter().filter(|progress| progress.clears(crash.worst));
+        let clearing =
+            RequestProgress::ALL.iter().filter(|progress| progress.clears(crash.worst_stage));
         let newest =
             clearing.filter_map(|progress| self.cleared.get(&(*fingerprint, *progress))).max();
         let crashed_again = |since: &Moment| {
@@ -196,7 +198,7 @@
             requests.sort_by_key(|(_, stage)| *stage);
             requests.truncate(MAX_REPORTED);
             let age = now.saturating_sub(crash.at);
-            CrashReport { id: id.clone(), age, worst: crash.worst, requests }
+            CrashReport { id: id.clone(), age, worst_stage: crash.worst_stage, requests }
         };
         QuarantineReport {
             crashes: crashes.into_iter().take(MAX_REPORTED).map(crash).collect(),
@@ -215,7 +217,7 @@
             let at = now.saturating_sub(crash.age);
             self.merge_crash(&crash.id, at, &crash.requests, false, now);
             if let Some(known) = self.crashes.get_mut(&crash.id) {
-                known.worst = known.worst.min(crash.worst);
+                known.worst_stage = known.worst_stage.min(crash.worst_stage);
             }
             let fingerprints = crash.requests.iter().map(|(fingerprint, _)| *fingerprint);
             held.extend(fingerprints.filter(|fingerprint| self.evaluate(*fingerprint, now)));
@@ -256,12 +258,12 @@
             updated_at: now,
             is_own,
             requests: BTreeMap::new(),
-            worst: CrashStage::Other,
+            worst_stage: CrashStage::Other,
         });
         crash.at = crash.at.min(at);
         crash.is_own |= is_own;
         for (fingerprint, stage) in requests {
-            crash.worst = crash.worst.min(*stage);
+            crash.worst_stage = crash.worst_stage.min(*stage);
             let cleared = self.cleared.get(&(*fingerprint, RequestProgress::Complete));
             let is_cleared = cleared.is_some_and(|at| *at >= crash.at);
             if is_cleared || crash.requests.len() >= MAX_REQUESTS {
--- a/lib/src/cluster/quarantine_report.rs
+++ b/lib/src/cluster/quarantine_report.rs
@@ -76,7 +76,7 @@
     /// Time since the crash.
     pub age: Duration,
     /// The most suspicious stage of all requests at the server, including those not listed in `requests`.
-    pub worst: CrashStage,
+    pub worst_stage: CrashStage,
     /// Requests at the server, with their stage at the crash.
     pub requests: Vec<(Fingerprint, CrashStage)>,
 }
--- a/lib/src/cluster/reader_report.rs
+++ b/lib/src/cluster/reader_report.rs
@@ -28,11 +28,11 @@
     /// lower must read the feed.
     pub changes_from: Offset,
     /// Time since the store answered the reader's latest read of the servers' feed, in milliseconds.
-    pub read_age: u32,
+    pub read_age_ms: u32,
     /// Time since the reader last received a message from a daemon of another data centre, in milliseconds.
-    pub remote_age: u32,
+    pub remote_age_ms: u32,
     /// Servers that joined, returned or restarted, with their entries as the platform wrote them.
-    pub joined: Vec<(ServerId, Vec<u8>)>,
+    pub joined_servers: Vec<(ServerId, Vec<u8>)>,
     /// Checksum over the servers that may receive requests; a receiver compares it with its own to detect a
     /// difference between the directories.
     pub checksum: u64,
--- a/lib/src/cluster/reader_role.rs
+++ b/lib/src/cluster/reader_role.rs
@@ -28,7 +28,7 @@
     /// Those of them that read and get answers from the store.
     pub readers: usize,
     /// Those of them that read but get no answers from the store.
-    pub blind: usize,
+    pub without_store: usize,
 }
 
 /// Whether this daemon reads for its data centre.
@@ -52,7 +52,7 @@
         }
         self.enough_since = None;
         let since = *self.short_since.get_or_insert(now);
-        let is_blind = higher.readers + higher.blind >= READERS_PER_CENTRE;
+        let is_blind = higher.readers + higher.without_store >= READERS_PER_CENTRE;
         let interval = if is_blind { BLIND_TAKEOVER_INTERVAL } else { TAKEOVER_INTERVAL };
         let pair = (higher.daemons / READERS_PER_CENTRE) as u32;
         self.is_active |= now >= since + interval * pair;
--- a/lib/src/cluster/readers.rs
+++ b/lib/src/cluster/readers.rs
@@ -33,7 +33,11 @@
     /// Converts the ages in a report received at `now`.
     pub fn new(report: &ReaderReport, now: Moment) -> Self {
         let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
-        Self { received_at: now, read: ago(report.read_age), remote_heard: ago(report.remote_age) }
+        Self {
+            received_at: now,
+            read: ago(report.read_age_ms),
+            remote_heard: ago(report.remote_age_ms),
+        }
     }
 
     fn is_recent(&self, now: Moment) -> bool {
@@ -65,11 +69,14 @@
     /// Counts the daemons of a data centre that rank before `rank`, and the readers among them.
     pub fn higher_ranked(&self, rank: ReaderRank, centre: &str, now: Moment) -> HigherRanked {
         let mut higher = HigherRanked::default();
-        for peer in self.in_centre(centre).filter(|p| p.rank < rank && !self.is_gone(p, now)) {
+        for peer in self.in_centre(centre).filter(|p| p.rank < rank && !self.is_expired(p, now)) {
             higher.daemons += 1;
             if peer.fresh_reader_status(now).is_some() {
-                let count =
-                    if peer.is_blind(now) { &mut higher.blind } else { &mut higher.readers };
+                let count = if peer.is_blind(now) {
+                    &mut higher.without_store
+                } else {
+                    &mut higher.readers
+                };
                 *count += 1;
             }
         }
@@ -93,7 +100,7 @@
         let mut list: Vec<SocketAddr> = self.readers(centre, now).map(|(_, p)| p.addr).collect();
         if list.len() < READERS_PER_CENTRE {
             let mut first: Vec<&Peer> =
-                self.in_centre(centre).filter(|p| !self.is_gone(p, now)).collect();
+                self.in_centre(centre).filter(|p| !self.is_expired(p, now)).collect();
             first.sort_by_key(|p| p.rank);
             let first = first.into_iter().map(|p| p.addr).take(READERS_PER_CENTRE);
             let fresh: Vec<SocketAddr> = first.filter(|addr| !list.contains(addr)).collect();
@@ -132,7 +139,7 @@
     /// reader of `centre`.
     pub fn remote_heard(&self, centre: &str, now: Moment) -> Moment {
         let others = self.peers.values().filter(|p| p.centre != centre && !p.centre.is_empty());
-        let own = others.filter_map(|p| p.last_heard).max().unwrap_or_default();
+        let own = others.filter_map(|p| p.last_received).max().unwrap_or_default();
         let statuses = self.readers(centre, now).filter_map(|(_, p)| p.fresh_reader_status(now));
         statuses.map(|status| status.remote_heard).max().unwrap_or_default().max(own)
     }
--- a/lib/src/cluster/store_health.rs
+++ b/lib/src/cluster/store_health.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the time since a call on the feed was last answered.
-    pub fn silence(&self, feed: Feed, now: Moment) -> Duration {
+    pub fn time_since_answer(&self, feed: Feed, now: Moment) -> Duration {
         now.saturating_sub(self.feeds.get(&feed).map_or(Moment::ZERO, |s| s.answered_at))
     }
 }
--- a/lib/src/placement/engine_table.rs
+++ b/lib/src/placement/engine_table.rs
@@ -104,7 +104,7 @@
     /// When `models` was last changed or confirmed.
     pub changed: Moment,
     /// Newest heartbeat whose directory entry was compared with `models`.
-    pub compared: u64,
+    pub compared_heartbeat: u64,
     /// The load in progress.
     pub job: Option<LoadJob>,
     /// Whether the last report showed a change that does not result from this daemon's orders. The previous lease
@@ -137,7 +137,7 @@
             orders_inflight: true,
             stale_reports: 0,
             changed: Moment::ZERO,
-            compared: 0,
+            compared_heartbeat: 0,
             job: None,
             reported_busy: false,
             adapter_jobs: Vec::new(),
@@ -248,12 +248,12 @@
     /// evicted by such an order would count as loaded forever, and callers would wait for it until they time out.
     fn compare(&mut self, now: Moment) {
         if !self.confirmed
-            || self.server.heartbeat <= self.compared
+            || self.server.heartbeat <= self.compared_heartbeat
             || now < self.changed + ENTRY_LAG
         {
             return;
         }
-        self.compared = self.server.heartbeat;
+        self.compared_heartbeat = self.server.heartbeat;
         self.confirmed = !self.differs(&self.server.models);
     }
 
--- a/lib/src/serve/apply_updates.rs
+++ b/lib/src/serve/apply_updates.rs
@@ -120,7 +120,11 @@
 }
 
 /// Records an instance that a peer, a server or a report named. Returns how it compares with the newest known one.
-pub fn apply_start(daemon: &DaemonState, instance: &ServerInstance, from: &str) -> InstanceOrder {
+pub fn apply_instance(
+    daemon: &DaemonState,
+    instance: &ServerInstance,
+    from: &str,
+) -> InstanceOrder {
     let order = daemon.directory.borrow_mut().observe_instance(instance, daemon.now());
     if order == InstanceOrder::Newer && daemon.directory.borrow().is_current(instance) {
         log_change(daemon, &instance.id, Change::Restarted, from);
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -76,7 +76,7 @@
     /// Number of sends so far.
     pub sends: u32,
     /// Number of failed sends that reached a server; a send after the first of them takes from the retry budget.
-    pub deliveries: u32,
+    pub failed_deliveries: u32,
     /// Server of the last send.
     pub last_server: Option<ServerInstance>,
     /// Whether it runs after requests that can still meet their goals.
@@ -98,7 +98,7 @@
     /// Time of the first event from the server of the last send.
     pub first_event: Option<Moment>,
     /// Same as `first_event`, but cleared once events have been received for a while.
-    pub young_since: Option<Moment>,
+    pub unproven_since: Option<Moment>,
     /// Longest pause between events so far.
     pub max_pause: Duration,
 }
@@ -176,9 +176,9 @@
     /// Records the first event of the response.
     pub fn record_first_event(&mut self, daemon: &DaemonState, first: Moment) {
         self.first_event = Some(first);
-        self.young_since = Some(first);
+        self.unproven_since = Some(first);
         self.trial = None;
-        daemon.record_passed(self, RequestProgress::FirstEvent);
+        daemon.record_progress(self, RequestProgress::FirstEvent);
     }
 
     /// Returns the tried servers and the server of the last send.
@@ -206,7 +206,7 @@
         self.record_failure(daemon, failure);
         self.failed_over = origin.failed_over;
         self.possible_runs -= 1;
-        self.deliveries -= 1;
+        self.failed_deliveries -= 1;
         self.verdict = origin.verdict;
         self.tried.retain(|s| Some(s) != origin.server.as_ref());
         self.last_server = origin.server;
@@ -219,7 +219,7 @@
         self.sent_at = now;
         self.sending = true;
         self.first_event = None;
-        self.young_since = None;
+        self.unproven_since = None;
         self.last_server = Some(chosen.server.instance());
         self.queue_wait = chosen.queue_wait;
         self.cost = chosen.cost;
@@ -227,7 +227,7 @@
     }
 
     /// Returns the refusal for a cancelled request; its verdict states whether the request may have run.
-    pub fn give_up(&mut self, reason: &'static str, retry: Duration) -> Refusal {
+    pub fn cancel(&mut self, reason: &'static str, retry: Duration) -> Refusal {
         if self.sending {
             self.verdict = self.verdict.combine(Verdict::MayHaveRun);
         }
@@ -239,7 +239,7 @@
         self.sending = false;
         self.trial = None;
         self.reason = failure.reason;
-        self.deliveries += u32::from(failure.delivered);
+        self.failed_deliveries += u32::from(failure.delivered);
         self.verdict = self.verdict.combine(failure.verdict);
         if failure.verdict != Verdict::DidNotRun {
             self.possible_runs += 1;
--- a/lib/src/serve/call.rs
+++ b/lib/src/serve/call.rs
@@ -26,7 +26,7 @@
     Unsent,
     /// The request may have been sent and may still be carried out.
     #[error("no answer")]
-    Unanswered,
+    NoResponse,
 }
 
 /// Sends a request and returns the status and body of the response, which must be complete within `limit`.
@@ -53,19 +53,19 @@
         let response = match connection.sender().try_send_request(request).await {
             Ok(response) => response,
             Err(mut error) => {
-                let unsent = error.take_message().ok_or(CallError::Unanswered)?;
+                let unsent = error.take_message().ok_or(CallError::NoResponse)?;
                 connection = pool.connect(&peer, addr).await.map_err(|_io| CallError::Unsent)?;
                 let sent = connection.sender().try_send_request(unsent).await;
-                sent.map_err(|_error| CallError::Unanswered)?
+                sent.map_err(|_error| CallError::NoResponse)?
             }
         };
         let status = response.status();
         let body = response.into_body().collect().await;
-        let body = body.map_err(|_broken| CallError::Unanswered)?.to_bytes();
+        let body = body.map_err(|_broken| CallError::NoResponse)?.to_bytes();
         Ok((status, body))
     };
     let mut guard = CallGuard::new(pool, &peer);
-    let answer = timeout(limit, exchange).await.map_err(|_elapsed| CallError::Unanswered)?;
+    let answer = timeout(limit, exchange).await.map_err(|_elapsed| CallError::NoResponse)?;
     guard.mark_answered();
     let answer = answer?;
     pool.release(connection, Some(KEEP_ALIVE));
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -60,7 +60,7 @@
     /// Mean run time of requests by service.
     pub run_times: &'a RunTimes,
     /// Send permits for rate-limited servers.
-    pub turns: &'a SendPermits,
+    pub send_permits: &'a SendPermits,
     /// This daemon's data centre.
     pub centre: &'a CentreId,
     /// Current time.
@@ -217,7 +217,7 @@
 
     /// Returns the send permit for a server; `None` if it has no rate limit.
     fn permit(&self, server: &Server) -> Option<&SendPermit> {
-        if self.turns.is_empty() { None } else { self.turns.get(&server.instance()) }
+        if self.send_permits.is_empty() { None } else { self.send_permits.get(&server.instance()) }
     }
 
     /// Drops rate-limited servers from `list` if another one has a free slot: their permits are kept for requests
@@ -227,7 +227,7 @@
         let is_open = |s: &&Rc<Server>| self.permit(s).is_none_or(|permit| permit.probe_due);
         let has_free_slot =
             |s: &Rc<Server>| self.workloads.at(&s.instance(), self.now).running < s.slots;
-        if self.turns.is_empty() || !list.iter().any(|s| is_open(s) && has_free_slot(s)) {
+        if self.send_permits.is_empty() || !list.iter().any(|s| is_open(s) && has_free_slot(s)) {
             return list;
         }
         list.into_iter().filter(is_open).collect()
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -370,11 +370,11 @@
     /// it.
     pub fn config_age(&self, now: Moment) -> Duration {
         let reported_age = now.saturating_sub(self.freshness.config_at.get());
-        self.store_health.borrow().silence(Feed::Configuration, now).min(reported_age)
+        self.store_health.borrow().time_since_answer(Feed::Configuration, now).min(reported_age)
     }
 
     /// Returns the time since the store last answered this daemon, or a reader that reported it.
-    pub fn store_silence(&self, now: Moment) -> Duration {
+    pub fn time_since_store(&self, now: Moment) -> Duration {
         now.saturating_sub(self.store_answered.get().max(self.freshness.servers_at.get()))
     }
 
@@ -476,7 +476,7 @@
             workloads: &self.workloads,
             health: &health,
             run_times: &self.run_times,
-            turns: &send_permits,
+            send_permits: &send_permits,
             centre: &settings.centre,
             now: self.now(),
             load_uncertainty: self.peers.borrow().unseen_requests(),
--- a/lib/src/serve/engine_orders.rs
+++ b/lib/src/serve/engine_orders.rs
@@ -168,7 +168,7 @@
                 }
                 Err(error) => {
                     unanswered_tries += 1;
-                    if error == CallError::Unanswered {
+                    if error == CallError::NoResponse {
                         may_have_run = true;
                         self.with_engine(server, |engine| engine.orders_inflight = true);
                     }
@@ -359,6 +359,6 @@
     /// Records the instance that a report names, and returns whether it is `instance`.
     fn is_current(&self, instance: &ServerInstance, report: &EngineReport) -> bool {
         let reported = ServerInstance { id: instance.id.clone(), born: report.born };
-        apply_updates::apply_start(&self.daemon, &reported, "report") == InstanceOrder::Same
+        apply_updates::apply_instance(&self.daemon, &reported, "report") == InstanceOrder::Same
     }
 }
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -70,7 +70,7 @@
             attempt.tried.clear();
             continue;
         };
-        if attempt.deliveries > 0 && !daemon.take_retry(&attempt.service) {
+        if attempt.failed_deliveries > 0 && !daemon.take_retry(&attempt.service) {
             return Err(Refusal::failed(
                 attempt.verdict,
                 "the retry budget is spent",
@@ -123,7 +123,7 @@
         return false;
     }
     attempt.possible_runs += 1;
-    attempt.deliveries += 1;
+    attempt.failed_deliveries += 1;
     attempt.verdict = Verdict::Ran;
     attempt.sending = false;
     attempt.tried.push(server);
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -36,12 +36,12 @@
 #[derive(Debug)]
 pub enum WaitOutcome<T> {
     /// The server responded, or the send failed.
-    Answer(T),
+    Response(T),
     /// The server is unresponsive, and this other one can take the request: the retry is taken from the
     /// budget, and a connection is open.
     FailOver(ChosenServer),
     /// The deadline has passed.
-    OutOfTime,
+    DeadlinePassed,
 }
 
 /// Waits for the response to a send, and fails over to other servers if one is unresponsive. `begin` starts
@@ -58,9 +58,11 @@
 ) -> Result<T, SendFailure> {
     let mut current = sent;
     loop {
-        match wait_answer(daemon, attempt, attempt.response_timeout(), &mut current).await {
-            WaitOutcome::Answer(response) => return response,
-            WaitOutcome::OutOfTime => return Err(SendFailure::may_have_run("no answer in time")),
+        match wait_response(daemon, attempt, attempt.response_timeout(), &mut current).await {
+            WaitOutcome::Response(response) => return response,
+            WaitOutcome::DeadlinePassed => {
+                return Err(SendFailure::may_have_run("no answer in time"));
+            }
             WaitOutcome::FailOver(next) => {
                 if let Some(new_send) = try_failover(daemon, attempt, &next, &begin).await {
                     current = new_send;
@@ -100,7 +102,7 @@
 /// another one. Cancelling earlier cut off responses that were still in progress: the caller received a broken
 /// stream or a failure, though the run would have succeeded. So attempts, retry budget, a free slot and a
 /// connection are checked first.
-pub async fn wait_answer<T>(
+pub async fn wait_response<T>(
     daemon: &Rc<DaemonState>,
     attempt: &Attempt,
     response_timeout: Duration,
@@ -109,8 +111,8 @@
     let left = attempt.deadline.saturating_sub(daemon.now());
     tokio::select! {
         biased;
-        response = response => WaitOutcome::Answer(response),
-        () = sleep(left) => WaitOutcome::OutOfTime,
+        response = response => WaitOutcome::Response(response),
+        () = sleep(left) => WaitOutcome::DeadlinePassed,
         chosen = wait_for_other_server(daemon, attempt, response_timeout) =>
             WaitOutcome::FailOver(chosen),
     }
@@ -165,7 +167,7 @@
         daemon.record_health(&attempt.service, &server.instance(), Evidence::Unreachable);
         return None;
     }
-    // There is no await from here until the caller of `wait_answer` has the server: a future dropped in between
+    // There is no await from here until the caller of `wait_response` has the server: a future dropped in between
     // would lose the retry taken from the budget.
     daemon.take_retry(&attempt.service).then_some(chosen)
 }
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -135,7 +135,7 @@
     /// Records an instance that a peer named; returns whether it is not older than the newest known one, so that the
     /// peer's report on it counts.
     fn accepts_instance(&self, instance: &ServerInstance, from: &DaemonId) -> bool {
-        apply_updates::apply_start(&self.daemon, instance, from) != InstanceOrder::Older
+        apply_updates::apply_instance(&self.daemon, instance, from) != InstanceOrder::Older
     }
 
     /// Applies engine inventories. A reader relays those of the lease holder to its data centre.
@@ -144,7 +144,7 @@
         let is_holder =
             daemon.peers.borrow().holder(daemon.now()).is_some_and(|(id, ..)| id == from);
         if is_holder && daemon.is_large_fleet() && daemon.is_reader() {
-            self.relay_holdings(fence, &list);
+            self.relay_inventories(fence, &list);
         }
         list.retain(|inventory| self.accepts_instance(&inventory.server, from));
         daemon.update_inventory(fence, list);
@@ -171,7 +171,7 @@
         }
         self.apply_departures(from, &digest.departures);
         daemon.apply_peer_limits(&digest.limits, from);
-        suspects::receive_note(daemon, &digest.quarantine, from);
+        suspects::merge_report(daemon, &digest.quarantine, from);
     }
 
     /// Applies a peer's reports of servers that leave.
@@ -216,7 +216,9 @@
         let daemon = &self.daemon;
         let now = daemon.now();
         let status = ReaderStatus::new(&report, now);
-        let ReaderReport { digest, changes_from, joined, checksum, scope, workloads, .. } = report;
+        let ReaderReport {
+            digest, changes_from, joined_servers, checksum, scope, workloads, ..
+        } = report;
         self.apply_digest(from, addr, process, &digest);
         daemon.peers.borrow_mut().set_reader_status(from, status);
         let is_own_centre = digest.centre == daemon.settings().centre;
@@ -238,7 +240,7 @@
             let config_at = &daemon.freshness.config_at;
             config_at.set(config_at.get().max(now.saturating_sub(age)));
         }
-        if self.apply_changes(&status, changes_from, digest.servers_end, joined) {
+        if self.apply_changes(&status, changes_from, digest.servers_end, joined_servers) {
             self.check_divergence(from, digest.servers_end, checksum);
         }
     }
--- a/lib/src/serve/graceful_stop.rs
+++ b/lib/src/serve/graceful_stop.rs
@@ -8,7 +8,7 @@
 const START_FRACTION: f64 = 1.0 / 3.0;
 /// Time until the load balancer sends no more callers: it checks readiness once a second and needs two
 /// failed checks. Callers that it sends until then are served.
-pub const LEAVE_TIME: Duration = Duration::from_millis(2600);
+pub const DEREGISTRATION_TIME: Duration = Duration::from_millis(2600);
 /// Fraction of the grace period that is reserved for the last responses and the exit of the process.
 const MARGIN_FRACTION: f64 = 1.0 / 12.0;
 /// Longest margin: 0.2 s for the responses and 0.1 s for the log, or 0.4 s if the log's reader is slow.
@@ -31,7 +31,7 @@
 
     /// Returns when the load balancer sends no more callers to this daemon.
     pub fn deregistered_at(self) -> Moment {
-        self.began + LEAVE_TIME
+        self.began + DEREGISTRATION_TIME
     }
 
     /// Returns when requests still in progress are aborted.
@@ -53,7 +53,7 @@
         if deadline <= self.abort_at() {
             return self.abort_at();
         }
-        self.began + LEAVE_TIME.min(self.grace.mul_f64(START_FRACTION))
+        self.began + DEREGISTRATION_TIME.min(self.grace.mul_f64(START_FRACTION))
     }
 
     fn margin(self) -> Duration {
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -140,7 +140,7 @@
         failed_over: false,
         possible_runs: 0,
         sends: 0,
-        deliveries: 0,
+        failed_deliveries: 0,
         last_server: None,
         is_late: false,
         queue_wait: Duration::ZERO,
@@ -149,7 +149,7 @@
         reason: "",
         model_wait: Duration::ZERO,
         trial: None,
-        young_since: None,
+        unproven_since: None,
         sent_at: arrived,
         first_event: None,
         max_pause: Duration::ZERO,
@@ -223,12 +223,12 @@
     let result = tokio::select! {
         biased;
         result = exchange(daemon, &mut attempt) => result,
-        () = daemon.aborted() => Err(attempt.give_up(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
+        () = daemon.aborted() => Err(attempt.cancel(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
     };
     match result {
         Ok(OpenOutcome::Whole(head, body)) => {
             attempt.verdict = Verdict::Ran;
-            daemon.record_passed(&attempt, RequestProgress::Complete);
+            daemon.record_progress(&attempt, RequestProgress::Complete);
             log_request(daemon, &attempt, head.status, "answered", None);
             forward_response(head, body)
         }
--- a/lib/src/serve/lifecycle.rs
+++ b/lib/src/serve/lifecycle.rs
@@ -22,7 +22,7 @@
 use crate::serve::peer_sync;
 use crate::serve::peer_transfer;
 use crate::serve::placement_controller::PlacementController;
-use crate::serve::pooled_client::PooledCalls;
+use crate::serve::pooled_client::PooledEngineClient;
 use crate::serve::socket;
 use crate::serve::suspects;
 
@@ -59,7 +59,7 @@
     let peers = socket::listen(settings.peer)?;
     daemon.lease.borrow_mut().set_address(settings.peer, daemon.now());
     let gossip = Gossip::new(Rc::clone(daemon), socket::bind_udp(settings.peer)?);
-    let calls = Rc::new(PooledCalls::new(Rc::clone(daemon)));
+    let calls = Rc::new(PooledEngineClient::new(Rc::clone(daemon)));
     let placement = PlacementController::new(Rc::clone(daemon), Rc::clone(&gossip), calls);
     let lease = LeaseManager::new(Rc::clone(daemon), Rc::clone(&gossip));
     slog::info!(daemon.log, "start"; "id" => settings.id.as_str(), "process" => daemon.process,
--- a/lib/src/serve/model_waits.rs
+++ b/lib/src/serve/model_waits.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns the demand to publish: waiting requests and the counts of recent arrivals.
-    pub fn demand_note(&self, now: Moment) -> DemandReport {
+    pub fn demand_report(&self, now: Moment) -> DemandReport {
         let tables = self.tables.borrow();
         let queued = tables
             .waiting
--- a/lib/src/serve/peer_sync.rs
+++ b/lib/src/serve/peer_sync.rs
@@ -120,7 +120,7 @@
 fn update_isolation(daemon: &DaemonState) {
     let now = daemon.now();
     let centre = daemon.settings().centre.clone();
-    let since_response = daemon.store_silence(now);
+    let since_response = daemon.time_since_store(now);
     // Both conditions are needed: all peers may have stopped, and the store may be unavailable to all daemons.
     let isolated = since_response > store_response_timeout(daemon)
         && daemon.peers.borrow().is_isolated(&centre, now);
@@ -147,7 +147,7 @@
     let now = daemon.now();
     let config = daemon.config_version();
     let servers = daemon.directory.borrow().feed_end();
-    let is_unresponsive = daemon.store_silence(now) > store_response_timeout(daemon);
+    let is_unresponsive = daemon.time_since_store(now) > store_response_timeout(daemon);
     let servers = is_unresponsive.then_some(servers);
     let centre = &daemon.settings().centre;
     daemon.peers.borrow().snapshot_source(config, servers, centre, rotation, now)
--- a/lib/src/serve/pooled_client.rs
+++ b/lib/src/serve/pooled_client.rs
@@ -16,18 +16,18 @@
 
 /// An [`EngineClient`] that uses a daemon's connection pool.
 #[derive(Debug)]
-pub struct PooledCalls {
+pub struct PooledEngineClient {
     daemon: Rc<DaemonState>,
 }
 
-impl PooledCalls {
+impl PooledEngineClient {
     /// Creates a client that uses the connection pool of `daemon`.
     pub fn new(daemon: Rc<DaemonState>) -> Self {
         Self { daemon }
     }
 }
 
-impl EngineClient for PooledCalls {
+impl EngineClient for PooledEngineClient {
     fn call<'a>(
         &'a self,
         engine: &'a ServerInstance,
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -104,9 +104,9 @@
         let report = ReaderReport {
             digest: Digest { workloads: Vec::new(), ..self.digest(departures) },
             changes_from,
-            read_age: millis(now.saturating_sub(daemon.freshness.servers_at.get())),
-            remote_age: millis(now.saturating_sub(remote_received)),
-            joined: joined.into_iter().map(|(id, raw)| (id, raw.to_vec())).collect(),
+            read_age_ms: millis(now.saturating_sub(daemon.freshness.servers_at.get())),
+            remote_age_ms: millis(now.saturating_sub(remote_received)),
+            joined_servers: joined.into_iter().map(|(id, raw)| (id, raw.to_vec())).collect(),
             checksum,
             scope,
             workloads,
@@ -131,7 +131,7 @@
         };
         if was_reader != reads {
             slog::info!(daemon.log, "reader"; "reads" => reads, "before" => higher.daemons,
-                "readers" => higher.readers, "blind" => higher.blind);
+                "readers" => higher.readers, "blind" => higher.without_store);
         }
     }
 
@@ -262,7 +262,7 @@
     fn send_demand(&self) {
         let daemon = &self.daemon;
         let now = daemon.now();
-        let report = daemon.model_waits.demand_note(now);
+        let report = daemon.model_waits.demand_report(now);
         if report == DemandReport::default() {
             return;
         }
@@ -306,7 +306,7 @@
     }
 
     /// Forwards inventories from the lease holder to the data centre.
-    pub(super) fn relay_holdings(&self, fence: Fence, list: &[EngineInventory]) {
+    pub(super) fn relay_inventories(&self, fence: Fence, list: &[EngineInventory]) {
         let bytes = self.encode(Payload::Inventories(fence, list.to_vec()));
         let centre = self.daemon.settings().centre.clone();
         for peer in self.daemon.peers.borrow().in_centre(&centre) {
--- a/lib/src/serve/relay.rs
+++ b/lib/src/serve/relay.rs
@@ -24,7 +24,7 @@
 use crate::serve::failover::WaitOutcome;
 use crate::serve::failover::await_with_failover;
 use crate::serve::failover::try_failover;
-use crate::serve::failover::wait_answer;
+use crate::serve::failover::wait_response;
 use crate::serve::find_server::find_replacement;
 use crate::serve::handle::STOPPING_REASON;
 use crate::serve::handle::log_request;
@@ -55,7 +55,7 @@
 enum RelayEnd {
     Complete,
     CallerLeft,
-    OutOfTime,
+    DeadlinePassed,
     DaemonAborted,
     /// The server failed (`None`), or it was unresponsive and another one has accepted the request.
     Interrupted(Option<SendFuture<OpenOutcome>>),
@@ -74,7 +74,7 @@
                     let run = self.daemon.now().saturating_sub(first_event);
                     self.daemon.run_times.record(&self.attempt.service, run);
                     self.attempt.verdict = Verdict::Ran;
-                    self.daemon.record_passed(&self.attempt, RequestProgress::Complete);
+                    self.daemon.record_progress(&self.attempt, RequestProgress::Complete);
                     self.log(head.status, "complete", first_event, stream.last_id());
                     self.daemon
                         .pool
@@ -82,7 +82,7 @@
                     return;
                 }
                 RelayEnd::CallerLeft => CALLER_LEFT,
-                RelayEnd::OutOfTime => "out of time",
+                RelayEnd::DeadlinePassed => "out of time",
                 RelayEnd::DaemonAborted => STOPPING_REASON,
                 RelayEnd::Interrupted(accepted) => {
                     let last_id = stream.last_id();
@@ -145,13 +145,13 @@
                 return RelayEnd::CallerLeft;
             }
             if self.daemon.now() >= self.attempt.deadline {
-                return RelayEnd::OutOfTime;
+                return RelayEnd::DeadlinePassed;
             }
             let outcome = tokio::select! {
                 biased;
                 () = self.sender.closed() => return RelayEnd::CallerLeft,
                 () = self.daemon.aborted() => return RelayEnd::DaemonAborted,
-                outcome = wait_answer(
+                outcome = wait_response(
                     &self.daemon,
                     &self.attempt,
                     gap_target * UNRESPONSIVE_GAPS,
@@ -159,13 +159,13 @@
                 ) => outcome,
             };
             match outcome {
-                WaitOutcome::Answer(Ok(StreamItem::Events(events))) => {
+                WaitOutcome::Response(Ok(StreamItem::Events(events))) => {
                     self.record_pause();
                     self.daemon.record_events(&mut self.attempt);
                     chunk = events;
                 }
-                WaitOutcome::Answer(Ok(StreamItem::End)) => return RelayEnd::Complete,
-                WaitOutcome::Answer(Err(failure)) => {
+                WaitOutcome::Response(Ok(StreamItem::End)) => return RelayEnd::Complete,
+                WaitOutcome::Response(Err(failure)) => {
                     self.record_failure(&failure).await;
                     return RelayEnd::Interrupted(None);
                 }
@@ -185,7 +185,7 @@
                         Some(accepted) => return RelayEnd::Interrupted(Some(accepted)),
                     }
                 }
-                WaitOutcome::OutOfTime => return RelayEnd::OutOfTime,
+                WaitOutcome::DeadlinePassed => return RelayEnd::DeadlinePassed,
             }
         }
     }
--- a/lib/src/serve/store_calls.rs
+++ b/lib/src/serve/store_calls.rs
@@ -104,7 +104,7 @@
     if health.record_failure(feed, matches!(error, StoreError::UnknownOutcome(_))) {
         slog::warn!(daemon.log, "dependency-lost"; "dependency" => "store", "feed" => %feed,
             "error" => %error, "call_ms" => now.saturating_sub(sent_at).as_millis(),
-            "feed_seen_ms_ago" => health.silence(feed, now).as_millis(),
+            "feed_seen_ms_ago" => health.time_since_answer(feed, now).as_millis(),
             "seen_ms_ago" => now.saturating_sub(daemon.store_answered.get()).as_millis());
     }
 }
--- a/lib/src/serve/suspects.rs
+++ b/lib/src/serve/suspects.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records how far a server progressed with a request.
-    pub fn record_passed(&self, attempt: &Attempt, progress: RequestProgress) {
+    pub fn record_progress(&self, attempt: &Attempt, progress: RequestProgress) {
         if self.quarantine.borrow_mut().record_progress(attempt.fingerprint, progress, self.now()) {
             self.quarantine_changed.notify_one();
         }
@@ -59,9 +59,9 @@
 
     /// Records that events of a stream were just received.
     pub fn record_events(&self, attempt: &mut Attempt) {
-        if attempt.young_since.is_some_and(|first| self.now() >= first + EARLY_STREAM_TIME) {
-            attempt.young_since = None;
-            self.record_passed(attempt, RequestProgress::Streaming);
+        if attempt.unproven_since.is_some_and(|first| self.now() >= first + EARLY_STREAM_TIME) {
+            attempt.unproven_since = None;
+            self.record_progress(attempt, RequestProgress::Streaming);
         }
     }
 
@@ -172,7 +172,7 @@
 }
 
 /// Merges a peer's quarantine report.
-pub fn receive_note(daemon: &Rc<DaemonState>, report: &QuarantineReport, from: &str) {
+pub fn merge_report(daemon: &Rc<DaemonState>, report: &QuarantineReport, from: &str) {
     let held = daemon.quarantine.borrow_mut().merge(report, daemon.now());
     for fingerprint in held {
         log_quarantined(daemon, fingerprint, from);
--- a/lib/tests/test_directory.rs
+++ b/lib/tests/test_directory.rs
@@ -227,7 +227,7 @@
     directory.suspend("a", ms(0));
     let send_permits = SendPermits::new();
     let chooser = Chooser {
-        turns: &send_permits,
+        send_permits: &send_permits,
         directory: &directory,
         inventories: &EngineInventories::default(),
         workloads: &Workloads::default(),
--- a/lib/tests/test_reader_role.rs
+++ b/lib/tests/test_reader_role.rs
@@ -46,7 +46,7 @@
     fn higher_ranked(&self, n: usize) -> HigherRanked {
         let readers: Vec<usize> = (0..n).filter(|m| self.is_reporting(*m)).collect();
         let blind = readers.iter().filter(|m| self.health[**m] == Health::Blind).count();
-        HigherRanked { daemons: n, readers: readers.len() - blind, blind }
+        HigherRanked { daemons: n, readers: readers.len() - blind, without_store: blind }
     }
 
     /// Updates the role of every daemon that runs.
--- a/lib/tests/test_store_health.rs
+++ b/lib/tests/test_store_health.rs
@@ -19,14 +19,14 @@
     }
     assert_eq!(health.record_answer(Feed::Servers, SECOND * 2, SECOND * 3), Some(SECOND * 2));
     assert_eq!(health.record_answer(Feed::Servers, SECOND * 4, SECOND * 4), None);
-    assert_eq!(health.silence(Feed::Configuration, SECOND * 8), SECOND * 7);
-    assert_eq!(health.silence(Feed::Servers, SECOND * 8), SECOND * 4);
+    assert_eq!(health.time_since_answer(Feed::Configuration, SECOND * 8), SECOND * 7);
+    assert_eq!(health.time_since_answer(Feed::Servers, SECOND * 8), SECOND * 4);
     assert!(!health.record_failure(Feed::Configuration, true));
 }
 
 #[test]
 fn never_heard() {
-    assert_eq!(StoreHealth::default().silence(Feed::Leases, SECOND), SECOND);
+    assert_eq!(StoreHealth::default().time_since_answer(Feed::Leases, SECOND), SECOND);
 }
 
 /// Guards against a delay after an outage: each feed waited for its own timeout before it detected that its call had
--- a/lib/testutils/src/placing_site.rs
+++ b/lib/testutils/src/placing_site.rs
@@ -112,7 +112,7 @@
             orders_inflight: false,
             stale_reports: 0,
             changed: NOW,
-            compared: 0,
+            compared_heartbeat: 0,
             job: None,
             reported_busy: false,
             adapter_jobs: Vec::new(),
