--- a/lib/src/cluster/digest.rs
+++ b/lib/src/cluster/digest.rs
@@ -35,7 +35,7 @@
     /// Remaining validity of the lease, in milliseconds.
     pub remaining_ms: u32,
     /// End of the lease feed after the newest renewal.
-    pub end: Offset,
+    pub feed_end: Offset,
 }
 
 impl From<LeaseClaim> for LeaseReport {
@@ -43,7 +43,7 @@
         Self {
             fence: claim.fence,
             remaining_ms: claim.valid_for.as_millis() as u32,
-            end: claim.end,
+            feed_end: claim.end,
         }
     }
 }
--- a/lib/src/cluster/peer_table.rs
+++ b/lib/src/cluster/peer_table.rs
@@ -73,9 +73,9 @@
     /// Fencing number of the holder's orders.
     pub fence: Fence,
     /// Latest time until which the lease is valid, on this host's clock.
-    pub until: Moment,
+    pub valid_until: Moment,
     /// End of the lease feed after the holder's newest renewal.
-    pub end: Offset,
+    pub feed_end: Offset,
 }
 
 /// What is known of another daemon.
@@ -186,8 +186,8 @@
         peer.servers_end = digest.servers_end;
         peer.lease = digest.lease.map(|lease| PeerLease {
             fence: lease.fence,
-            until: now + Duration::from_millis(lease.remaining_ms.into()),
-            end: lease.end,
+            valid_until: now + Duration::from_millis(lease.remaining_ms.into()),
+            feed_end: lease.feed_end,
         });
         was_unreachable
     }
@@ -337,7 +337,9 @@
         let claims = self.peers.iter().filter_map(|(id, p)| Some((id, p, p.lease?)));
         let timeout = self.holder_interval() * HOLDER_MISSED_DIGESTS;
         let is_fresh = |p: &Peer| p.last_received.is_some_and(|heard| now <= heard + timeout);
-        claims.filter(|(_, p, l)| now <= l.until && is_fresh(p)).max_by_key(|(_, _, l)| l.fence)
+        claims
+            .filter(|(_, p, l)| now <= l.valid_until && is_fresh(p))
+            .max_by_key(|(_, _, l)| l.fence)
     }
 
     /// Returns whether this data centre is isolated: no daemon of another one, of at least two known, is reachable.
--- a/lib/src/cluster/readers.rs
+++ b/lib/src/cluster/readers.rs
@@ -24,7 +24,7 @@
     /// When the report was received.
     pub received_at: Moment,
     /// When the store answered the reader's latest read of the servers' feed.
-    pub read: Moment,
+    pub last_read: Moment,
     /// When the reader last received a message from a daemon of another data centre.
     pub remote_heard: Moment,
 }
@@ -35,7 +35,7 @@
         let ago = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
         Self {
             received_at: now,
-            read: ago(report.read_age_ms),
+            last_read: ago(report.read_age_ms),
             remote_heard: ago(report.remote_age_ms),
         }
     }
@@ -53,7 +53,7 @@
     }
 
     fn is_blind(&self, now: Moment) -> bool {
-        let read = self.reader_status.map_or(Moment::ZERO, |status| status.read);
+        let read = self.reader_status.map_or(Moment::ZERO, |status| status.last_read);
         now > read.min(self.config_checked) + STORE_ANSWER_TIMEOUT
     }
 }
@@ -111,7 +111,9 @@
 
     /// Returns the time of the latest read of the servers' feed that a reader of a data centre reports.
     pub fn newest_read(&self, centre: &str, now: Moment) -> Option<Moment> {
-        self.readers(centre, now).filter_map(|(_, p)| Some(p.fresh_reader_status(now)?.read)).max()
+        self.readers(centre, now)
+            .filter_map(|(_, p)| Some(p.fresh_reader_status(now)?.last_read))
+            .max()
     }
 
     /// Returns when the store last confirmed to a peer that no version later than `version` exists, or the
--- a/lib/src/cluster/workloads.rs
+++ b/lib/src/cluster/workloads.rs
@@ -241,7 +241,7 @@
 
     /// Returns the requests at a server, over all daemons that reported recently. The count is at least what
     /// the server itself reports.
-    pub fn at(&self, server: &ServerInstance, now: Moment) -> Workload {
+    pub fn workload_at(&self, server: &ServerInstance, now: Moment) -> Workload {
         let tables = self.tables.borrow();
         let mut workload = tables.others_at(server_key(server), now);
         let own = tables.own_at(server);
--- a/lib/src/metrics.rs
+++ b/lib/src/metrics.rs
@@ -167,7 +167,7 @@
     }
 
     /// Notes the configuration in force and for how long the store has said nothing about it.
-    pub fn configuration(&self, version: u64, age: Duration) {
+    pub fn set_configuration(&self, version: u64, age: Duration) {
         self.config_version.record(version, &[]);
         self.config_age.record(age.as_secs_f64(), &[]);
     }
@@ -183,7 +183,7 @@
     }
 
     /// Counts a record of a feed that cannot be read.
-    pub fn unread(&self, feed: &'static str) {
+    pub fn record_unreadable(&self, feed: &'static str) {
         self.unread.add(1, &[KeyValue::new("feed", feed)]);
     }
 
--- a/lib/src/placement/engine_table.rs
+++ b/lib/src/placement/engine_table.rs
@@ -60,7 +60,7 @@
     /// Where the weights come from.
     pub source: Source,
     /// When the load began.
-    pub since: Moment,
+    pub started_at: Moment,
     /// When the load is expected to end.
     pub eta: Moment,
 }
@@ -102,18 +102,18 @@
     /// Number of consecutive reports that counted fewer orders.
     pub stale_reports: u8,
     /// When `models` was last changed or confirmed.
-    pub changed: Moment,
+    pub changed_at: Moment,
     /// Newest heartbeat whose directory entry was compared with `models`.
     pub compared_heartbeat: u64,
     /// The load in progress.
-    pub job: Option<LoadJob>,
+    pub load_job: Option<LoadJob>,
     /// Whether the last report showed a change that does not result from this daemon's orders. The previous lease
     /// holder ordered it, and it may be a load from the weight store.
     pub reported_busy: bool,
     /// Adapters being loaded.
     pub adapter_jobs: Vec<AdapterJob>,
     /// When each model was last used or loaded.
-    pub used: BTreeMap<ModelName, Moment>,
+    pub last_used: BTreeMap<ModelName, Moment>,
     /// No new change starts before this time, after a failed one.
     pub backoff_until: Moment,
 }
@@ -136,12 +136,12 @@
             confirmed: false,
             orders_inflight: true,
             stale_reports: 0,
-            changed: Moment::ZERO,
+            changed_at: Moment::ZERO,
             compared_heartbeat: 0,
-            job: None,
+            load_job: None,
             reported_busy: false,
             adapter_jobs: Vec::new(),
-            used: BTreeMap::new(),
+            last_used: BTreeMap::new(),
             backoff_until: Moment::ZERO,
         }
     }
@@ -158,7 +158,7 @@
     }
 
     /// Returns whether it holds a model or, if one is given, an adapter of it.
-    pub fn has(&self, model: &str, adapter: Option<&SmolStr>) -> bool {
+    pub fn has_target(&self, model: &str, adapter: Option<&SmolStr>) -> bool {
         adapter.map_or_else(|| self.holds(model), |adapter| self.holds_adapter(model, adapter))
     }
 
@@ -216,7 +216,7 @@
         let held: Mebibytes = self.models.iter().map(|m| self.model_memory(spec, m)).sum();
         let coming: Mebibytes =
             self.adapter_jobs.iter().map(|a| adapters_size(spec, &a.model, 1)).sum();
-        let loading = self.job.as_ref().filter(|j| !self.holds(&j.model));
+        let loading = self.load_job.as_ref().filter(|j| !self.holds(&j.model));
         held + coming + loading.map_or(0, |j| size(spec, &j.model))
     }
 
@@ -227,7 +227,7 @@
         self.memory_copies.clone_from(&report.copies.memory);
         self.disk_copies.clone_from(&report.copies.disk);
         self.confirmed = true;
-        self.changed = now;
+        self.changed_at = now;
         self.stale_reports = 0;
         self.reported_busy = false;
     }
@@ -249,7 +249,7 @@
     fn compare(&mut self, now: Moment) {
         if !self.confirmed
             || self.server.heartbeat <= self.compared_heartbeat
-            || now < self.changed + ENTRY_LAG
+            || now < self.changed_at + ENTRY_LAG
         {
             return;
         }
@@ -283,8 +283,8 @@
                 copies.push(model.clone());
             }
         }
-        self.used.insert(model.clone(), now);
-        self.changed = now;
+        self.last_used.insert(model.clone(), now);
+        self.changed_at = now;
     }
 
     /// Records that the engine unloaded a model.
@@ -302,7 +302,7 @@
 
     /// Returns the contents that requests of all daemons may rely on.
     pub fn inventory(&self, now: Moment) -> EngineInventory {
-        let job = self.job.as_ref();
+        let job = self.load_job.as_ref();
         let is_victim = |name: &ModelName| job.is_some_and(|j| j.victims.contains(name));
         let models = self
             .models
@@ -342,7 +342,7 @@
     ///
     /// The engine of a new instance starts empty and unconfirmed, with no load in progress and order number zero:
     /// whatever the previous instance had accepted would keep the new one out of use forever.
-    pub fn follow(
+    pub fn update_from_directory(
         &mut self,
         directory: &Directory,
         config: &Configuration,
@@ -363,7 +363,7 @@
             let engine =
                 self.engines.entry(server.id.clone()).or_insert_with(|| Engine::new(server));
             engine.server = Rc::clone(server);
-            let is_idle = engine.job.is_none() && engine.adapter_jobs.is_empty();
+            let is_idle = engine.load_job.is_none() && engine.adapter_jobs.is_empty();
             if is_idle && !engine.confirmed {
                 engine.models.clone_from(&server.models);
             }
--- a/lib/src/placement/fetch_limiter.rs
+++ b/lib/src/placement/fetch_limiter.rs
@@ -119,7 +119,7 @@
     ///
     /// A new lease holder does not know the previous holder's fetches. Two that were started beside two of those took
     /// 20 and 27 s instead of 13 s, and the store was assumed to serve one at a time for the rest of the day.
-    pub fn begin(
+    pub fn record_start(
         &mut self,
         server: &ServerInstance,
         alone_time: Duration,
--- a/lib/src/placement/fetching.rs
+++ b/lib/src/placement/fetching.rs
@@ -73,7 +73,7 @@
         let can_grow = self.options.index.engines_with_copy(service, model).iter().any(|e| {
             self.options.is_usable(e)
                 && !e.holds(model)
-                && e.job.as_ref().is_none_or(|job| job.model != *model)
+                && e.load_job.as_ref().is_none_or(|job| job.model != *model)
         });
         let is_placed = self.placed.contains(&(service.clone(), model.clone()));
         (excess > 0.0 && !can_grow && !is_placed).then_some(excess)
--- a/lib/src/placement/lease_events.rs
+++ b/lib/src/placement/lease_events.rs
@@ -67,7 +67,7 @@
         // The holder has already sent the expiry of this record, unless it wrote a later record,
         // perhaps just before this read.
         let is_claimed =
-            self.peer_claim.is_some_and(|claim| claim.end == at.map_or(end, |at| at + 1));
+            self.peer_claim.is_some_and(|claim| claim.feed_end == at.map_or(end, |at| at + 1));
         if entry.is_some_and(|e| !e.released) && is_new && !is_claimed {
             self.peer_expiry = self.peer_expiry.max(now + LEASE_TTL);
         }
--- a/lib/src/placement/lease_state.rs
+++ b/lib/src/placement/lease_state.rs
@@ -300,7 +300,7 @@
     /// Applies the claim of another holder, or that there is none.
     fn update_peer(&mut self, peer_lease: Option<PeerLease>) {
         if let Some(peer_lease) = peer_lease {
-            self.peer_expiry = self.peer_expiry.max(peer_lease.until);
+            self.peer_expiry = self.peer_expiry.max(peer_lease.valid_until);
             if self.held.is_some_and(|h| h.fence < peer_lease.fence) {
                 self.step_down();
             }
--- a/lib/src/placement/load_options.rs
+++ b/lib/src/placement/load_options.rs
@@ -229,10 +229,11 @@
 
     fn can_evict(&self, engine: &Engine, model: &ModelName, stats: Option<WaitStats>) -> bool {
         let key = (engine.server.service.clone(), model.clone());
-        let is_settling = engine.used.get(model).is_some_and(|t| self.input.now < *t + SETTLE_TIME);
+        let is_settling =
+            engine.last_used.get(model).is_some_and(|t| self.input.now < *t + SETTLE_TIME);
         let is_last = self.index.replicas(&key.0, model) <= 1;
         let has_waiting = is_last && self.waiting_models.contains(&key);
-        let is_victim = engine.job.as_ref().is_some_and(|job| job.victims.contains(model));
+        let is_victim = engine.load_job.as_ref().is_some_and(|job| job.victims.contains(model));
         !is_victim && !is_settling && !has_waiting && !self.must_keep(engine, model, stats)
     }
 
@@ -269,7 +270,7 @@
             .map(|m| {
                 // A model in use is evicted last: the load would wait for its requests.
                 let delay = self.eviction_delay(engine, &m.name).as_secs_f64() / LOSS_SECONDS;
-                let used = engine.used.get(&m.name).copied().unwrap_or_default();
+                let used = engine.last_used.get(&m.name).copied().unwrap_or_default();
                 (
                     self.eviction_loss(engine, &m.name) + delay,
                     used,
@@ -327,7 +328,7 @@
         let mut time = self.load_time(model_spec, source) + ORDER_TIME;
         time += engine.backoff_until.saturating_sub(now);
         let reserved = self.reserved.get(&engine.server.id).copied();
-        if let Some(job) = &engine.job {
+        if let Some(job) = &engine.load_job {
             if job.model == model {
                 return None;
             }
--- a/lib/src/placement/plan_index.rs
+++ b/lib/src/placement/plan_index.rs
@@ -115,7 +115,7 @@
     fn count_engine(&mut self, engine: &'a Engine) {
         let service = engine.server.service.as_str();
         let centre = engine.server.centre.as_str();
-        let job = engine.job.as_ref();
+        let job = engine.load_job.as_ref();
         let is_fetching = job.map_or(engine.reported_busy, |j| j.source == Source::Store);
         self.fetching += usize::from(is_fetching);
         let kept = engine.models.iter().map(|m| &m.name);
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -51,7 +51,7 @@
         /// Where the weights come from.
         source: Source,
         /// Expected total duration.
-        time: Duration,
+        expected_time: Duration,
         /// Reason shown in the log.
         reason: &'static str,
     },
@@ -158,7 +158,7 @@
             model: model.clone(),
             victims: option.victims,
             source: option.source,
-            time: option.time,
+            expected_time: option.time,
             reason,
         });
     }
@@ -197,9 +197,9 @@
         let avoid = backlog.avoid;
         let is_allowed = |e: &&Engine| !avoid.contains(&e.server.instance());
         let will_serve = |e: &Engine| {
-            let is_victim = e.job.as_ref().is_some_and(|j| j.victims.contains(&target.model));
+            let is_victim = e.load_job.as_ref().is_some_and(|j| j.victims.contains(&target.model));
             e.holds(&target.model) && !is_victim
-                || e.job.as_ref().is_some_and(|j| j.model == target.model)
+                || e.load_job.as_ref().is_some_and(|j| j.model == target.model)
         };
         if self.options.engines(&target.service).filter(is_allowed).any(will_serve) {
             return;
@@ -265,7 +265,7 @@
         }
         let is_free = |e: &&&Engine| {
             e.confirmed
-                && e.job.is_none()
+                && e.load_job.is_none()
                 && self.input.now >= e.backoff_until
                 && !self.options.assigned.contains(&e.server.id)
         };
--- a/lib/src/protocol.rs
+++ b/lib/src/protocol.rs
@@ -84,7 +84,7 @@
     /// Whether the server says that the request did not run.
     pub not_executed: bool,
     /// The server's load.
-    pub load: Option<ReportedWorkload>,
+    pub workload: Option<ReportedWorkload>,
     /// The limit that the server names.
     pub limit: ReportedLimit,
     /// For how long the server keeps the connection open.
--- a/lib/src/serve/accept.rs
+++ b/lib/src/serve/accept.rs
@@ -101,7 +101,7 @@
         "/metrics" => {
             daemon.metrics.set_requests(daemon.model_waits.total(), daemon.active.get());
             let version = daemon.config_version();
-            daemon.metrics.configuration(version, daemon.config_age(daemon.now()));
+            daemon.metrics.set_configuration(version, daemon.config_age(daemon.now()));
             (StatusCode::OK, daemon.metrics.to_text())
         }
         _ => (StatusCode::NOT_FOUND, String::new()),
--- a/lib/src/serve/adapter_loading.rs
+++ b/lib/src/serve/adapter_loading.rs
@@ -37,7 +37,7 @@
                         && !loaded.adapters.contains(&job.adapter)
                     {
                         loaded.adapters.push(job.adapter.clone());
-                        engine.changed = now;
+                        engine.changed_at = now;
                     }
                 }
                 Err(_failure) => {
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -52,7 +52,7 @@
     /// Fingerprint of the request, the same for all its attempts.
     pub fingerprint: Fingerprint,
     /// Parsed protocol headers of the caller.
-    pub terms: CallerHeaders,
+    pub caller_headers: CallerHeaders,
     /// Configuration in force when the request arrived.
     pub config: Rc<Configuration>,
     /// Route that the request matched.
@@ -106,19 +106,19 @@
 impl Attempt {
     /// Returns the model and adapter that the request needs; `None` if its service has no engines or it names
     /// no model.
-    pub fn item(&self) -> Option<ModelTarget> {
+    pub fn model_target(&self) -> Option<ModelTarget> {
         let service = self.config.services.get(&self.service)?;
         service.engine.as_ref()?;
         Some(ModelTarget {
             service: self.service.clone(),
-            model: self.terms.model.clone()?,
-            adapter: self.terms.adapter.clone(),
+            model: self.caller_headers.model.clone()?,
+            adapter: self.caller_headers.adapter.clone(),
         })
     }
 
     /// Returns the key under which the request counts towards the workload of `server`.
     pub fn workload_key(&self, server: &Server) -> WorkloadKey {
-        WorkloadKey { server: server.instance(), model: self.item().map(|i| i.model) }
+        WorkloadKey { server: server.instance(), model: self.model_target().map(|i| i.model) }
     }
 
     /// Returns whether another send is ruled out: the request may have run, and its route allows no second run.
@@ -142,7 +142,7 @@
     ) -> Request<Bytes> {
         let offset = if self.is_late { LATE_PRIORITY_OFFSET } else { 0 };
         let level = self.route.priority.saturating_add(offset).min(MAX_PRIORITY);
-        let priority = self.item().map(|_| level);
+        let priority = self.model_target().map(|_| level);
         let time_left = self.deadline.saturating_sub(daemon.now());
         let terms = SendHeaders { server: server.id.clone(), time_left, priority, resume_after };
         let mut request = Request::new(self.body.clone());
@@ -257,7 +257,7 @@
     }
 
     fn record_missing_model(&self, daemon: &DaemonState, server: &ServerInstance) {
-        let Some(item) = self.item() else { return };
+        let Some(item) = self.model_target() else { return };
         let directory = daemon.directory.borrow();
         if let Some(server) = directory.get(&server.id).filter(|s| s.born == server.born) {
             daemon.inventories.borrow_mut().mark_missing(
@@ -270,6 +270,6 @@
 
     /// Returns the caller's id of this attempt for log lines, or `-` if there is none.
     pub fn id(&self) -> &str {
-        self.terms.attempt.as_deref().unwrap_or("-")
+        self.caller_headers.attempt.as_deref().unwrap_or("-")
     }
 }
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -143,7 +143,7 @@
             self.load_uncertainty * RUNNING_COST_MS,
         ) {
             Some(chosen) => {
-                let work = self.workloads.at(&chosen.server.instance(), self.now);
+                let work = self.workloads.workload_at(&chosen.server.instance(), self.now);
                 let queue_wait = self.queue_wait(&chosen.server, work);
                 EngineChoice::Server(ChosenServer { queue_wait, ..chosen })
             }
@@ -166,7 +166,7 @@
             let holds = |i: &ModelTarget| self.inventories.holds(s, &i.model, i.adapter.as_deref());
             !self.health.is_avoided(&s.instance(), self.now)
                 && item.is_none_or(holds)
-                && self.workloads.at(&s.instance(), self.now).running < s.slots
+                && self.workloads.workload_at(&s.instance(), self.now).running < s.slots
         };
         if item.is_some() {
             let cost = |s: &Server, w| self.engine_cost(s, w);
@@ -226,7 +226,7 @@
     fn prefer_unlimited<'s>(&self, list: Vec<&'s Rc<Server>>) -> Vec<&'s Rc<Server>> {
         let is_open = |s: &&Rc<Server>| self.permit(s).is_none_or(|permit| permit.probe_due);
         let has_free_slot =
-            |s: &Rc<Server>| self.workloads.at(&s.instance(), self.now).running < s.slots;
+            |s: &Rc<Server>| self.workloads.workload_at(&s.instance(), self.now).running < s.slots;
         if self.send_permits.is_empty() || !list.iter().any(|s| is_open(s) && has_free_slot(s)) {
             return list;
         }
@@ -282,7 +282,7 @@
         let healthy: Vec<&Rc<Server>> = usable.iter().filter(is_healthy).copied().collect();
         let list = self.prefer_unlimited(if healthy.is_empty() { usable } else { healthy });
         let candidate = |s: &&Rc<Server>| {
-            let work = self.workloads.at(&s.instance(), self.now);
+            let work = self.workloads.workload_at(&s.instance(), self.now);
             Candidate { cost: cost(s, work), free_slots: s.slots.saturating_sub(work.running) }
         };
         let candidates: Vec<Candidate> = list.iter().map(candidate).collect();
--- a/lib/src/serve/daemon_state.rs
+++ b/lib/src/serve/daemon_state.rs
@@ -438,7 +438,7 @@
 
     /// Counts an unreadable record, and logs it if its reason is new and the log's rate limit allows.
     pub fn log_unreadable(&self, feed: Feed, key: &str, reason: &str) {
-        self.metrics.unread(feed.name());
+        self.metrics.record_unreadable(feed.name());
         let report = self.unreadable.borrow_mut().record(feed, key, reason, self.now());
         if let Some(report) = report {
             slog::warn!(self.log, "record-unreadable"; "feed" => %feed, "key" => report.key.as_str(),
--- a/lib/src/serve/engine_orders.rs
+++ b/lib/src/serve/engine_orders.rs
@@ -208,7 +208,7 @@
             let spec = service.and_then(|service| service.engine.as_ref())?;
             let is_allowed = match kind {
                 OrderKind::Load => engine.has_room(spec, model, adapter),
-                OrderKind::Unload => engine.has(model, adapter),
+                OrderKind::Unload => engine.has_target(model, adapter),
             };
             (engine.confirmed && is_allowed).then_some(engine.sequence)
         });
@@ -273,7 +273,7 @@
         self.with_engine(server, |engine| {
             engine.sequence = order.expected_sequence + 1;
             engine.orders_inflight = false;
-            engine.changed = now;
+            engine.changed_at = now;
             if order.kind == OrderKind::Unload {
                 engine.remove_target(&order.model, order.adapter.as_ref());
             }
--- a/lib/src/serve/event_stream.rs
+++ b/lib/src/serve/event_stream.rs
@@ -15,11 +15,11 @@
 #[derive(Debug)]
 pub struct EventStream {
     /// The response whose body holds the events.
-    pub answer: ServerResponse,
+    pub response: ServerResponse,
     splitter: EventSplitter,
     order: EventOrder,
     /// Counts the request towards the server's workload until dropped.
-    pub work: WorkloadGuard,
+    pub workload_guard: WorkloadGuard,
 }
 
 /// The next item of a stream.
@@ -35,7 +35,7 @@
     /// Makes a reader of `answer`, whose first event must follow `last`, the last one that the caller has.
     pub fn new(answer: ServerResponse, last: Option<u64>, work: WorkloadGuard) -> Self {
         let splitter = EventSplitter::default();
-        Self { answer, splitter, order: EventOrder::after(last), work }
+        Self { response: answer, splitter, order: EventOrder::after(last), workload_guard: work }
     }
 
     /// Returns the id of the last event, or the one that reading began after; `None` before the first event.
@@ -70,7 +70,7 @@
             if !out.is_empty() {
                 return Ok(StreamItem::Events(out.freeze()));
             }
-            match self.answer.body.frame().await {
+            match self.response.body.frame().await {
                 None if self.splitter.has_partial() => {
                     let reason = "the stream ended within an event";
                     return Err(SendFailure::disconnected(reason, Disconnect::AfterHead));
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -46,8 +46,8 @@
             return Err(refusal);
         }
         let Some(chosen) = choose(daemon, attempt) else {
-            let permit =
-                daemon.with_chooser(|c| c.next_permit(&attempt.service, attempt.item().as_ref()));
+            let permit = daemon
+                .with_chooser(|c| c.next_permit(&attempt.service, attempt.model_target().as_ref()));
             if let Some(permit) = permit.filter(|_| !attempt.must_not_retry()) {
                 let goal_left = (attempt.arrived + attempt.route.latency_goal).saturating_sub(now);
                 if let Some(retry) = retry_after(permit, goal_left) {
@@ -103,7 +103,7 @@
 }
 
 fn choose(daemon: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
-    match attempt.item() {
+    match attempt.model_target() {
         None => daemon.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried)),
         Some(item) => match daemon.with_chooser(|c| c.choose_engine(&item, &attempt.tried)) {
             EngineChoice::Server(chosen) => Some(chosen),
@@ -143,8 +143,9 @@
     attempt.record_send(chosen, daemon.now());
     daemon.record_send(&server.instance());
     let request = attempt.request(daemon, &server, None);
-    let work = daemon.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt_tokens);
-    let id = attempt.terms.attempt.clone();
+    let work =
+        daemon.workloads.begin(attempt.workload_key(&server), attempt.caller_headers.prompt_tokens);
+    let id = attempt.caller_headers.attempt.clone();
     let daemon = Rc::clone(daemon);
     Box::pin(async move {
         let _work = work;
--- a/lib/src/serve/exchange_stream.rs
+++ b/lib/src/serve/exchange_stream.rs
@@ -61,7 +61,7 @@
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Result<OpenOutcome, Refusal> {
-    let resume = attempt.terms.last_event;
+    let resume = attempt.caller_headers.last_event;
     loop {
         let chosen = find_server(daemon, attempt).await?;
         if attempt.failed_deliveries > 0 && !daemon.take_retry(&attempt.service) {
@@ -122,8 +122,9 @@
     attempt.record_send(chosen, daemon.now());
     daemon.record_send(&server.instance());
     let request = attempt.request(daemon, &server, resume);
-    let work = daemon.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt_tokens);
-    let id = attempt.terms.attempt.clone();
+    let work =
+        daemon.workloads.begin(attempt.workload_key(&server), attempt.caller_headers.prompt_tokens);
+    let id = attempt.caller_headers.attempt.clone();
     let daemon = Rc::clone(daemon);
     Box::pin(async move {
         let response = send::send(&daemon, &server, id.as_ref(), request).await?;
@@ -144,7 +145,7 @@
                 ));
             }
         };
-        stream.work.first_event();
+        stream.workload_guard.first_event();
         Ok(OpenOutcome::Stream(Box::new(StartedStream {
             head,
             stream,
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -158,7 +158,7 @@
     if daemon.is_quarantined(&attempt.fingerprint) || !daemon.has_retry(&attempt.service) {
         return None;
     }
-    let item = attempt.item();
+    let item = attempt.model_target();
     let tried = attempt.all_tried();
     let chosen =
         daemon.with_chooser(|c| c.choose_available(&attempt.service, item.as_ref(), &tried))?;
@@ -183,7 +183,7 @@
 
 /// Requests a load of the model at another engine, if no other usable engine holds it.
 fn request_model(daemon: &DaemonState, attempt: &Attempt, until: Moment) -> Option<WaitGuard> {
-    let item = attempt.item()?;
+    let item = attempt.model_target()?;
     let tried = attempt.all_tried();
     if matches!(daemon.with_chooser(|c| c.choose_engine(&item, &tried)), EngineChoice::Server(_)) {
         return None;
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -51,7 +51,7 @@
     if let Some(refusal) = daemon.quarantine_refusal(attempt) {
         return Err(refusal);
     }
-    let Some(item) = attempt.item() else {
+    let Some(item) = attempt.model_target() else {
         let chosen = daemon.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried));
         return chosen
             .ok_or_else(|| Refusal::failed(attempt.verdict, "no server", DEFAULT_RETRY_AFTER));
@@ -280,7 +280,7 @@
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Option<ChosenServer> {
-    let item = attempt.item()?;
+    let item = attempt.model_target()?;
     // A stream that failed over might still have continued at its former server, so it is not cut off before its
     // deadline.
     let until = if attempt.failed_over { attempt.deadline } else { daemon.now() + RESUME_TIMEOUT };
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -50,14 +50,21 @@
     /// When this daemon, as lease holder, last sent its digest to all daemons of a large fleet.
     pub(super) last_broadcast: Cell<Moment>,
     /// Number of digests published; wraps around.
-    pub(super) round: Cell<u64>,
+    pub(super) digest_round: Cell<u64>,
 }
 
 impl Gossip {
     /// Exchanges datagrams on `socket`, which is bound to the peer address.
     pub fn new(daemon: Rc<DaemonState>, socket: UdpSocket) -> Rc<Self> {
         let (malformed, last_digest, last_broadcast, round) = <_>::default();
-        Rc::new(Self { daemon, socket, malformed, last_digest, last_broadcast, round })
+        Rc::new(Self {
+            daemon,
+            socket,
+            malformed,
+            last_digest,
+            last_broadcast,
+            digest_round: round,
+        })
     }
 
     pub(super) fn encode(&self, content: Payload) -> Vec<u8> {
@@ -292,8 +299,8 @@
             return false;
         }
         daemon.metrics.record_reader_report("taken");
-        daemon.directory.borrow_mut().record_relayed_read(status.read, end);
-        daemon.freshness.advance_servers(status.read);
+        daemon.directory.borrow_mut().record_relayed_read(status.last_read, end);
+        daemon.freshness.advance_servers(status.last_read);
         daemon.freshness.is_partial.set(true);
         true
     }
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -128,7 +128,7 @@
         parts,
         body,
         fingerprint,
-        terms,
+        caller_headers: terms,
         config: Rc::clone(&config),
         route,
         service,
@@ -209,7 +209,7 @@
     if let Some(refusal) = daemon.quarantine_refusal(&attempt) {
         return refuse(daemon, &attempt, &refusal);
     }
-    if let Some(item) = attempt.item() {
+    if let Some(item) = attempt.model_target() {
         daemon.model_waits.count_arrival(&item, attempt.arrived);
     }
     daemon.retry_budgets.borrow_mut().record_first(&attempt.service, attempt.arrived);
@@ -249,7 +249,7 @@
     log_request(daemon, attempt, refusal.status, refusal.reason, None);
     daemon.metrics.record_refusal(refusal.reason);
     let mut response = refusal.response();
-    if let Some(id) = &attempt.terms.attempt {
+    if let Some(id) = &attempt.caller_headers.attempt {
         daemon.protocol.set_attempt_id(response.headers_mut(), id);
     }
     response
@@ -270,8 +270,8 @@
     daemon.metrics.record_answer(&attempt.route.name, attempt.verdict);
     slog::info!(daemon.log, "request"; "attempt" => attempt.id(), "print" => %attempt.fingerprint,
         "route" => attempt.route.name.as_str(), "service" => attempt.service.as_str(),
-        "model" => attempt.terms.model.as_deref().unwrap_or("-"),
-        "adapter" => attempt.terms.adapter.as_deref().unwrap_or("-"),
+        "model" => attempt.caller_headers.model.as_deref().unwrap_or("-"),
+        "adapter" => attempt.caller_headers.adapter.as_deref().unwrap_or("-"),
         "server" => attempt.last_server.as_ref().map_or("-", |s| s.id.as_str()),
         "among" => attempt.candidate_count, "cost_ms" => attempt.cost.round() as i64,
         "status" => status.as_u16(), "verdict" => %attempt.verdict, "reason" => reason,
--- a/lib/src/serve/model_loading.rs
+++ b/lib/src/serve/model_loading.rs
@@ -56,12 +56,12 @@
         let now = daemon.now();
         slog::info!(daemon.log, "load-ended"; "server" => %server, "model" => job.model.as_str(),
             "source" => ?job.source, "result" => ?result,
-            "ms" => now.saturating_sub(job.since).as_millis());
+            "ms" => now.saturating_sub(job.started_at).as_millis());
         let outcome = if result.is_ok() { "done" } else { "failed" };
-        daemon.metrics.record_load(job.source.name(), outcome, now.saturating_sub(job.since));
+        daemon.metrics.record_load(job.source.name(), outcome, now.saturating_sub(job.started_at));
         self.state.borrow_mut().fetch_limiter.end(&server, result.is_ok(), now);
         self.with_engine(&server, |engine| {
-            engine.job = None;
+            engine.load_job = None;
             match result {
                 Ok(()) => engine.add_model(&job.model, now),
                 Err(_failure) => {
@@ -97,7 +97,7 @@
         let accepted_at = self.daemon.now();
         let eta = accepted_at + time;
         self.with_engine(server, |engine| {
-            if let Some(job) = &mut engine.job {
+            if let Some(job) = &mut engine.load_job {
                 job.eta = eta;
             }
         });
@@ -116,7 +116,7 @@
         expected_end: Option<Moment>,
         fence: Fence,
     ) -> Result<(), OrderFailure> {
-        let eta = self.with_engine(server, |e| e.job.as_ref().map(|job| job.eta)).flatten();
+        let eta = self.with_engine(server, |e| e.load_job.as_ref().map(|job| job.eta)).flatten();
         let eta = eta.unwrap_or(job.eta);
         loop {
             if self.daemon.held_fence() != Some(fence) {
@@ -264,8 +264,9 @@
 
     /// Returns how many engines fetch from the weight store; a reported load of unknown source counts as well.
     fn fetches(&self) -> usize {
-        let is_fetch =
-            |e: &&Engine| e.job.as_ref().map_or(e.reported_busy, |j| j.source == Source::Store);
+        let is_fetch = |e: &&Engine| {
+            e.load_job.as_ref().map_or(e.reported_busy, |j| j.source == Source::Store)
+        };
         self.daemon.engine_table.borrow().engines.values().filter(is_fetch).count()
     }
 
@@ -273,7 +274,7 @@
     fn shared_load_time(&self, server: &ServerInstance, job: &LoadJob) -> Duration {
         let service = self.with_engine(server, |e| e.server.service.clone());
         let Some(spec) = service.and_then(|service| self.model_spec(&service, &job.model)) else {
-            return job.eta.saturating_sub(job.since);
+            return job.eta.saturating_sub(job.started_at);
         };
         match job.source {
             Source::Memory => spec.memory_load,
--- a/lib/src/serve/peer_sync.rs
+++ b/lib/src/serve/peer_sync.rs
@@ -91,7 +91,7 @@
         let peers = daemon.peers.borrow();
         let readers: Vec<_> = peers.readers(&centre, now).collect();
         let chosen = readers.get(rotation % readers.len().max(1));
-        chosen.and_then(|(_, p)| Some((p.addr, p.fresh_reader_status(now)?.read)))
+        chosen.and_then(|(_, p)| Some((p.addr, p.fresh_reader_status(now)?.last_read)))
     };
     let Some((addr, read_at)) = reader else { return };
     if fetch_from(daemon, addr, PeerRequest::Snapshot).await {
--- a/lib/src/serve/placement_controller.rs
+++ b/lib/src/serve/placement_controller.rs
@@ -140,8 +140,11 @@
     fn sync_engine_table(&self, config: &Configuration) {
         let daemon = &self.daemon;
         let now = daemon.now();
-        let ended =
-            daemon.engine_table.borrow_mut().follow(&daemon.directory.borrow(), config, now);
+        let ended = daemon.engine_table.borrow_mut().update_from_directory(
+            &daemon.directory.borrow(),
+            config,
+            now,
+        );
         let mut state = self.state.borrow_mut();
         for instance in &ended {
             state.fetch_limiter.end(instance, false, now);
@@ -210,7 +213,7 @@
         let mut state = self.state.borrow_mut();
         for engine in engine_table.engines.values() {
             let instance = engine.server.instance();
-            let is_idle = engine.job.is_none() && engine.adapter_jobs.is_empty();
+            let is_idle = engine.load_job.is_none() && engine.adapter_jobs.is_empty();
             let is_due = is_idle && !engine.confirmed && now >= engine.backoff_until;
             if !is_due || state.fetching.contains(&instance) {
                 continue;
@@ -231,7 +234,7 @@
         let now = daemon.now();
         let mut engine_table = daemon.engine_table.borrow_mut();
         let Some(engine) = engine_table.engine_mut(instance) else { return };
-        if engine.job.is_some() || !engine.adapter_jobs.is_empty() {
+        if engine.load_job.is_some() || !engine.adapter_jobs.is_empty() {
             return;
         }
         if let Some(report) = report {
@@ -260,16 +263,17 @@
         let now = daemon.now();
         let mut engine_table = daemon.engine_table.borrow_mut();
         match action {
-            Action::LoadModel { server, model, victims, source, time, reason } => {
+            Action::LoadModel { server, model, victims, source, expected_time, reason } => {
                 let occupied = engine_table.engines.values().filter(|e| e.reported_busy).count();
                 let Some(engine) = engine_table.engines.get_mut(&server) else { return };
                 slog::info!(daemon.log, "load"; "server" => %server, "model" => model.as_str(),
                     "victims" => victims.join(","), "source" => ?source, "reason" => reason,
-                    "expected_ms" => time.as_millis(), "fence" => fence,
+                    "expected_ms" => expected_time.as_millis(), "fence" => fence,
                     "sequence" => engine.sequence,
                     "waiting" => daemon.demand.borrow().backlogs(now).values().map(|w| w.waiting).sum::<u32>());
-                let job = LoadJob { model, victims, source, since: now, eta: now + time };
-                engine.job = Some(job.clone());
+                let job =
+                    LoadJob { model, victims, source, started_at: now, eta: now + expected_time };
+                engine.load_job = Some(job.clone());
                 let instance = engine.server.instance();
                 let service = engine.server.service.clone();
                 let fetch_time = self.solo_fetch_time(&service, &job.model);
@@ -277,7 +281,7 @@
                     self.state
                         .borrow_mut()
                         .fetch_limiter
-                        .begin(&instance, fetch_time, occupied, now);
+                        .record_start(&instance, fetch_time, occupied, now);
                 }
                 self.state.borrow_mut().unsent.insert(server, INVENTORY_SENDS);
                 let controller = Rc::clone(self);
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -181,7 +181,7 @@
     fn send_digest(&self, is_urgent: bool) {
         let now = self.daemon.now();
         self.last_digest.set(now);
-        let round = self.round.replace(self.round.get().wrapping_add(1));
+        let round = self.digest_round.replace(self.digest_round.get().wrapping_add(1));
         self.daemon.peers.borrow_mut().sweep(now);
         self.update_reader_role(now);
         let bytes = self.digest_message();
--- a/lib/src/serve/reply.rs
+++ b/lib/src/serve/reply.rs
@@ -28,7 +28,7 @@
     /// HTTP status.
     pub status: StatusCode,
     /// Delay after which the caller should retry; `None` if the request may have run or is invalid.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// Reason, for the log and the caller.
     pub reason: &'static str,
 }
@@ -36,14 +36,14 @@
 impl Refusal {
     /// Refuses a request that did not run and will not run; the caller may retry after `retry`.
     pub fn not_run(reason: &'static str, retry: Duration) -> Self {
-        Self { status: StatusCode::SERVICE_UNAVAILABLE, retry: Some(retry), reason }
+        Self { status: StatusCode::SERVICE_UNAVAILABLE, retry_after: Some(retry), reason }
     }
 
     /// Refuses a request that no server answered: with status 503 and `retry` if it did not run, otherwise 502.
     pub fn failed(verdict: Verdict, reason: &'static str, retry: Duration) -> Self {
         match verdict {
             Verdict::DidNotRun => Self::not_run(reason, retry),
-            _ => Self { status: StatusCode::BAD_GATEWAY, retry: None, reason },
+            _ => Self { status: StatusCode::BAD_GATEWAY, retry_after: None, reason },
         }
     }
 
@@ -51,13 +51,13 @@
     pub fn timeout(verdict: Verdict, reason: &'static str, retry: Duration) -> Self {
         match verdict {
             Verdict::DidNotRun => Self::not_run(reason, retry),
-            _ => Self { status: StatusCode::GATEWAY_TIMEOUT, retry: None, reason },
+            _ => Self { status: StatusCode::GATEWAY_TIMEOUT, retry_after: None, reason },
         }
     }
 
     /// Refuses a request with a client error, which offers no retry.
     pub fn client_error(status: StatusCode, reason: &'static str) -> Self {
-        Self { status, retry: None, reason }
+        Self { status, retry_after: None, reason }
     }
 
     /// Builds the response.
@@ -67,7 +67,7 @@
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let Some(retry) = self.retry {
+        if let Some(retry) = self.retry_after {
             let seconds = format!("{:.2}", retry.as_secs_f64());
             if let Ok(value) = HeaderValue::try_from(seconds) {
                 headers.insert(header::RETRY_AFTER, value);
--- a/lib/src/serve/server_feedback.rs
+++ b/lib/src/serve/server_feedback.rs
@@ -37,7 +37,7 @@
         sent_at: Moment,
     ) {
         let now = self.now();
-        if let Some(workload) = headers.load {
+        if let Some(workload) = headers.workload {
             self.workloads.set_reported(server, now, workload);
         }
         // Only a response with the server's signature shows that the server has no limit any more.
--- a/lib/tests/test_fetch_limiter.rs
+++ b/lib/tests/test_fetch_limiter.rs
@@ -17,7 +17,7 @@
 
 fn begin(limiter: &mut FetchLimiter, loads: std::ops::Range<usize>, now: Duration) {
     for n in loads {
-        limiter.begin(&format!("e{n}").as_str().into(), ALONE, 0, now);
+        limiter.record_start(&format!("e{n}").as_str().into(), ALONE, 0, now);
     }
 }
 
@@ -126,7 +126,7 @@
     let mut limiter = FetchLimiter::new(at(0));
     limiter.restart(at(0), StoreShare::default());
     for (n, server) in ["e1", "e2"].iter().enumerate() {
-        limiter.begin(&(*server).into(), ALONE, 2, at(n as u64));
+        limiter.record_start(&(*server).into(), ALONE, 2, at(n as u64));
     }
     limiter.end(&"e1".into(), true, at(0) + ALONE.mul_f64(1.5));
     let end = at(0) + ALONE * 2;
--- a/lib/tests/test_fetching.rs
+++ b/lib/tests/test_fetching.rs
@@ -44,7 +44,7 @@
         site.engine(&format!("e{n}"), &[name], &[]);
     }
     assert_eq!(site.plan().len(), 4);
-    site.room = 1;
+    site.fetches_left = 1;
     assert_eq!(site.plan().len(), 1);
 }
 
@@ -58,7 +58,7 @@
     site.engine("e1", &["a", "b"], &[]);
     site.engine("e2", &["c", "d"], &[]);
     site.share = StoreShare { proven: 1, limit: 1 };
-    site.want("rare", None);
+    site.add_queued("rare", None);
     site.busy("asked", 2);
     let plan = site.plan();
     assert!(load_of(&plan, "asked").is_some(), "{plan:?}");
@@ -70,16 +70,16 @@
 #[test]
 fn copyless_begun() {
     let mut site = Site::new(&["a", "b", "c", "d", "asked"].map(|n| (n, 70_000, 0)));
-    site.engine("e1", &["a", "b"], &[]).job = Some(LoadJob {
+    site.engine("e1", &["a", "b"], &[]).load_job = Some(LoadJob {
         model: "c".into(),
         victims: vec!["b".into()],
         source: Source::Disk,
-        since: NOW,
+        started_at: NOW,
         eta: NOW + Duration::from_millis(200),
     });
     site.engine("e2", &["c", "d"], &[]);
     site.busy("asked", 3);
-    site.want("asked", None);
+    site.add_queued("asked", None);
     for model in ["c", "d"] {
         site.busy(model, 2);
     }
--- a/lib/tests/test_lease_state.rs
+++ b/lib/tests/test_lease_state.rs
@@ -143,8 +143,8 @@
         }
         let fresh = heard.filter(|(at, _)| t <= at + 900).map(|(at, claim)| PeerLease {
             fence: claim.fence,
-            until: ms(at) + claim.valid_for,
-            end: claim.end,
+            valid_until: ms(at) + claim.valid_for,
+            feed_end: claim.end,
         });
         while feed.step_with_peer(&mut b, ms(t), fresh) {}
         if b.fence(ms(t)).is_some() {
@@ -260,7 +260,7 @@
     let mut feed = Feed::default();
     let mut a = daemon(1, true);
     feed.settle(&mut a, ms(100));
-    a.next_step(ms(200), Some(PeerLease { fence: 9, until: ms(2_000), end: 9 }));
+    a.next_step(ms(200), Some(PeerLease { fence: 9, valid_until: ms(2_000), feed_end: 9 }));
     assert_eq!(a.fence(ms(200)), None);
 }
 
--- a/lib/tests/test_peer_table.rs
+++ b/lib/tests/test_peer_table.rs
@@ -20,7 +20,7 @@
     let mut peers = PeerTable::default();
     for n in 0..count {
         let lease =
-            (n + 1 == count).then_some(LeaseReport { fence: 1, remaining_ms: 1000, end: 1 });
+            (n + 1 == count).then_some(LeaseReport { fence: 1, remaining_ms: 1000, feed_end: 1 });
         let centre = ["near", "far"][usize::from(n % 2)];
         let digest = Digest { lease, ..digest(centre, Duration::ZERO) };
         peers.record_digest(&format!("d{n}").into(), addr(n), n.into(), &digest, NOW);
--- a/lib/tests/test_planner.rs
+++ b/lib/tests/test_planner.rs
@@ -25,7 +25,7 @@
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
     site.engine("e1", &["a", "b"], &[]);
     site.engine("e2", &["a", "b"], &["rare"]);
-    site.want("rare", None);
+    site.add_queued("rare", None);
     let plan = site.plan();
     let (server, victims, source) = load_of(&plan, "rare").expect("loaded");
     assert_eq!((server, source), ("e2", Source::Disk));
@@ -39,8 +39,8 @@
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
     site.engine("e1", &["a", "b"], &[]);
     let engine = site.engine("e2", &["a", "b"], &["rare"]);
-    engine.used = [("a".into(), NOW), ("b".into(), NOW)].into();
-    site.want("rare", None);
+    engine.last_used = [("a".into(), NOW), ("b".into(), NOW)].into();
+    site.add_queued("rare", None);
     assert_eq!(load_of(&site.plan(), "rare"), None);
 }
 
@@ -50,14 +50,14 @@
     let mut site = Site::new(&[("a", 70_000, 0), ("b", 70_000, 0), ("rare", 70_000, 0)]);
     site.engine("e1", &["a", "b"], &[]);
     let engine = site.engine("e2", &["a"], &["rare"]);
-    engine.job = Some(LoadJob {
+    engine.load_job = Some(LoadJob {
         model: "b".into(),
         victims: Vec::new(),
         source: Source::Disk,
-        since: NOW,
+        started_at: NOW,
         eta: NOW + Duration::from_secs(1),
     });
-    site.want("rare", None);
+    site.add_queued("rare", None);
     assert_eq!(load_of(&site.plan(), "rare"), None);
 }
 
@@ -74,7 +74,7 @@
         victim: Some(("a".into(), "a1".into())),
         eta: NOW,
     }];
-    site.want("a", Some("a10"));
+    site.add_queued("a", Some("a10"));
     let plan = site.plan();
     let Some(Action::LoadAdapter { victim: Some((_, victim)), .. }) = plan.first() else {
         panic!("expected an adapter load that evicts another: {plan:?}");
@@ -93,7 +93,7 @@
     let engine = site.engine("e1", &["a", "b"], &[]);
     engine.models[0].adapters = vec!["a1".into()];
     engine.models[1].adapters = vec!["a1".into()];
-    site.want("b", Some("a2"));
+    site.add_queued("b", Some("a2"));
     let plan = site.plan();
     let Some(Action::LoadAdapter { victim: Some((model, _)), .. }) = plan.first() else {
         panic!("expected an adapter load that evicts another: {plan:?}");
@@ -108,7 +108,7 @@
     site.engine("e1", &["a", "b"], &["rare"]);
     let place = WorkloadKey { server: "e1".into(), model: Some("a".into()) };
     let _running = site.loads.begin(place, 100);
-    site.want("rare", None);
+    site.add_queued("rare", None);
     let plan = site.plan();
     assert_eq!(load_of(&plan, "rare").expect("loaded").1, ["b"]);
 }
@@ -122,9 +122,9 @@
     site.engine("e1", &["a", "b"], &["wanted"]);
     let place = |model: &str| WorkloadKey { server: "e1".into(), model: Some(model.into()) };
     let _runs = [site.loads.begin(place("a"), 10), site.loads.begin(place("b"), 10)];
-    site.want("wanted", None);
+    site.add_queued("wanted", None);
     let time = site.plan().iter().find_map(|action| match action {
-        Action::LoadModel { time, .. } => Some(*time),
+        Action::LoadModel { expected_time: time, .. } => Some(*time),
         Action::LoadAdapter { .. } => None,
     });
     let time = time.expect("a load");
@@ -142,7 +142,7 @@
     site.busy("a", 1);
     site.busy("c", 1);
     for model in ["r1", "r2", "r3", "r4"] {
-        site.want(model, None);
+        site.add_queued(model, None);
     }
     let plan = site.plan();
     assert_eq!(load_of(&plan, "r1").expect("loaded").0, "e1");
@@ -160,15 +160,15 @@
         model: "c".into(),
         victims: Vec::new(),
         source: Source::Store,
-        since: NOW,
+        started_at: NOW,
         eta: NOW + Duration::from_secs(12),
     };
-    site.engine("e1", &[], &["rare"]).job = Some(job);
+    site.engine("e1", &[], &["rare"]).load_job = Some(job);
     site.engine("e22", &["a", "b"], &["rare"]);
     site.engine("e333", &["a", "b"], &[]);
     site.busy("a", 1);
     site.busy("b", 1);
-    site.want("rare", None);
+    site.add_queued("rare", None);
     assert_eq!(load_of(&site.plan(), "rare").expect("loaded").0, "e22");
 }
 
@@ -184,18 +184,18 @@
         model: "new".into(),
         victims: vec!["a".into()],
         source: Source::Disk,
-        since: NOW,
+        started_at: NOW,
         eta: NOW + Duration::from_millis(1900),
     };
-    site.engine("e1", &["a", "b"], &["rare", "new"]).job = Some(job);
+    site.engine("e1", &["a", "b"], &["rare", "new"]).load_job = Some(job);
     site.engine("e22", &["c", "d"], &["rare"]);
     for model in ["b", "c", "d"] {
-        site.asked(model, 2);
+        site.set_rate(model, 2);
     }
     let place = |model: &str| WorkloadKey { server: "e22".into(), model: Some(model.into()) };
     let runs = ["c", "d"].into_iter().cycle().take(running);
     let _runs: Vec<_> = runs.map(|model| site.loads.begin(place(model), 100)).collect();
-    site.want("rare", None);
+    site.add_queued("rare", None);
     assert_eq!(load_of(&site.plan(), "rare").expect("loaded").0, "e22");
 }
 
@@ -215,7 +215,7 @@
         site.busy(name, 2);
     }
     site.busy("late", 2);
-    site.want("late", None);
+    site.add_queued("late", None);
     let plan = site.plan();
     assert_eq!(load_of(&plan, "late").expect("loaded").1.len(), 1);
 }
@@ -225,7 +225,7 @@
     let mut site = Site::new(&[("a", 70_000, 12)]);
     let engine = site.engine("e1", &["a"], &[]);
     engine.models[0].adapters = (1..=8).map(|n| format!("a{n}").into()).collect();
-    site.want("a", Some("a9"));
+    site.add_queued("a", Some("a9"));
     let plan = site.plan();
     let [Action::LoadAdapter { server, adapter, victim, .. }] = plan.as_slice() else {
         panic!("{plan:?}");
@@ -277,7 +277,7 @@
 fn unconfirmed_spared() {
     let mut site = Site::new(&[("a", 70_000, 0), ("rare", 70_000, 0)]);
     site.engine("e1", &["a"], &["rare"]).confirmed = false;
-    site.want("rare", None);
+    site.add_queued("rare", None);
     assert_eq!(site.plan(), []);
 }
 
@@ -307,7 +307,7 @@
         }
         for (model, adapter) in wants {
             let adapter = (adapter > 0).then(|| format!("a{}", adapter.min(9)));
-            site.want(&names[model], adapter.as_deref());
+            site.add_queued(&names[model], adapter.as_deref());
         }
         for (model, rate) in busy {
             site.busy(&names[model], rate);
--- a/lib/tests/test_replicas.rs
+++ b/lib/tests/test_replicas.rs
@@ -29,11 +29,11 @@
 fn copy_awaited() {
     let mut site = Site::new(&["a", "b", "c", "d", "busy"].map(|n| (n, 70_000, 0)));
     site.engine("e1", &["busy", "a"], &[]);
-    site.engine("e22", &["b", "c"], &["busy"]).job = Some(LoadJob {
+    site.engine("e22", &["b", "c"], &["busy"]).load_job = Some(LoadJob {
         model: "d".into(),
         victims: vec!["b".into()],
         source: Source::Disk,
-        since: NOW,
+        started_at: NOW,
         eta: NOW + Duration::from_millis(900),
     });
     site.engine("e333", &["a", "d"], &[]);
@@ -83,7 +83,7 @@
     let mut site = Site::new(&[("a", 100_000, 0), ("b", 100_000, 0), ("rare", 70_000, 0)]);
     site.engine("e1", &["a", "b"], &["rare"]);
     site.busy("a", 3);
-    site.want("rare", None);
+    site.add_queued("rare", None);
     let plan = site.plan();
     assert_eq!(load_of(&plan, "rare").expect("loaded").1, ["b"]);
 }
@@ -97,6 +97,6 @@
     site.engine("e22", &["b", "c"], &["rare"]);
     site.engine("e333", &["hot"], &[]);
     site.busy("hot", 6);
-    site.want("rare", None);
+    site.add_queued("rare", None);
     assert_eq!(load_of(&site.plan(), "rare").expect("loaded").0, "e22");
 }
--- a/lib/tests/test_starts.rs
+++ b/lib/tests/test_starts.rs
@@ -279,12 +279,12 @@
         ms(0),
         ReportedWorkload { running: 9, waiting: 3, slots: 8 },
     );
-    assert_eq!(workloads.at(&instance(FIRST), ms(100)).running, 12);
-    assert_eq!(workloads.at(&instance(SECOND), ms(100)), Workload::default());
+    assert_eq!(workloads.workload_at(&instance(FIRST), ms(100)).running, 12);
+    assert_eq!(workloads.workload_at(&instance(SECOND), ms(100)), Workload::default());
     let again = workloads.begin(key(SECOND), 100);
     drop(running);
     assert_eq!(
-        workloads.at(&instance(SECOND), ms(200)),
+        workloads.workload_at(&instance(SECOND), ms(200)),
         Workload { running: 1, prompt_tokens: 100 }
     );
     drop(again);
@@ -297,33 +297,38 @@
     let mut site = Site::new(&[("hem", 60_000, 1), ("cuff", 60_000, 0)]);
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
-    assert!(site.engine_table.follow(&directory, &site.config, NOW).is_empty());
+    assert!(site.engine_table.update_from_directory(&directory, &site.config, NOW).is_empty());
     let job = LoadJob {
         model: "cuff".into(),
         victims: Vec::new(),
         source: Source::Store,
-        since: ms(0),
+        started_at: ms(0),
         eta: ms(6_000),
     };
     let engine =
         site.engine_table.engine_mut(&instance(FIRST)).expect("the engine is in the table");
     engine.sequence = 12;
     engine.confirmed = true;
-    engine.job = Some(job);
+    engine.load_job = Some(job);
     engine.adapter_jobs = vec![AdapterJob {
         model: "hem".into(),
         adapter: "a1".into(),
         victim: None,
         eta: ms(6_000),
     }];
-    engine.used.insert("hem".into(), ms(0));
+    engine.last_used.insert("hem".into(), ms(0));
     put(&mut directory, server(Some(SECOND), 1, &[]), 1_000);
-    assert_eq!(site.engine_table.follow(&directory, &site.config, NOW), [instance(FIRST)]);
+    assert_eq!(
+        site.engine_table.update_from_directory(&directory, &site.config, NOW),
+        [instance(FIRST)]
+    );
     assert!(site.engine_table.engine_mut(&instance(FIRST)).is_none());
     let engine =
         site.engine_table.engine_mut(&instance(SECOND)).expect("the engine is in the table");
-    assert!(engine.models.is_empty() && engine.memory_copies.is_empty() && engine.used.is_empty());
-    assert!(engine.job.is_none() && engine.adapter_jobs.is_empty());
+    assert!(
+        engine.models.is_empty() && engine.memory_copies.is_empty() && engine.last_used.is_empty()
+    );
+    assert!(engine.load_job.is_none() && engine.adapter_jobs.is_empty());
     assert_eq!((engine.sequence, engine.confirmed), (0, false));
     let report = EngineReport {
         models: Vec::new(),
@@ -344,12 +349,12 @@
     let mut site = Site::new(&[("hem", 60_000, 0)]);
     let mut directory = Directory::default();
     put(&mut directory, server(Some(FIRST), 70, &["hem"]), 0);
-    site.engine_table.follow(&directory, &site.config, NOW);
+    site.engine_table.update_from_directory(&directory, &site.config, NOW);
     site.engine_table.engine_mut(&instance(FIRST)).expect("the engine is in the table").sequence =
         12;
     put(&mut directory, server(Some(SECOND), 40, &["hem"]), 60_000);
     site.engine_table.invalidate_all();
-    site.engine_table.follow(&directory, &site.config, NOW);
+    site.engine_table.update_from_directory(&directory, &site.config, NOW);
     assert_eq!(
         site.engine_table
             .engine_mut(&instance(SECOND))
@@ -364,9 +369,9 @@
 #[test]
 fn pace_apart() {
     let mut limiter = FetchLimiter::new(ms(0));
-    limiter.begin(&instance(FIRST), ms(6_000), 0, ms(0));
+    limiter.record_start(&instance(FIRST), ms(6_000), 0, ms(0));
     limiter.end(&instance(FIRST), false, ms(1_000));
-    limiter.begin(&instance(SECOND), ms(6_000), 0, ms(1_000));
+    limiter.record_start(&instance(SECOND), ms(6_000), 0, ms(1_000));
     // If the new load counted as the second of two, it would be expected to take twice as long at a store
     // that serves one at a time, and its end on time would prove that the store serves two.
     limiter.end(&instance(FIRST), true, ms(2_000));
--- a/lib/tests/test_workloads.rs
+++ b/lib/tests/test_workloads.rs
@@ -21,7 +21,7 @@
 }
 
 fn at(workloads: &Workloads, server: &str, now: Moment) -> Workload {
-    workloads.at(&ServerInstance::from(server), now)
+    workloads.workload_at(&ServerInstance::from(server), now)
 }
 
 /// A reader must add up its own requests, those of the daemons of its data centre and the reports of other
--- a/lib/testutils/src/placing_site.rs
+++ b/lib/testutils/src/placing_site.rs
@@ -44,7 +44,7 @@
     /// Requests in progress.
     pub loads: Workloads,
     /// Loads from the weight store that may begin.
-    pub room: usize,
+    pub fetches_left: usize,
     /// What is known of the weight store.
     pub share: StoreShare,
 }
@@ -78,7 +78,7 @@
             engine_table: EngineTable::default(),
             demand: Demand::default(),
             loads: Workloads::default(),
-            room: 8,
+            fetches_left: 8,
             share: StoreShare { proven: 4, limit: 4 },
         }
     }
@@ -111,19 +111,19 @@
             confirmed: true,
             orders_inflight: false,
             stale_reports: 0,
-            changed: NOW,
+            changed_at: NOW,
             compared_heartbeat: 0,
-            job: None,
+            load_job: None,
             reported_busy: false,
             adapter_jobs: Vec::new(),
-            used: BTreeMap::new(),
+            last_used: BTreeMap::new(),
             backoff_until: Moment::ZERO,
         };
         self.engine_table.engines.entry(id.into()).or_insert(engine)
     }
 
     /// Makes one request wait for a model or adapter.
-    pub fn want(&mut self, model: &str, adapter: Option<&str>) {
+    pub fn add_queued(&mut self, model: &str, adapter: Option<&str>) {
         let want = QueuedDemand {
             service: SERVICE.into(),
             model: model.into(),
@@ -139,11 +139,11 @@
 
     /// Makes a model asked for `rate` times a second.
     pub fn busy(&mut self, model: &str, rate: u32) {
-        self.asked(model, rate * 6);
+        self.set_rate(model, rate * 6);
     }
 
     /// Makes a model asked for some times in the last seconds.
-    pub fn asked(&mut self, model: &str, times: u32) {
+    pub fn set_rate(&mut self, model: &str, times: u32) {
         for count in [0, times] {
             let count =
                 ArrivalCount { service: SERVICE.into(), model: model.into(), adapter: None, count };
@@ -164,7 +164,7 @@
             run_times: &RunTimes::default(),
             unreachable: Vec::new(),
             share: self.share,
-            fetches_left: self.room,
+            fetches_left: self.fetches_left,
         };
         input.plan()
     }
