--- a/lib/src/placement/fetch_limiter.rs
+++ b/lib/src/placement/fetch_limiter.rs
@@ -137,7 +137,7 @@
     }
 
     /// Records the end of an engine's fetch; a successful one may raise the proven number.
-    pub fn end(&mut self, server: &ServerInstance, succeeded: bool, now: Moment) {
+    pub fn record_end(&mut self, server: &ServerInstance, succeeded: bool, now: Moment) {
         let Some(at) = self.running.iter().position(|f| f.server == *server) else { return };
         let fetch = self.running.remove(at);
         if !succeeded {
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -80,7 +80,7 @@
     /// Demand over all daemons.
     pub demand: &'a Demand,
     /// Requests in progress, over all daemons.
-    pub work: &'a WorkloadTable,
+    pub workloads: &'a WorkloadTable,
     /// How long requests run.
     pub run_times: &'a RunTimes,
     /// Engines that the lease holder cannot reach.
@@ -109,7 +109,7 @@
     /// Returns the next actions, at most one per engine.
     pub fn plan(&self) -> Vec<Action> {
         let backlogs = self.demand.backlogs(self.now);
-        let index = PlanIndex::new(self.engine_table, self.demand, self.work, self.now);
+        let index = PlanIndex::new(self.engine_table, self.demand, self.workloads, self.now);
         let waiting_models =
             backlogs.keys().map(|t| (t.service.clone(), t.model.clone())).collect();
         let fetching = index.fetching;
@@ -269,7 +269,7 @@
                 && self.input.now >= e.backoff_until
                 && !self.options.assigned.contains(&e.server.id)
         };
-        let work = |e: &Engine| self.input.work.at(server_key(&e.server.instance())).running;
+        let work = |e: &Engine| self.input.workloads.at(server_key(&e.server.instance())).running;
         let engine = holders.iter().filter(is_free).min_by_key(|e| (e.adapter_count(), work(e)))?;
         self.adapter_action(engine, target, adapter)
     }
--- a/lib/src/serve/model_loading.rs
+++ b/lib/src/serve/model_loading.rs
@@ -59,7 +59,7 @@
             "ms" => now.saturating_sub(job.started_at).as_millis());
         let outcome = if result.is_ok() { "done" } else { "failed" };
         daemon.metrics.record_load(job.source.name(), outcome, now.saturating_sub(job.started_at));
-        self.state.borrow_mut().fetch_limiter.end(&server, result.is_ok(), now);
+        self.state.borrow_mut().fetch_limiter.record_end(&server, result.is_ok(), now);
         self.with_engine(&server, |engine| {
             engine.load_job = None;
             match result {
--- a/lib/src/serve/placement_controller.rs
+++ b/lib/src/serve/placement_controller.rs
@@ -147,7 +147,7 @@
         );
         let mut state = self.state.borrow_mut();
         for instance in &ended {
-            state.fetch_limiter.end(instance, false, now);
+            state.fetch_limiter.record_end(instance, false, now);
         }
         drop(state);
         // Engines that the previous lease holder ordered recently get no orders for a while.
@@ -196,7 +196,7 @@
             config,
             engine_table: &engine_table,
             demand: &demand,
-            work: &work,
+            workloads: &work,
             run_times: &daemon.run_times,
             unreachable: avoided.chain(directory.suspended().cloned()).collect(),
             share,
--- a/lib/src/serve/relay.rs
+++ b/lib/src/serve/relay.rs
@@ -78,7 +78,7 @@
                     self.log(head.status, "complete", first_event, stream.last_id());
                     self.daemon
                         .pool
-                        .release(stream.response.connection, stream.response.terms.keep_alive);
+                        .release(stream.response.connection, stream.response.headers.keep_alive);
                     return;
                 }
                 RelayEnd::CallerLeft => CALLER_LEFT,
--- a/lib/src/serve/send.rs
+++ b/lib/src/serve/send.rs
@@ -25,7 +25,7 @@
     /// Status and headers.
     pub head: response::Parts,
     /// Parsed values of the headers that the serving protocol defines.
-    pub terms: ResponseHeaders,
+    pub headers: ResponseHeaders,
     /// The body.
     pub body: Incoming,
     /// The connection, to be released to the pool after the whole body was read.
@@ -163,7 +163,7 @@
     if matches_attempt && !is_other_server {
         daemon.apply_server_feedback(&instance, &terms, sent);
     }
-    check_response(server, ServerResponse { head, terms, body, connection }, attempt)
+    check_response(server, ServerResponse { head, headers: terms, body, connection }, attempt)
 }
 
 fn check_response(
@@ -171,7 +171,7 @@
     response: ServerResponse,
     attempt: Option<&AttemptId>,
 ) -> Result<ServerResponse, SendFailure> {
-    let ServerResponse { head, terms, .. } = &response;
+    let ServerResponse { head, headers: terms, .. } = &response;
     // The connection may deliver the response to another request in place of this one's.
     if attempt.is_some() && terms.attempt.is_some() && terms.attempt.as_ref() != attempt {
         return Err(SendFailure::may_have_run("the answer belongs to another request"));
@@ -199,7 +199,7 @@
     response: ServerResponse,
     limit: usize,
 ) -> Result<(response::Parts, Bytes), SendFailure> {
-    let ServerResponse { head, terms, mut body, connection } = response;
+    let ServerResponse { head, headers: terms, mut body, connection } = response;
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_error| {
--- a/lib/tests/test_fetch_limiter.rs
+++ b/lib/tests/test_fetch_limiter.rs
@@ -56,7 +56,7 @@
             ends.retain(|(end, n)| {
                 let is_over = *end <= now;
                 if is_over {
-                    limiter.end(&format!("e{n}").as_str().into(), true, now);
+                    limiter.record_end(&format!("e{n}").as_str().into(), true, now);
                 }
                 !is_over
             });
@@ -81,7 +81,7 @@
 fn shown_early() {
     let mut limiter = FetchLimiter::new(at(0));
     begin(&mut limiter, 0..2, at(0));
-    limiter.end(&"e0".into(), true, at(6));
+    limiter.record_end(&"e0".into(), true, at(6));
     assert!(!limiter.update_limit(at(7)));
     assert!(limiter.update_limit(at(8)));
     assert_eq!(limiter.share().concurrency(), 1);
@@ -105,7 +105,7 @@
     for second in 1..60 {
         assert!(!limiter.update_limit(at(second)));
     }
-    limiter.end(&"e0".into(), false, at(60));
+    limiter.record_end(&"e0".into(), false, at(60));
     assert_eq!(limiter.share(), StoreShare::default());
 }
 
@@ -128,9 +128,9 @@
     for (n, server) in ["e1", "e2"].iter().enumerate() {
         limiter.record_start(&(*server).into(), ALONE, 2, at(n as u64));
     }
-    limiter.end(&"e1".into(), true, at(0) + ALONE.mul_f64(1.5));
+    limiter.record_end(&"e1".into(), true, at(0) + ALONE.mul_f64(1.5));
     let end = at(0) + ALONE * 2;
     limiter.update_limit(end);
-    limiter.end(&"e2".into(), true, end);
+    limiter.record_end(&"e2".into(), true, end);
     assert_eq!(limiter.share().concurrency(), 2, "{:?}", limiter.share());
 }
--- a/lib/tests/test_starts.rs
+++ b/lib/tests/test_starts.rs
@@ -370,12 +370,12 @@
 fn pace_apart() {
     let mut limiter = FetchLimiter::new(ms(0));
     limiter.record_start(&instance(FIRST), ms(6_000), 0, ms(0));
-    limiter.end(&instance(FIRST), false, ms(1_000));
+    limiter.record_end(&instance(FIRST), false, ms(1_000));
     limiter.record_start(&instance(SECOND), ms(6_000), 0, ms(1_000));
     // If the new load counted as the second of two, it would be expected to take twice as long at a store
     // that serves one at a time, and its end on time would prove that the store serves two.
-    limiter.end(&instance(FIRST), true, ms(2_000));
-    limiter.end(&instance(SECOND), true, ms(7_000));
+    limiter.record_end(&instance(FIRST), true, ms(2_000));
+    limiter.record_end(&instance(SECOND), true, ms(7_000));
     assert_eq!(limiter.share().proven, 1);
 }
 
--- a/lib/testutils/src/placing_site.rs
+++ b/lib/testutils/src/placing_site.rs
@@ -160,7 +160,7 @@
             config: &self.config,
             engine_table: &self.engine_table,
             demand: &self.demand,
-            work: &work,
+            workloads: &work,
             run_times: &RunTimes::default(),
             unreachable: Vec::new(),
             share: self.share,
