--- a/lib/src/cluster/workloads.rs
+++ b/lib/src/cluster/workloads.rs
@@ -186,8 +186,8 @@
         self.tables.borrow_mut().own_centre = Some(received);
     }
 
-    /// Records a reader's report on the requests of all daemons. While it is recent, `at` uses it instead of
-    /// the reports of single peers and data centres.
+    /// Records a reader's report on the requests of all daemons. While it is recent, `workload_at` uses it instead
+    /// of the reports of single peers and data centres.
     pub fn set_fleet(&self, now: Moment, summaries: Vec<WorkloadSummary>) {
         let received = ReceivedTable { received_at: now, table: WorkloadTable::from(summaries) };
         self.tables.borrow_mut().fleet = Some(received);
--- a/lib/src/placement/plan_index.rs
+++ b/lib/src/placement/plan_index.rs
@@ -58,7 +58,7 @@
     pub fn new(
         engine_table: &'a EngineTable,
         demand: &'a Demand,
-        work: &WorkloadTable,
+        workloads: &WorkloadTable,
         now: Moment,
     ) -> Self {
         let mut index = Self {
@@ -82,7 +82,7 @@
         for (target, peak) in demand.peaks(now) {
             *index.peaks.entry((&target.service, &target.model)).or_default() += peak;
         }
-        index.count_running(engine_table, work);
+        index.count_running(engine_table, workloads);
         index.count_arrivals(engine_table);
         index
     }
@@ -98,12 +98,12 @@
         }
     }
 
-    fn count_running(&mut self, engine_table: &'a EngineTable, work: &WorkloadTable) {
+    fn count_running(&mut self, engine_table: &'a EngineTable, workloads: &WorkloadTable) {
         for engine in engine_table.engines.values() {
             let service = engine.server.service.as_str();
             let server = server_key(&engine.server.instance());
             for model in engine.models.iter().map(|m| &m.name) {
-                let count = work.running(server, model_key(Some(model)));
+                let count = workloads.running(server, model_key(Some(model)));
                 if count > 0 {
                     *self.running.entry((service, model.clone())).or_default() += count;
                     self.engine_running.insert((engine.server.id.clone(), model.clone()), count);
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -227,11 +227,11 @@
     }
 
     /// Returns the refusal for a cancelled request; its verdict states whether the request may have run.
-    pub fn cancel(&mut self, reason: &'static str, retry: Duration) -> Refusal {
+    pub fn cancel(&mut self, reason: &'static str, retry_after: Duration) -> Refusal {
         if self.sending {
             self.verdict = self.verdict.combine(Verdict::MayHaveRun);
         }
-        Refusal::failed(self.verdict, reason, retry)
+        Refusal::failed(self.verdict, reason, retry_after)
     }
 
     /// Records a failed send, and what it shows about the server's health and models.
@@ -257,13 +257,13 @@
     }
 
     fn record_missing_model(&self, daemon: &DaemonState, server: &ServerInstance) {
-        let Some(item) = self.model_target() else { return };
+        let Some(model_target) = self.model_target() else { return };
         let directory = daemon.directory.borrow();
         if let Some(server) = directory.get(&server.id).filter(|s| s.born == server.born) {
             daemon.inventories.borrow_mut().mark_missing(
                 server,
-                &item.model,
-                item.adapter.as_deref(),
+                &model_target.model,
+                model_target.adapter.as_deref(),
             );
         }
     }
--- a/lib/src/serve/choose.rs
+++ b/lib/src/serve/choose.rs
@@ -126,17 +126,21 @@
         self.run_times.mean(&server.service) * ahead / server.slots.max(1)
     }
 
-    /// Chooses an engine that holds what `item` names.
-    pub fn choose_engine(&self, item: &ModelTarget, tried: &[ServerInstance]) -> EngineChoice {
+    /// Chooses an engine that holds what `model_target` names.
+    pub fn choose_engine(
+        &self,
+        model_target: &ModelTarget,
+        tried: &[ServerInstance],
+    ) -> EngineChoice {
         // The directory may list an unreachable engine for seconds, but it can serve no request: the request
         // waits, and the model is loaded at another engine.
         let holds = |s: &Server| {
             !self.health.is_unreachable(&s.instance(), self.now)
-                && self.inventories.holds(s, &item.model, item.adapter.as_deref())
+                && self.inventories.holds(s, &model_target.model, model_target.adapter.as_deref())
         };
         let cost = |s: &Server, w| self.engine_cost(s, w);
         match self.choose(
-            &item.service,
+            &model_target.service,
             tried,
             holds,
             cost,
@@ -147,7 +151,7 @@
                 let queue_wait = self.queue_wait(&chosen.server, work);
                 EngineChoice::Server(ChosenServer { queue_wait, ..chosen })
             }
-            None if self.directory.all_servers().any(|s| s.service == item.service) => {
+            None if self.directory.all_servers().any(|s| s.service == model_target.service) => {
                 EngineChoice::NotLoaded
             }
             None => EngineChoice::NoServer,
@@ -155,20 +159,20 @@
     }
 
     /// Chooses a server that can take a request at once: healthy, with a free slot, and with the model and
-    /// adapter of `item` loaded if given.
+    /// adapter of `model_target` loaded if given.
     pub fn choose_available(
         &self,
         service: &str,
-        item: Option<&ModelTarget>,
+        model_target: Option<&ModelTarget>,
         tried: &[ServerInstance],
     ) -> Option<ChosenServer> {
         let is_available = |s: &Server| {
             let holds = |i: &ModelTarget| self.inventories.holds(s, &i.model, i.adapter.as_deref());
             !self.health.is_avoided(&s.instance(), self.now)
-                && item.is_none_or(holds)
+                && model_target.is_none_or(holds)
                 && self.workloads.workload_at(&s.instance(), self.now).running < s.slots
         };
-        if item.is_some() {
+        if model_target.is_some() {
             let cost = |s: &Server, w| self.engine_cost(s, w);
             return self.choose(
                 service,
@@ -185,17 +189,17 @@
     /// Returns whether a usable engine holds the model or its host has a local copy of the weights.
     ///
     /// If no engine of the service reports local copies, any model may have one, so returns true.
-    pub fn has_copy(&self, item: &ModelTarget) -> bool {
-        let engines = self.directory.all_servers().filter(|s| s.service == item.service);
+    pub fn has_copy(&self, model_target: &ModelTarget) -> bool {
+        let engines = self.directory.all_servers().filter(|s| s.service == model_target.service);
         let mut reports_copies = false;
         for server in engines {
             let copies = &server.copies;
             reports_copies |= !copies.disk.is_empty() || !copies.memory.is_empty();
             let is_usable =
                 !server.leaving && !self.health.is_unreachable(&server.instance(), self.now);
-            let has_weights = copies.disk.contains(&item.model)
-                || copies.memory.contains(&item.model)
-                || self.inventories.holds(server, &item.model, None);
+            let has_weights = copies.disk.contains(&model_target.model)
+                || copies.memory.contains(&model_target.model)
+                || self.inventories.holds(server, &model_target.model, None);
             if is_usable && has_weights {
                 return true;
             }
@@ -240,12 +244,16 @@
         servers.filter(|s| self.permit(s).is_some_and(is_late)).map(|s| s.instance()).collect()
     }
 
-    /// Returns the earliest send permit for a request that only rate-limited servers can take; with `item`, only
-    /// engines that hold its model and adapter count. `None` if a usable server has no rate limit, or if no server is
-    /// usable.
-    pub fn next_permit(&self, service: &str, item: Option<&ModelTarget>) -> Option<SendPermit> {
+    /// Returns the earliest send permit for a request that only rate-limited servers can take; with `model_target`,
+    /// only engines that hold its model and adapter count. `None` if a usable server has no rate limit, or if no
+    /// server is usable.
+    pub fn next_permit(
+        &self,
+        service: &str,
+        model_target: Option<&ModelTarget>,
+    ) -> Option<SendPermit> {
         let holds = |s: &Server| {
-            item.is_none_or(|i| self.inventories.holds(s, &i.model, i.adapter.as_deref()))
+            model_target.is_none_or(|i| self.inventories.holds(s, &i.model, i.adapter.as_deref()))
         };
         let is_usable = |s: &Server| {
             s.service == service
--- a/lib/src/serve/event_stream.rs
+++ b/lib/src/serve/event_stream.rs
@@ -32,10 +32,10 @@
 }
 
 impl EventStream {
-    /// Makes a reader of `answer`, whose first event must follow `last`, the last one that the caller has.
-    pub fn new(answer: ServerResponse, last: Option<u64>, work: WorkloadGuard) -> Self {
+    /// Makes a reader of `response`, whose first event must follow `last`, the last one that the caller has.
+    pub fn new(response: ServerResponse, last: Option<u64>, workload_guard: WorkloadGuard) -> Self {
         let splitter = EventSplitter::default();
-        Self { response: answer, splitter, order: EventOrder::after(last), workload_guard: work }
+        Self { response, splitter, order: EventOrder::after(last), workload_guard }
     }
 
     /// Returns the id of the last event, or the one that reading began after; `None` before the first event.
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -105,10 +105,12 @@
 fn choose(daemon: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
     match attempt.model_target() {
         None => daemon.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried)),
-        Some(item) => match daemon.with_chooser(|c| c.choose_engine(&item, &attempt.tried)) {
-            EngineChoice::Server(chosen) => Some(chosen),
-            EngineChoice::NotLoaded | EngineChoice::NoServer => None,
-        },
+        Some(model_target) => {
+            match daemon.with_chooser(|c| c.choose_engine(&model_target, &attempt.tried)) {
+                EngineChoice::Server(chosen) => Some(chosen),
+                EngineChoice::NotLoaded | EngineChoice::NoServer => None,
+            }
+        }
     }
 }
 
@@ -143,12 +145,12 @@
     attempt.record_send(chosen, daemon.now());
     daemon.record_send(&server.instance());
     let request = attempt.request(daemon, &server, None);
-    let work =
+    let workload_guard =
         daemon.workloads.begin(attempt.workload_key(&server), attempt.caller_headers.prompt_tokens);
     let id = attempt.caller_headers.attempt.clone();
     let daemon = Rc::clone(daemon);
     Box::pin(async move {
-        let _work = work;
+        let _workload_guard = workload_guard;
         let response = send::send(&daemon, &server, id.as_ref(), request).await?;
         send::read_whole(&daemon.pool, response, MAX_RESPONSE_BYTES).await
     })
--- a/lib/src/serve/exchange_stream.rs
+++ b/lib/src/serve/exchange_stream.rs
@@ -122,7 +122,7 @@
     attempt.record_send(chosen, daemon.now());
     daemon.record_send(&server.instance());
     let request = attempt.request(daemon, &server, resume);
-    let work =
+    let workload_guard =
         daemon.workloads.begin(attempt.workload_key(&server), attempt.caller_headers.prompt_tokens);
     let id = attempt.caller_headers.attempt.clone();
     let daemon = Rc::clone(daemon);
@@ -133,7 +133,7 @@
             return Ok(OpenOutcome::Whole(head, body));
         }
         let head = response.head.clone();
-        let mut stream = EventStream::new(response, resume, work);
+        let mut stream = EventStream::new(response, resume, workload_guard);
         let first_events = match stream.next().await? {
             StreamItem::Events(events) => events,
             // A caller may resume a stream after its last event, so an empty rest is valid.
--- a/lib/src/serve/failover.rs
+++ b/lib/src/serve/failover.rs
@@ -158,10 +158,10 @@
     if daemon.is_quarantined(&attempt.fingerprint) || !daemon.has_retry(&attempt.service) {
         return None;
     }
-    let item = attempt.model_target();
+    let model_target = attempt.model_target();
     let tried = attempt.all_tried();
-    let chosen =
-        daemon.with_chooser(|c| c.choose_available(&attempt.service, item.as_ref(), &tried))?;
+    let chosen = daemon
+        .with_chooser(|c| c.choose_available(&attempt.service, model_target.as_ref(), &tried))?;
     let server = &chosen.server;
     if daemon.pool.ensure_idle(&server.instance(), server.addr).await.is_err() {
         daemon.record_health(&attempt.service, &server.instance(), Evidence::Unreachable);
@@ -183,13 +183,16 @@
 
 /// Requests a load of the model at another engine, if no other usable engine holds it.
 fn request_model(daemon: &DaemonState, attempt: &Attempt, until: Moment) -> Option<WaitGuard> {
-    let item = attempt.model_target()?;
+    let model_target = attempt.model_target()?;
     let tried = attempt.all_tried();
-    if matches!(daemon.with_chooser(|c| c.choose_engine(&item, &tried)), EngineChoice::Server(_)) {
+    if matches!(
+        daemon.with_chooser(|c| c.choose_engine(&model_target, &tried)),
+        EngineChoice::Server(_)
+    ) {
         return None;
     }
     Some(daemon.model_waits.begin(
-        item,
+        model_target,
         until,
         until,
         unusable_engines(daemon, &attempt.service, &tried),
--- a/lib/src/serve/find_server.rs
+++ b/lib/src/serve/find_server.rs
@@ -51,7 +51,7 @@
     if let Some(refusal) = daemon.quarantine_refusal(attempt) {
         return Err(refusal);
     }
-    let Some(item) = attempt.model_target() else {
+    let Some(model_target) = attempt.model_target() else {
         let chosen = daemon.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried));
         return chosen
             .ok_or_else(|| Refusal::failed(attempt.verdict, "no server", DEFAULT_RETRY_AFTER));
@@ -64,7 +64,7 @@
         if let Some(refusal) = daemon.quarantine_refusal(attempt) {
             return Err(refusal);
         }
-        match select_engine(daemon, attempt, &item) {
+        match select_engine(daemon, attempt, &model_target) {
             EngineChoice::Server(chosen) => {
                 attempt.model_wait += daemon.now().saturating_sub(began);
                 return admit(daemon, attempt, chosen);
@@ -77,17 +77,18 @@
         let now = daemon.now();
         let caller_timeout = attempt.deadline.min(attempt.arrived + attempt.route.stall_timeout());
         let wait_until = caller_timeout.min(daemon.latest_start(attempt.deadline));
-        if let Some(refusal) = refuse_wait(daemon, attempt, &item, began, wait_until) {
+        if let Some(refusal) = refuse_wait(daemon, attempt, &model_target, began, wait_until) {
             attempt.model_wait += now.saturating_sub(began);
             return Err(refusal);
         }
         if guard.is_none() {
             slog::info!(daemon.log, "request-waits"; "attempt" => attempt.id(),
-                "model" => item.model.as_str(), "adapter" => item.adapter.as_deref().unwrap_or("-"),
-                "ahead" => daemon.model_waits.waiting_for(&item),
+                "model" => model_target.model.as_str(),
+                "adapter" => model_target.adapter.as_deref().unwrap_or("-"),
+                "ahead" => daemon.model_waits.waiting_for(&model_target),
                 "give_up_ms" => wait_until.saturating_sub(now).as_millis());
             guard = Some(daemon.model_waits.begin(
-                item.clone(),
+                model_target.clone(),
                 (attempt.arrived + attempt.route.latency_goal).saturating_sub(FIRST_EVENT_TIME),
                 wait_until,
                 unusable_engines(daemon, &attempt.service, &attempt.tried),
@@ -138,16 +139,20 @@
 }
 
 /// Chooses an engine. A suspect gets one only when its trial is next, and never one that has another suspect.
-fn select_engine(daemon: &DaemonState, attempt: &mut Attempt, item: &ModelTarget) -> EngineChoice {
+fn select_engine(
+    daemon: &DaemonState,
+    attempt: &mut Attempt,
+    model_target: &ModelTarget,
+) -> EngineChoice {
     if !may_send(daemon, attempt) {
         return EngineChoice::NotLoaded;
     }
     let Some(trial) = &attempt.trial else {
-        return daemon.with_chooser(|c| c.choose_engine(item, &attempt.tried));
+        return daemon.with_chooser(|c| c.choose_engine(model_target, &attempt.tried));
     };
     let mut excluded = daemon.trials.occupied_servers(daemon.now());
     excluded.extend_from_slice(&attempt.tried);
-    let choice = daemon.with_chooser(|c| c.choose_engine(item, &excluded));
+    let choice = daemon.with_chooser(|c| c.choose_engine(model_target, &excluded));
     if let EngineChoice::Server(chosen) = &choice {
         trial.assign(chosen.server.instance());
     }
@@ -195,26 +200,33 @@
     list
 }
 
-/// Returns a refusal if the wait for `item` cannot end by `wait_until`, as soon as this is known; `None` while the
-/// wait may still succeed.
+/// Returns a refusal if the wait for `model_target` cannot end by `wait_until`, as soon as this is known; `None`
+/// while the wait may still succeed.
 fn refuse_wait(
     daemon: &DaemonState,
     attempt: &Attempt,
-    item: &ModelTarget,
+    model_target: &ModelTarget,
     began: Moment,
     wait_until: Moment,
 ) -> Option<Refusal> {
     let now = daemon.now();
     let expected = daemon.with_chooser(|c| {
-        let servers = c.directory.servers().filter(|s| s.service == item.service && !s.leaving);
+        let servers =
+            c.directory.servers().filter(|s| s.service == model_target.service && !s.leaving);
         let times = servers.filter_map(|s| {
-            c.inventories.expected_at(&s.instance(), &item.model, item.adapter.as_deref(), now)
+            c.inventories.expected_at(
+                &s.instance(),
+                &model_target.model,
+                model_target.adapter.as_deref(),
+                now,
+            )
         });
         times.min()
     });
     let verdict = attempt.verdict;
     if expected.is_none() && now > began + ORDER_TIME {
-        let permit = daemon.with_chooser(|c| c.next_permit(&item.service, Some(item)));
+        let permit =
+            daemon.with_chooser(|c| c.next_permit(&model_target.service, Some(model_target)));
         if let Some(retry) =
             permit.and_then(|permit| retry_after(permit, wait_until.saturating_sub(now)))
         {
@@ -236,15 +248,19 @@
         _ if now + FIRST_EVENT_TIME > wait_until => {
             Some(Refusal::failed(verdict, "the model was not loaded in time", DEFAULT_RETRY_AFTER))
         }
-        None if !daemon.with_chooser(|c| c.has_copy(item)) => {
-            let load = fetch_time(attempt, item);
+        None if !daemon.with_chooser(|c| c.has_copy(model_target)) => {
+            let load = fetch_time(attempt, model_target);
             let is_overdue = now > began + ORDER_TIME;
             (is_overdue || now + load > wait_until)
                 .then(|| Refusal::failed(verdict, "no host has a copy of the model", load))
         }
-        None if wait_until < now + min_delay(attempt, item) && now > began + ORDER_TIME => Some(
-            Refusal::failed(verdict, "no engine can load the model in time", DEFAULT_RETRY_AFTER),
-        ),
+        None if wait_until < now + min_delay(attempt, model_target) && now > began + ORDER_TIME => {
+            Some(Refusal::failed(
+                verdict,
+                "no engine can load the model in time",
+                DEFAULT_RETRY_AFTER,
+            ))
+        }
         _ => None,
     }
 }
@@ -258,19 +274,19 @@
 }
 
 /// Returns the configuration of a model.
-fn model_spec<'a>(attempt: &'a Attempt, item: &ModelTarget) -> Option<&'a ModelSpec> {
-    let engine = attempt.config.services.get(&item.service)?.engine.as_ref()?;
-    engine.models.get(&item.model)
+fn model_spec<'a>(attempt: &'a Attempt, model_target: &ModelTarget) -> Option<&'a ModelSpec> {
+    let engine = attempt.config.services.get(&model_target.service)?.engine.as_ref()?;
+    engine.models.get(&model_target.model)
 }
 
 /// Returns the time that a fetch of the model takes.
-fn fetch_time(attempt: &Attempt, item: &ModelTarget) -> Duration {
-    model_spec(attempt, item).map_or(DEFAULT_RETRY_AFTER, |m| m.store_load)
+fn fetch_time(attempt: &Attempt, model_target: &ModelTarget) -> Duration {
+    model_spec(attempt, model_target).map_or(DEFAULT_RETRY_AFTER, |m| m.store_load)
 }
 
 /// Returns the least time until the first event of a model or adapter that no engine is loading yet.
-fn min_delay(attempt: &Attempt, item: &ModelTarget) -> Duration {
-    let spec = model_spec(attempt, item).filter(|_| item.adapter.is_none());
+fn min_delay(attempt: &Attempt, model_target: &ModelTarget) -> Duration {
+    let spec = model_spec(attempt, model_target).filter(|_| model_target.adapter.is_none());
     spec.map_or(ORDER_TIME, |m| m.memory_load.min(m.disk_load).min(m.store_load) + FIRST_EVENT_TIME)
 }
 
@@ -280,7 +296,7 @@
     daemon: &Rc<DaemonState>,
     attempt: &mut Attempt,
 ) -> Option<ChosenServer> {
-    let item = attempt.model_target()?;
+    let model_target = attempt.model_target()?;
     // A stream that failed over might still have continued at its former server, so it is not cut off before its
     // deadline.
     let until = if attempt.failed_over { attempt.deadline } else { daemon.now() + RESUME_TIMEOUT };
@@ -292,7 +308,7 @@
             attempt.reason = QUARANTINED_REASON;
             return None;
         }
-        if let EngineChoice::Server(chosen) = select_engine(daemon, attempt, &item) {
+        if let EngineChoice::Server(chosen) = select_engine(daemon, attempt, &model_target) {
             return Some(chosen);
         }
         let left = until.saturating_sub(daemon.now());
@@ -301,7 +317,7 @@
         }
         guard.get_or_insert_with(|| {
             let avoid = unusable_engines(daemon, &attempt.service, &attempt.tried);
-            daemon.model_waits.begin(item.clone(), until, until, avoid)
+            daemon.model_waits.begin(model_target.clone(), until, until, avoid)
         });
         let _notified = timeout(left.min(FULL_RETRY_DELAY * 2), changed).await;
     }
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -56,15 +56,8 @@
 impl Gossip {
     /// Exchanges datagrams on `socket`, which is bound to the peer address.
     pub fn new(daemon: Rc<DaemonState>, socket: UdpSocket) -> Rc<Self> {
-        let (malformed, last_digest, last_broadcast, round) = <_>::default();
-        Rc::new(Self {
-            daemon,
-            socket,
-            malformed,
-            last_digest,
-            last_broadcast,
-            digest_round: round,
-        })
+        let (malformed, last_digest, last_broadcast, digest_round) = <_>::default();
+        Rc::new(Self { daemon, socket, malformed, last_digest, last_broadcast, digest_round })
     }
 
     pub(super) fn encode(&self, content: Payload) -> Vec<u8> {
@@ -275,11 +268,11 @@
         status: &ReaderStatus,
         from: Offset,
         end: Offset,
-        joined: Vec<(ServerId, Vec<u8>)>,
+        joined_servers: Vec<(ServerId, Vec<u8>)>,
     ) -> bool {
         let daemon = &self.daemon;
         let mut changed = false;
-        for (id, raw) in joined {
+        for (id, raw) in joined_servers {
             let change = apply_updates::apply_server(
                 daemon,
                 &id,
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -72,9 +72,10 @@
     parts: &request::Parts,
     refusal: &Refusal,
 ) -> Response<ReplyBody> {
-    let terms = daemon.protocol.parse_caller_headers(&parts.headers);
+    let caller_headers = daemon.protocol.parse_caller_headers(&parts.headers);
     let config = daemon.config_version();
-    slog::info!(daemon.log, "request-refused"; "attempt" => terms.attempt.as_deref().unwrap_or("-"),
+    slog::info!(daemon.log, "request-refused";
+        "attempt" => caller_headers.attempt.as_deref().unwrap_or("-"),
         "status" => refusal.status.as_u16(), "reason" => refusal.reason, "config" => config,
         "config_age_ms" => daemon.config_age(daemon.now()).as_millis(),
         "host" => host(parts), "path" => parts.uri.path());
@@ -120,15 +121,15 @@
     let Some(service) = pick_service(&route) else {
         return Err((parts, Refusal::not_run("the route has no service", UNREADY_RETRY_AFTER)));
     };
-    let terms = daemon.protocol.parse_caller_headers(&parts.headers);
-    let time_limit = terms.timeout.map_or(route.timeout, |p| p.min(route.timeout));
+    let caller_headers = daemon.protocol.parse_caller_headers(&parts.headers);
+    let time_limit = caller_headers.timeout.map_or(route.timeout, |p| p.min(route.timeout));
     let target = parts.uri.path_and_query().map_or("/", PathAndQuery::as_str);
     let fingerprint = Fingerprint::new(&parts.method, host(&parts), target, &body);
     Ok(Attempt {
         parts,
         body,
         fingerprint,
-        caller_headers: terms,
+        caller_headers,
         config: Rc::clone(&config),
         route,
         service,
@@ -209,8 +210,8 @@
     if let Some(refusal) = daemon.quarantine_refusal(&attempt) {
         return refuse(daemon, &attempt, &refusal);
     }
-    if let Some(item) = attempt.model_target() {
-        daemon.model_waits.count_arrival(&item, attempt.arrived);
+    if let Some(model_target) = attempt.model_target() {
+        daemon.model_waits.count_arrival(&model_target, attempt.arrived);
     }
     daemon.retry_budgets.borrow_mut().record_first(&attempt.service, attempt.arrived);
     if daemon.now() > daemon.latest_start(attempt.deadline) {
--- a/lib/src/serve/placement_controller.rs
+++ b/lib/src/serve/placement_controller.rs
@@ -190,13 +190,13 @@
         let fetch_quota =
             if rate.is_finite() { state.fetch_limiter.fetches_left(rate, window, now) } else { 0 };
         drop(state);
-        let work = daemon.workloads.fleet_table(now);
+        let workloads = daemon.workloads.fleet_table(now);
         let input = PlanInput {
             now,
             config,
             engine_table: &engine_table,
             demand: &demand,
-            workloads: &work,
+            workloads: &workloads,
             run_times: &daemon.run_times,
             unreachable: avoided.chain(directory.suspended().cloned()).collect(),
             share,
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -181,11 +181,11 @@
     fn send_digest(&self, is_urgent: bool) {
         let now = self.daemon.now();
         self.last_digest.set(now);
-        let round = self.digest_round.replace(self.digest_round.get().wrapping_add(1));
+        let digest_round = self.digest_round.replace(self.digest_round.get().wrapping_add(1));
         self.daemon.peers.borrow_mut().sweep(now);
         self.update_reader_role(now);
         let bytes = self.digest_message();
-        let addrs = self.digest_recipients(round, is_urgent, now);
+        let addrs = self.digest_recipients(digest_round, is_urgent, now);
         for addr in &addrs {
             self.send(*addr, &bytes, "digest");
         }
@@ -210,7 +210,12 @@
         }
     }
 
-    fn digest_recipients(&self, round: u64, is_urgent: bool, now: Moment) -> Vec<SocketAddr> {
+    fn digest_recipients(
+        &self,
+        digest_round: u64,
+        is_urgent: bool,
+        now: Moment,
+    ) -> Vec<SocketAddr> {
         let peers = self.daemon.peers.borrow();
         let centre = self.daemon.settings().centre.clone();
         let is_due = is_urgent || now >= self.last_broadcast.get() + peers.holder_interval();
@@ -218,7 +223,7 @@
             self.last_broadcast.set(now);
             return peers.all().map(|(_, p)| p.addr).collect();
         }
-        peers.digest_targets(&centre, round, now)
+        peers.digest_targets(&centre, digest_round, now)
     }
 
     /// Sends a reader's reports to its data centre, the readers of the other data centres and the lease holder.
--- a/lib/src/serve/reply.rs
+++ b/lib/src/serve/reply.rs
@@ -34,23 +34,23 @@
 }
 
 impl Refusal {
-    /// Refuses a request that did not run and will not run; the caller may retry after `retry`.
-    pub fn not_run(reason: &'static str, retry: Duration) -> Self {
-        Self { status: StatusCode::SERVICE_UNAVAILABLE, retry_after: Some(retry), reason }
+    /// Refuses a request that did not run and will not run; the caller may retry after `retry_after`.
+    pub fn not_run(reason: &'static str, retry_after: Duration) -> Self {
+        Self { status: StatusCode::SERVICE_UNAVAILABLE, retry_after: Some(retry_after), reason }
     }
 
-    /// Refuses a request that no server answered: with status 503 and `retry` if it did not run, otherwise 502.
-    pub fn failed(verdict: Verdict, reason: &'static str, retry: Duration) -> Self {
+    /// Refuses a request that no server answered: with status 503 and `retry_after` if it did not run, otherwise 502.
+    pub fn failed(verdict: Verdict, reason: &'static str, retry_after: Duration) -> Self {
         match verdict {
-            Verdict::DidNotRun => Self::not_run(reason, retry),
+            Verdict::DidNotRun => Self::not_run(reason, retry_after),
             _ => Self { status: StatusCode::BAD_GATEWAY, retry_after: None, reason },
         }
     }
 
-    /// Refuses a request that ran out of time: with status 503 and `retry` if it did not run, otherwise 504.
-    pub fn timeout(verdict: Verdict, reason: &'static str, retry: Duration) -> Self {
+    /// Refuses a request that ran out of time: with status 503 and `retry_after` if it did not run, otherwise 504.
+    pub fn timeout(verdict: Verdict, reason: &'static str, retry_after: Duration) -> Self {
         match verdict {
-            Verdict::DidNotRun => Self::not_run(reason, retry),
+            Verdict::DidNotRun => Self::not_run(reason, retry_after),
             _ => Self { status: StatusCode::GATEWAY_TIMEOUT, retry_after: None, reason },
         }
     }
@@ -67,8 +67,8 @@
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let Some(retry) = self.retry_after {
-            let seconds = format!("{:.2}", retry.as_secs_f64());
+        if let Some(retry_after) = self.retry_after {
+            let seconds = format!("{:.2}", retry_after.as_secs_f64());
             if let Ok(value) = HeaderValue::try_from(seconds) {
                 headers.insert(header::RETRY_AFTER, value);
             }
--- a/lib/src/serve/send.rs
+++ b/lib/src/serve/send.rs
@@ -157,13 +157,13 @@
         }
     };
     let (head, body) = response.into_parts();
-    let terms = daemon.protocol.parse_response_headers(&head);
-    let matches_attempt = terms.attempt.as_ref() == attempt;
-    let is_other_server = terms.instance.as_ref().is_some_and(|id| *id != server.id);
+    let headers = daemon.protocol.parse_response_headers(&head);
+    let matches_attempt = headers.attempt.as_ref() == attempt;
+    let is_other_server = headers.instance.as_ref().is_some_and(|id| *id != server.id);
     if matches_attempt && !is_other_server {
-        daemon.apply_server_feedback(&instance, &terms, sent);
+        daemon.apply_server_feedback(&instance, &headers, sent);
     }
-    check_response(server, ServerResponse { head, headers: terms, body, connection }, attempt)
+    check_response(server, ServerResponse { head, headers, body, connection }, attempt)
 }
 
 fn check_response(
@@ -171,19 +171,19 @@
     response: ServerResponse,
     attempt: Option<&AttemptId>,
 ) -> Result<ServerResponse, SendFailure> {
-    let ServerResponse { head, headers: terms, .. } = &response;
+    let ServerResponse { head, headers, .. } = &response;
     // The connection may deliver the response to another request in place of this one's.
-    if attempt.is_some() && terms.attempt.is_some() && terms.attempt.as_ref() != attempt {
+    if attempt.is_some() && headers.attempt.is_some() && headers.attempt.as_ref() != attempt {
         return Err(SendFailure::may_have_run("the answer belongs to another request"));
     }
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        let is_other_server = terms.instance.as_ref().is_some_and(|id| *id != server.id);
+        let is_other_server = headers.instance.as_ref().is_some_and(|id| *id != server.id);
         return Err(SendFailure::misdirected(is_other_server));
     }
-    if terms.not_executed {
+    if headers.not_executed {
         return Err(SendFailure::refused());
     }
-    if head.status.is_success() && (!terms.signed || terms.attempt.as_ref() != attempt) {
+    if head.status.is_success() && (!headers.signed || headers.attempt.as_ref() != attempt) {
         return Err(SendFailure::may_have_run("the answer is not signed"));
     }
     Ok(response)
@@ -199,7 +199,7 @@
     response: ServerResponse,
     limit: usize,
 ) -> Result<(response::Parts, Bytes), SendFailure> {
-    let ServerResponse { head, headers: terms, mut body, connection } = response;
+    let ServerResponse { head, headers, mut body, connection } = response;
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_error| {
@@ -212,6 +212,6 @@
             return Err(SendFailure::may_have_run("the answer is too long"));
         }
     }
-    pool.release(connection, terms.keep_alive);
+    pool.release(connection, headers.keep_alive);
     Ok((head, Bytes::from(bytes)))
 }
--- a/lib/testutils/src/placing_site.rs
+++ b/lib/testutils/src/placing_site.rs
@@ -154,13 +154,13 @@
 
     /// Returns the next steps.
     pub fn plan(&self) -> Vec<Action> {
-        let work = self.loads.fleet_table(NOW);
+        let workloads = self.loads.fleet_table(NOW);
         let input = PlanInput {
             now: NOW,
             config: &self.config,
             engine_table: &self.engine_table,
             demand: &self.demand,
-            workloads: &work,
+            workloads: &workloads,
             run_times: &RunTimes::default(),
             unreachable: Vec::new(),
             share: self.share,
