--- a/lib/src/cluster/workloads.rs
+++ b/lib/src/cluster/workloads.rs
@@ -186,8 +186,8 @@
         self.tables.borrow_mut().own_centre = Some(received);
     }
 
-    /// Records a reader's report on the requests of all daemons. While it is recent, `at` uses it instead of
-    /// the reports of single peers and data centres.
+    /// Records a reader's report on the requests of all daemons. While it is recent, `workload_at` uses it instead
+    /// of the reports of single peers and data centres.
     pub fn set_fleet(&self, now: Moment, summaries: Vec<WorkloadSummary>) {
         let received = ReceivedTable { received_at: now, table: WorkloadTable::from(summaries) };
         self.tables.borrow_mut().fleet = Some(received);
@@ -241,7 +241,7 @@
 
     /// Returns the requests at a server, over all daemons that reported recently. The count is at least what
     /// the server itself reports.
-    pub fn at(&self, server: &ServerInstance, now: Moment) -> Workload {
+    pub fn workload_at(&self, server: &ServerInstance, now: Moment) -> Workload {
         let tables = self.tables.borrow();
         let mut workload = tables.others_at(server_key(server), now);
         let own = tables.own_at(server);
--- a/lib/src/metrics.rs
+++ b/lib/src/metrics.rs
@@ -168,7 +168,7 @@
 
     /// Sets the version of the configuration in force and the time since the store last confirmed
     /// or replaced it.
-    pub fn configuration(&self, version: u64, age: Duration) {
+    pub fn set_configuration(&self, version: u64, age: Duration) {
         self.config_version.record(version, &[]);
         self.config_age.record(age.as_secs_f64(), &[]);
     }
@@ -184,7 +184,7 @@
     }
 
     /// Counts a record of a feed that cannot be parsed.
-    pub fn unread(&self, feed: &'static str) {
+    pub fn record_unreadable(&self, feed: &'static str) {
         self.unreadable_records.add(1, &[KeyValue::new("feed", feed)]);
     }
 
--- a/lib/src/placement/planner.rs
+++ b/lib/src/placement/planner.rs
@@ -51,7 +51,7 @@
         /// Where the weights come from.
         source: Source,
         /// Expected total duration.
-        time: Duration,
+        expected_time: Duration,
         /// Reason shown in the log.
         reason: &'static str,
     },
@@ -80,7 +80,7 @@
     /// Demand over all daemons.
     pub demand: &'a Demand,
     /// Requests in progress, over all daemons.
-    pub work: &'a WorkloadTable,
+    pub workloads: &'a WorkloadTable,
     /// How long requests run.
     pub run_times: &'a RunTimes,
     /// Engines that the lease holder cannot reach.
@@ -109,7 +109,7 @@
     /// Returns the next actions, at most one per engine.
     pub fn plan(&self) -> Vec<Action> {
         let backlogs = self.demand.backlogs(self.now);
-        let index = PlanIndex::new(self.engine_table, self.demand, self.work, self.now);
+        let index = PlanIndex::new(self.engine_table, self.demand, self.workloads, self.now);
         let waiting_models =
             backlogs.keys().map(|t| (t.service.clone(), t.model.clone())).collect();
         let fetching = index.fetching;
@@ -158,7 +158,7 @@
             model: model.clone(),
             victims: option.victims,
             source: option.source,
-            time: option.time,
+            expected_time: option.time,
             reason,
         });
     }
@@ -197,9 +197,9 @@
         let avoid = backlog.avoid;
         let is_allowed = |e: &&Engine| !avoid.contains(&e.server.instance());
         let will_serve = |e: &Engine| {
-            let is_victim = e.job.as_ref().is_some_and(|j| j.victims.contains(&target.model));
+            let is_victim = e.load_job.as_ref().is_some_and(|j| j.victims.contains(&target.model));
             e.holds(&target.model) && !is_victim
-                || e.job.as_ref().is_some_and(|j| j.model == target.model)
+                || e.load_job.as_ref().is_some_and(|j| j.model == target.model)
         };
         if self.options.engines(&target.service).filter(is_allowed).any(will_serve) {
             return;
@@ -265,11 +265,11 @@
         }
         let is_free = |e: &&&Engine| {
             e.confirmed
-                && e.job.is_none()
+                && e.load_job.is_none()
                 && self.input.now >= e.backoff_until
                 && !self.options.assigned.contains(&e.server.id)
         };
-        let work = |e: &Engine| self.input.work.at(server_key(&e.server.instance())).running;
+        let work = |e: &Engine| self.input.workloads.at(server_key(&e.server.instance())).running;
         let engine = holders.iter().filter(is_free).min_by_key(|e| (e.adapter_count(), work(e)))?;
         self.adapter_action(engine, target, adapter)
     }
--- a/lib/src/protocol.rs
+++ b/lib/src/protocol.rs
@@ -85,7 +85,7 @@
     /// Whether the server reports that the request did not run.
     pub not_executed: bool,
     /// The server's workload, if reported.
-    pub load: Option<ReportedWorkload>,
+    pub workload: Option<ReportedWorkload>,
     /// The server's rate limit.
     pub limit: ReportedLimit,
     /// How long the server keeps an idle connection open.
--- a/lib/src/serve/attempt.rs
+++ b/lib/src/serve/attempt.rs
@@ -52,7 +52,7 @@
     /// Fingerprint of the request, the same for all its attempts.
     pub fingerprint: Fingerprint,
     /// Parsed protocol headers of the caller.
-    pub terms: CallerHeaders,
+    pub caller_headers: CallerHeaders,
     /// Configuration in force when the request arrived.
     pub config: Rc<Configuration>,
     /// Route that the request matched.
@@ -76,7 +76,7 @@
     /// Number of sends so far.
     pub sends: u32,
     /// Number of failed sends that reached a server; a send after the first of them takes from the retry budget.
-    pub deliveries: u32,
+    pub failed_deliveries: u32,
     /// Server of the last send.
     pub last_server: Option<ServerInstance>,
     /// Whether it runs after requests that can still meet their goals.
@@ -98,7 +98,7 @@
     /// Time of the first event from the server of the last send.
     pub first_event: Option<Moment>,
     /// Same as `first_event`, but cleared once events have been received for a while.
-    pub young_since: Option<Moment>,
+    pub unproven_since: Option<Moment>,
     /// Longest pause between events so far.
     pub max_pause: Duration,
 }
@@ -106,19 +106,19 @@
 impl Attempt {
     /// Returns the model and adapter that the request needs; `None` if its service has no engines or it names
     /// no model.
-    pub fn item(&self) -> Option<ModelTarget> {
+    pub fn model_target(&self) -> Option<ModelTarget> {
         let service = self.config.services.get(&self.service)?;
         service.engine.as_ref()?;
         Some(ModelTarget {
             service: self.service.clone(),
-            model: self.terms.model.clone()?,
-            adapter: self.terms.adapter.clone(),
+            model: self.caller_headers.model.clone()?,
+            adapter: self.caller_headers.adapter.clone(),
         })
     }
 
     /// Returns the key under which the request counts towards the workload of `server`.
     pub fn workload_key(&self, server: &Server) -> WorkloadKey {
-        WorkloadKey { server: server.instance(), model: self.item().map(|i| i.model) }
+        WorkloadKey { server: server.instance(), model: self.model_target().map(|i| i.model) }
     }
 
     /// Returns whether another send is ruled out: the request may have run, and its route allows no second run.
@@ -142,7 +142,7 @@
     ) -> Request<Bytes> {
         let offset = if self.is_late { LATE_PRIORITY_OFFSET } else { 0 };
         let level = self.route.priority.saturating_add(offset).min(MAX_PRIORITY);
-        let priority = self.item().map(|_| level);
+        let priority = self.model_target().map(|_| level);
         let time_left = self.deadline.saturating_sub(daemon.now());
         let terms = SendHeaders { server: server.id.clone(), time_left, priority, resume_after };
         let mut request = Request::new(self.body.clone());
@@ -176,9 +176,9 @@
     /// Records the first event of the response.
     pub fn record_first_event(&mut self, daemon: &DaemonState, first: Moment) {
         self.first_event = Some(first);
-        self.young_since = Some(first);
+        self.unproven_since = Some(first);
         self.trial = None;
-        daemon.record_passed(self, RequestProgress::FirstEvent);
+        daemon.record_progress(self, RequestProgress::FirstEvent);
     }
 
     /// Returns the tried servers and the server of the last send.
@@ -206,7 +206,7 @@
         self.record_failure(daemon, failure);
         self.failed_over = origin.failed_over;
         self.possible_runs -= 1;
-        self.deliveries -= 1;
+        self.failed_deliveries -= 1;
         self.verdict = origin.verdict;
         self.tried.retain(|s| Some(s) != origin.server.as_ref());
         self.last_server = origin.server;
@@ -219,7 +219,7 @@
         self.sent_at = now;
         self.sending = true;
         self.first_event = None;
-        self.young_since = None;
+        self.unproven_since = None;
         self.last_server = Some(chosen.server.instance());
         self.queue_wait = chosen.queue_wait;
         self.cost = chosen.cost;
@@ -227,11 +227,11 @@
     }
 
     /// Returns the refusal for a cancelled request; its verdict states whether the request may have run.
-    pub fn give_up(&mut self, reason: &'static str, retry: Duration) -> Refusal {
+    pub fn cancel(&mut self, reason: &'static str, retry_after: Duration) -> Refusal {
         if self.sending {
             self.verdict = self.verdict.combine(Verdict::MayHaveRun);
         }
-        Refusal::failed(self.verdict, reason, retry)
+        Refusal::failed(self.verdict, reason, retry_after)
     }
 
     /// Records a failed send, and what it shows about the server's health and models.
@@ -239,7 +239,7 @@
         self.sending = false;
         self.trial = None;
         self.reason = failure.reason;
-        self.deliveries += u32::from(failure.delivered);
+        self.failed_deliveries += u32::from(failure.delivered);
         self.verdict = self.verdict.combine(failure.verdict);
         if failure.verdict != Verdict::DidNotRun {
             self.possible_runs += 1;
@@ -257,19 +257,19 @@
     }
 
     fn record_missing_model(&self, daemon: &DaemonState, server: &ServerInstance) {
-        let Some(item) = self.item() else { return };
+        let Some(model_target) = self.model_target() else { return };
         let directory = daemon.directory.borrow();
         if let Some(server) = directory.get(&server.id).filter(|s| s.born == server.born) {
             daemon.inventories.borrow_mut().mark_missing(
                 server,
-                &item.model,
-                item.adapter.as_deref(),
+                &model_target.model,
+                model_target.adapter.as_deref(),
             );
         }
     }
 
     /// Returns the caller's id of this attempt for log lines, or `-` if there is none.
     pub fn id(&self) -> &str {
-        self.terms.attempt.as_deref().unwrap_or("-")
+        self.caller_headers.attempt.as_deref().unwrap_or("-")
     }
 }
--- a/lib/src/serve/exchange_plain.rs
+++ b/lib/src/serve/exchange_plain.rs
@@ -46,8 +46,8 @@
             return Err(refusal);
         }
         let Some(chosen) = choose(daemon, attempt) else {
-            let permit =
-                daemon.with_chooser(|c| c.next_permit(&attempt.service, attempt.item().as_ref()));
+            let permit = daemon
+                .with_chooser(|c| c.next_permit(&attempt.service, attempt.model_target().as_ref()));
             if let Some(permit) = permit.filter(|_| !attempt.must_not_retry()) {
                 let goal_left = (attempt.arrived + attempt.route.latency_goal).saturating_sub(now);
                 if let Some(retry) = retry_after(permit, goal_left) {
@@ -70,7 +70,7 @@
             attempt.tried.clear();
             continue;
         };
-        if attempt.deliveries > 0 && !daemon.take_retry(&attempt.service) {
+        if attempt.failed_deliveries > 0 && !daemon.take_retry(&attempt.service) {
             return Err(Refusal::failed(
                 attempt.verdict,
                 "the retry budget is spent",
@@ -103,12 +103,14 @@
 }
 
 fn choose(daemon: &DaemonState, attempt: &Attempt) -> Option<ChosenServer> {
-    match attempt.item() {
+    match attempt.model_target() {
         None => daemon.with_chooser(|c| c.choose_plain(&attempt.service, &attempt.tried)),
-        Some(item) => match daemon.with_chooser(|c| c.choose_engine(&item, &attempt.tried)) {
-            EngineChoice::Server(chosen) => Some(chosen),
-            EngineChoice::NotLoaded | EngineChoice::NoServer => None,
-        },
+        Some(model_target) => {
+            match daemon.with_chooser(|c| c.choose_engine(&model_target, &attempt.tried)) {
+                EngineChoice::Server(chosen) => Some(chosen),
+                EngineChoice::NotLoaded | EngineChoice::NoServer => None,
+            }
+        }
     }
 }
 
@@ -123,7 +125,7 @@
         return false;
     }
     attempt.possible_runs += 1;
-    attempt.deliveries += 1;
+    attempt.failed_deliveries += 1;
     attempt.verdict = Verdict::Ran;
     attempt.sending = false;
     attempt.tried.push(server);
@@ -143,11 +145,12 @@
     attempt.record_send(chosen, daemon.now());
     daemon.record_send(&server.instance());
     let request = attempt.request(daemon, &server, None);
-    let work = daemon.workloads.begin(attempt.workload_key(&server), attempt.terms.prompt_tokens);
-    let id = attempt.terms.attempt.clone();
+    let workload_guard =
+        daemon.workloads.begin(attempt.workload_key(&server), attempt.caller_headers.prompt_tokens);
+    let id = attempt.caller_headers.attempt.clone();
     let daemon = Rc::clone(daemon);
     Box::pin(async move {
-        let _work = work;
+        let _workload_guard = workload_guard;
         let response = send::send(&daemon, &server, id.as_ref(), request).await?;
         send::read_whole(&daemon.pool, response, MAX_RESPONSE_BYTES).await
     })
--- a/lib/src/serve/gossip.rs
+++ b/lib/src/serve/gossip.rs
@@ -50,14 +50,14 @@
     /// When this daemon, as lease holder, last sent its digest to all daemons of a large fleet.
     pub(super) last_broadcast: Cell<Moment>,
     /// Number of digests published; wraps around.
-    pub(super) round: Cell<u64>,
+    pub(super) digest_round: Cell<u64>,
 }
 
 impl Gossip {
     /// Exchanges datagrams on `socket`, which is bound to the peer address.
     pub fn new(daemon: Rc<DaemonState>, socket: UdpSocket) -> Rc<Self> {
-        let (malformed, last_digest, last_broadcast, round) = <_>::default();
-        Rc::new(Self { daemon, socket, malformed, last_digest, last_broadcast, round })
+        let (malformed, last_digest, last_broadcast, digest_round) = <_>::default();
+        Rc::new(Self { daemon, socket, malformed, last_digest, last_broadcast, digest_round })
     }
 
     pub(super) fn encode(&self, content: Payload) -> Vec<u8> {
@@ -135,7 +135,7 @@
     /// Records an instance that a peer named; returns whether it is not older than the newest known one, so that the
     /// peer's report on it counts.
     fn accepts_instance(&self, instance: &ServerInstance, from: &DaemonId) -> bool {
-        apply_updates::apply_start(&self.daemon, instance, from) != InstanceOrder::Older
+        apply_updates::apply_instance(&self.daemon, instance, from) != InstanceOrder::Older
     }
 
     /// Applies engine inventories. A reader relays those of the lease holder to its data centre.
@@ -144,7 +144,7 @@
         let is_holder =
             daemon.peers.borrow().holder(daemon.now()).is_some_and(|(id, ..)| id == from);
         if is_holder && daemon.is_large_fleet() && daemon.is_reader() {
-            self.relay_holdings(fence, &list);
+            self.relay_inventories(fence, &list);
         }
         list.retain(|inventory| self.accepts_instance(&inventory.server, from));
         daemon.update_inventory(fence, list);
@@ -171,7 +171,7 @@
         }
         self.apply_departures(from, &digest.departures);
         daemon.apply_peer_limits(&digest.limits, from);
-        suspects::receive_note(daemon, &digest.quarantine, from);
+        suspects::merge_report(daemon, &digest.quarantine, from);
     }
 
     /// Applies a peer's reports of servers that leave.
@@ -216,7 +216,9 @@
         let daemon = &self.daemon;
         let now = daemon.now();
         let status = ReaderStatus::new(&report, now);
-        let ReaderReport { digest, changes_from, joined, checksum, scope, workloads, .. } = report;
+        let ReaderReport {
+            digest, changes_from, joined_servers, checksum, scope, workloads, ..
+        } = report;
         self.apply_digest(from, addr, process, &digest);
         daemon.peers.borrow_mut().set_reader_status(from, status);
         let is_own_centre = digest.centre == daemon.settings().centre;
@@ -238,7 +240,7 @@
             let config_at = &daemon.freshness.config_at;
             config_at.set(config_at.get().max(now.saturating_sub(age)));
         }
-        if self.apply_changes(&status, changes_from, digest.servers_end, joined) {
+        if self.apply_changes(&status, changes_from, digest.servers_end, joined_servers) {
             self.check_divergence(from, digest.servers_end, checksum);
         }
     }
@@ -266,11 +268,11 @@
         status: &ReaderStatus,
         from: Offset,
         end: Offset,
-        joined: Vec<(ServerId, Vec<u8>)>,
+        joined_servers: Vec<(ServerId, Vec<u8>)>,
     ) -> bool {
         let daemon = &self.daemon;
         let mut changed = false;
-        for (id, raw) in joined {
+        for (id, raw) in joined_servers {
             let change = apply_updates::apply_server(
                 daemon,
                 &id,
@@ -290,8 +292,8 @@
             return false;
         }
         daemon.metrics.record_reader_report("taken");
-        daemon.directory.borrow_mut().record_relayed_read(status.read, end);
-        daemon.freshness.advance_servers(status.read);
+        daemon.directory.borrow_mut().record_relayed_read(status.last_read, end);
+        daemon.freshness.advance_servers(status.last_read);
         daemon.freshness.is_partial.set(true);
         true
     }
--- a/lib/src/serve/handle.rs
+++ b/lib/src/serve/handle.rs
@@ -72,9 +72,10 @@
     parts: &request::Parts,
     refusal: &Refusal,
 ) -> Response<ReplyBody> {
-    let terms = daemon.protocol.parse_caller_headers(&parts.headers);
+    let caller_headers = daemon.protocol.parse_caller_headers(&parts.headers);
     let config = daemon.config_version();
-    slog::info!(daemon.log, "request-refused"; "attempt" => terms.attempt.as_deref().unwrap_or("-"),
+    slog::info!(daemon.log, "request-refused";
+        "attempt" => caller_headers.attempt.as_deref().unwrap_or("-"),
         "status" => refusal.status.as_u16(), "reason" => refusal.reason, "config" => config,
         "config_age_ms" => daemon.config_age(daemon.now()).as_millis(),
         "host" => host(parts), "path" => parts.uri.path());
@@ -120,15 +121,15 @@
     let Some(service) = pick_service(&route) else {
         return Err((parts, Refusal::not_run("the route has no service", UNREADY_RETRY_AFTER)));
     };
-    let terms = daemon.protocol.parse_caller_headers(&parts.headers);
-    let time_limit = terms.timeout.map_or(route.timeout, |p| p.min(route.timeout));
+    let caller_headers = daemon.protocol.parse_caller_headers(&parts.headers);
+    let time_limit = caller_headers.timeout.map_or(route.timeout, |p| p.min(route.timeout));
     let target = parts.uri.path_and_query().map_or("/", PathAndQuery::as_str);
     let fingerprint = Fingerprint::new(&parts.method, host(&parts), target, &body);
     Ok(Attempt {
         parts,
         body,
         fingerprint,
-        terms,
+        caller_headers,
         config: Rc::clone(&config),
         route,
         service,
@@ -140,7 +141,7 @@
         failed_over: false,
         possible_runs: 0,
         sends: 0,
-        deliveries: 0,
+        failed_deliveries: 0,
         last_server: None,
         is_late: false,
         queue_wait: Duration::ZERO,
@@ -149,7 +150,7 @@
         reason: "",
         model_wait: Duration::ZERO,
         trial: None,
-        young_since: None,
+        unproven_since: None,
         sent_at: arrived,
         first_event: None,
         max_pause: Duration::ZERO,
@@ -209,8 +210,8 @@
     if let Some(refusal) = daemon.quarantine_refusal(&attempt) {
         return refuse(daemon, &attempt, &refusal);
     }
-    if let Some(item) = attempt.item() {
-        daemon.model_waits.count_arrival(&item, attempt.arrived);
+    if let Some(model_target) = attempt.model_target() {
+        daemon.model_waits.count_arrival(&model_target, attempt.arrived);
     }
     daemon.retry_budgets.borrow_mut().record_first(&attempt.service, attempt.arrived);
     if daemon.now() > daemon.latest_start(attempt.deadline) {
@@ -223,12 +224,12 @@
     let result = tokio::select! {
         biased;
         result = exchange(daemon, &mut attempt) => result,
-        () = daemon.aborted() => Err(attempt.give_up(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
+        () = daemon.aborted() => Err(attempt.cancel(STOPPING_REASON, OTHER_DAEMON_RETRY_AFTER)),
     };
     match result {
         Ok(OpenOutcome::Whole(head, body)) => {
             attempt.verdict = Verdict::Ran;
-            daemon.record_passed(&attempt, RequestProgress::Complete);
+            daemon.record_progress(&attempt, RequestProgress::Complete);
             log_request(daemon, &attempt, head.status, "answered", None);
             forward_response(head, body)
         }
@@ -249,7 +250,7 @@
     log_request(daemon, attempt, refusal.status, refusal.reason, None);
     daemon.metrics.record_refusal(refusal.reason);
     let mut response = refusal.response();
-    if let Some(id) = &attempt.terms.attempt {
+    if let Some(id) = &attempt.caller_headers.attempt {
         daemon.protocol.set_attempt_id(response.headers_mut(), id);
     }
     response
@@ -270,8 +271,8 @@
     daemon.metrics.record_answer(&attempt.route.name, attempt.verdict);
     slog::info!(daemon.log, "request"; "attempt" => attempt.id(), "print" => %attempt.fingerprint,
         "route" => attempt.route.name.as_str(), "service" => attempt.service.as_str(),
-        "model" => attempt.terms.model.as_deref().unwrap_or("-"),
-        "adapter" => attempt.terms.adapter.as_deref().unwrap_or("-"),
+        "model" => attempt.caller_headers.model.as_deref().unwrap_or("-"),
+        "adapter" => attempt.caller_headers.adapter.as_deref().unwrap_or("-"),
         "server" => attempt.last_server.as_ref().map_or("-", |s| s.id.as_str()),
         "among" => attempt.candidate_count, "cost_ms" => attempt.cost.round() as i64,
         "status" => status.as_u16(), "verdict" => %attempt.verdict, "reason" => reason,
--- a/lib/src/serve/publish.rs
+++ b/lib/src/serve/publish.rs
@@ -104,9 +104,9 @@
         let report = ReaderReport {
             digest: Digest { workloads: Vec::new(), ..self.digest(departures) },
             changes_from,
-            read_age: millis(now.saturating_sub(daemon.freshness.servers_at.get())),
-            remote_age: millis(now.saturating_sub(remote_received)),
-            joined: joined.into_iter().map(|(id, raw)| (id, raw.to_vec())).collect(),
+            read_age_ms: millis(now.saturating_sub(daemon.freshness.servers_at.get())),
+            remote_age_ms: millis(now.saturating_sub(remote_received)),
+            joined_servers: joined.into_iter().map(|(id, raw)| (id, raw.to_vec())).collect(),
             checksum,
             scope,
             workloads,
@@ -131,7 +131,7 @@
         };
         if was_reader != reads {
             slog::info!(daemon.log, "reader"; "reads" => reads, "before" => higher.daemons,
-                "readers" => higher.readers, "blind" => higher.blind);
+                "readers" => higher.readers, "blind" => higher.without_store);
         }
     }
 
@@ -181,11 +181,11 @@
     fn send_digest(&self, is_urgent: bool) {
         let now = self.daemon.now();
         self.last_digest.set(now);
-        let round = self.round.replace(self.round.get().wrapping_add(1));
+        let digest_round = self.digest_round.replace(self.digest_round.get().wrapping_add(1));
         self.daemon.peers.borrow_mut().sweep(now);
         self.update_reader_role(now);
         let bytes = self.digest_message();
-        let addrs = self.digest_recipients(round, is_urgent, now);
+        let addrs = self.digest_recipients(digest_round, is_urgent, now);
         for addr in &addrs {
             self.send(*addr, &bytes, "digest");
         }
@@ -210,7 +210,12 @@
         }
     }
 
-    fn digest_recipients(&self, round: u64, is_urgent: bool, now: Moment) -> Vec<SocketAddr> {
+    fn digest_recipients(
+        &self,
+        digest_round: u64,
+        is_urgent: bool,
+        now: Moment,
+    ) -> Vec<SocketAddr> {
         let peers = self.daemon.peers.borrow();
         let centre = self.daemon.settings().centre.clone();
         let is_due = is_urgent || now >= self.last_broadcast.get() + peers.holder_interval();
@@ -218,7 +223,7 @@
             self.last_broadcast.set(now);
             return peers.all().map(|(_, p)| p.addr).collect();
         }
-        peers.digest_targets(&centre, round, now)
+        peers.digest_targets(&centre, digest_round, now)
     }
 
     /// Sends a reader's reports to its data centre, the readers of the other data centres and the lease holder.
@@ -262,7 +267,7 @@
     fn send_demand(&self) {
         let daemon = &self.daemon;
         let now = daemon.now();
-        let report = daemon.model_waits.demand_note(now);
+        let report = daemon.model_waits.demand_report(now);
         if report == DemandReport::default() {
             return;
         }
@@ -306,7 +311,7 @@
     }
 
     /// Forwards inventories from the lease holder to the data centre.
-    pub(super) fn relay_holdings(&self, fence: Fence, list: &[EngineInventory]) {
+    pub(super) fn relay_inventories(&self, fence: Fence, list: &[EngineInventory]) {
         let bytes = self.encode(Payload::Inventories(fence, list.to_vec()));
         let centre = self.daemon.settings().centre.clone();
         for peer in self.daemon.peers.borrow().in_centre(&centre) {
--- a/lib/testutils/src/placing_site.rs
+++ b/lib/testutils/src/placing_site.rs
@@ -45,7 +45,7 @@
     /// Requests in progress at the engines.
     pub loads: Workloads,
     /// Number of fetches from the weight store that may start now.
-    pub room: usize,
+    pub fetches_left: usize,
     /// Numbers of concurrent fetches at full speed: proven so far, and the limit.
     pub share: StoreShare,
 }
@@ -79,7 +79,7 @@
             engine_table: EngineTable::default(),
             demand: Demand::default(),
             loads: Workloads::default(),
-            room: 8,
+            fetches_left: 8,
             share: StoreShare { proven: 4, limit: 4 },
         }
     }
@@ -114,19 +114,19 @@
             confirmed: true,
             orders_inflight: false,
             stale_reports: 0,
-            changed: NOW,
-            compared: 0,
-            job: None,
+            changed_at: NOW,
+            compared_heartbeat: 0,
+            load_job: None,
             reported_busy: false,
             adapter_jobs: Vec::new(),
-            used: BTreeMap::new(),
+            last_used: BTreeMap::new(),
             backoff_until: Moment::ZERO,
         };
         self.engine_table.engines.entry(id.into()).or_insert(engine)
     }
 
     /// Adds one queued request for a model or adapter.
-    pub fn want(&mut self, model: &str, adapter: Option<&str>) {
+    pub fn add_queued(&mut self, model: &str, adapter: Option<&str>) {
         let queued_demand = QueuedDemand {
             service: SERVICE.into(),
             model: model.into(),
@@ -142,11 +142,11 @@
 
     /// Sets the arrival rate of a model's requests, per second.
     pub fn busy(&mut self, model: &str, rate: u32) {
-        self.asked(model, rate * 6);
+        self.add_arrivals(model, rate * 6);
     }
 
     /// Adds `times` recent arrivals of requests for a model.
-    pub fn asked(&mut self, model: &str, times: u32) {
+    pub fn add_arrivals(&mut self, model: &str, times: u32) {
         for count in [0, times] {
             let count =
                 ArrivalCount { service: SERVICE.into(), model: model.into(), adapter: None, count };
@@ -157,17 +157,17 @@
 
     /// Returns the planner's next actions.
     pub fn plan(&self) -> Vec<Action> {
-        let work = self.loads.fleet_table(NOW);
+        let workloads = self.loads.fleet_table(NOW);
         let input = PlanInput {
             now: NOW,
             config: &self.config,
             engine_table: &self.engine_table,
             demand: &self.demand,
-            work: &work,
+            workloads: &workloads,
             run_times: &RunTimes::default(),
             unreachable: Vec::new(),
             share: self.share,
-            fetches_left: self.room,
+            fetches_left: self.fetches_left,
         };
         input.plan()
     }
